--- a/brackenloft/interface/__init__.py
+++ b/quota_gateway/api/__init__.py
@@ -4,7 +4,7 @@
 ``TimerFired`` for each ``SetTimer``; the gateway owes each ``Request`` exactly one final answer.
 """
 
-from brackenloft.interface.actions import (
+from quota_gateway.api.actions import (
     Action,
     Admit,
     Cancel,
@@ -21,7 +21,15 @@
     Subscribe,
     TellPeer,
 )
-from brackenloft.interface.events import (
+from quota_gateway.api.enums import (
+    DiscoveryMode,
+    Effect,
+    KeyScope,
+    ListKind,
+    ServerState,
+    Status,
+)
+from quota_gateway.api.events import (
     ClientGone,
     CounterReply,
     Drain,
@@ -42,7 +50,7 @@
     StreamStarted,
     TimerFired,
 )
-from brackenloft.interface.settings import (
+from quota_gateway.api.settings import (
     DEFAULT_IDLE_MS,
     Contract,
     Limits,
@@ -50,14 +58,6 @@
     RequestClass,
     Settings,
 )
-from brackenloft.interface.words import (
-    DiscoveryMode,
-    Effect,
-    KeyScope,
-    ListKind,
-    ServerState,
-    Status,
-)
 
 __all__ = [
     "DEFAULT_IDLE_MS", "Action", "Admit", "Cancel", "ClientGone", "CloseIdle", "Contract", "CounterAdd",
--- a/brackenloft/interface/actions.py
+++ b/quota_gateway/api/actions.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from brackenloft.interface.events import Elsewhere
-from brackenloft.interface.words import OfAttempt, OfRequest, OfServer
+from quota_gateway.api.enums import OfAttempt, OfRequest, OfServer
+from quota_gateway.api.events import Elsewhere
 
 
 @dataclass(frozen=True, slots=True)
--- a/brackenloft/interface/events.py
+++ b/quota_gateway/api/events.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from brackenloft.interface.settings import Settings, check
-from brackenloft.interface.words import ListKind, OfAttempt, OfRequest, OfServer, ServerState, Status
+from quota_gateway.api.enums import ListKind, OfAttempt, OfRequest, OfServer, ServerState, Status
+from quota_gateway.api.settings import Settings, check
 
 
 @dataclass(frozen=True, slots=True)
--- a/brackenloft/interface/settings.py
+++ b/quota_gateway/api/settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from brackenloft.interface.words import DiscoveryMode, Effect, KeyScope
+from quota_gateway.api.enums import DiscoveryMode, Effect, KeyScope
 
 DEFAULT_IDLE_MS = 30_000.0  # of a connection, where the settings do not tell
 
--- a/brackenloft/config.py
+++ b/quota_gateway/config.py
@@ -12,9 +12,9 @@
 from types import MappingProxyType
 from typing import Any
 
-from brackenloft import interface as api
-from brackenloft.reader import Address, ConfigError, Found, Node, address, parse, show
-from brackenloft.settings import build_settings, read_settings
+from quota_gateway import api
+from quota_gateway.config_reader import Address, ConfigError, Found, Node, address, parse, show
+from quota_gateway.settings_reader import build_settings, read_settings
 
 LARGEST = 1024 * 1024  # bytes of the file: a list of some five thousand servers
 MOST_SOCKETS = 1_000_000
--- a/brackenloft/survival/__main__.py
+++ b/quota_gateway/failover/__main__.py
@@ -1,4 +1,4 @@
-"""The command: ``python -m brackenloft.survival model``; see ``--help``."""
+"""The command: ``python -m quota_gateway.failover model``; see ``--help``."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from brackenloft.survival.keeper import Job, Keeper
-from brackenloft.survival.model import FAULTS, explore
+from quota_gateway.failover.model import FAULTS, explore
+from quota_gateway.failover.supervisor import Job, Keeper
 
 HOLDS, BROKEN, NO_JOB = 0, 1, 2
 
--- a/brackenloft/survival/gateway.py
+++ b/quota_gateway/failover/gateway.py
@@ -16,10 +16,10 @@
 import struct
 from contextlib import suppress
 
-from brackenloft.net.beside import BEAT_S, consumed, written
-from brackenloft.net.clients import Client, Clients
-from brackenloft.net.handover import Link, close_all, connected
-from brackenloft.survival.record import Record, RecordError
+from quota_gateway.failover.connection_record import Record, RecordError
+from quota_gateway.net.clients import Client, Clients
+from quota_gateway.net.hot_restart import Link, close_all, connected
+from quota_gateway.net.peer_process import BEAT_S, consumed, written
 
 log = logging.getLogger(__name__)
 
--- a/brackenloft/survival/keeper.py
+++ b/quota_gateway/failover/supervisor.py
@@ -25,10 +25,10 @@
 
 from msgspec import Struct
 
-from brackenloft.net.beside import Beats
-from brackenloft.net.handover import Link, close_all
+from quota_gateway.net.hot_restart import Link, close_all
+from quota_gateway.net.peer_process import Beats
 
-log = logging.getLogger("brackenloft.survival")
+log = logging.getLogger("quota_gateway.failover")
 
 OFTEN, OFTEN_S = 5, 60.0  # so many deaths in such a time are no accident
 BACKOFF_S = 5.0  # before another start then
--- a/brackenloft/rig/rig.py
+++ b/quota_gateway/fault_bench/bench.py
@@ -16,17 +16,17 @@
 
 import numpy as np
 
-from brackenloft import interface as api
-from brackenloft.lab.models import Server
-from brackenloft.rig import history as seen
-from brackenloft.rig.document import settings_document
-from brackenloft.rig.judge import Verdict, judge
-from brackenloft.rig.load import Clients, Front
-from brackenloft.rig.platform import Platform
-from brackenloft.rig.processes import Member, Program, call
-from brackenloft.rig.relay import Address, Link
-from brackenloft.rig.scenario import Scenario
-from brackenloft.rig.standins import Clock, Discovery, Meters, StandIn
+from quota_gateway import api
+from quota_gateway.fault_bench import history as seen
+from quota_gateway.fault_bench.document import settings_document
+from quota_gateway.fault_bench.load import Clients, Front
+from quota_gateway.fault_bench.platform import Platform
+from quota_gateway.fault_bench.processes import Member, Program, call
+from quota_gateway.fault_bench.referee import Verdict, judge
+from quota_gateway.fault_bench.relay import Address, Link
+from quota_gateway.fault_bench.scenario import Scenario
+from quota_gateway.fault_bench.stand_ins import Clock, Discovery, Meters, StandIn
+from quota_gateway.simulation.models import Server
 
 READY_S = 30.0  # for all gateways to serve
 LATE_MS = 20.0  # by which the loop is late before it is written down
--- a/brackenloft/rig/document.py
+++ b/quota_gateway/fault_bench/document.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from brackenloft import interface as api
-from brackenloft.settings import DISCOVERY, LOAD_FIELD
+from quota_gateway import api
+from quota_gateway.settings_reader import DISCOVERY, LOAD_FIELD
 
 WIRE_LOAD = {ours: theirs for theirs, ours in LOAD_FIELD.items()}
 WIRE_DISCOVERY = {ours: theirs for theirs, ours in DISCOVERY.items()}
--- a/brackenloft/rig/history.py
+++ b/quota_gateway/fault_bench/history.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct
 
-from brackenloft.rig.scenario import Scenario
+from quota_gateway.fault_bench.scenario import Scenario
 
 HELD = 64 * 1024  # bytes before they are written
 
--- a/brackenloft/rig/load.py
+++ b/quota_gateway/fault_bench/load.py
@@ -15,11 +15,11 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from brackenloft.lab.world import Kind, Tariff
-from brackenloft.rig import history as seen
-from brackenloft.rig.relay import Link
-from brackenloft.rig.scenario import Scenario
-from brackenloft.rig.standins import Clock
+from quota_gateway.fault_bench import history as seen
+from quota_gateway.fault_bench.relay import Link
+from quota_gateway.fault_bench.scenario import Scenario
+from quota_gateway.fault_bench.stand_ins import Clock
+from quota_gateway.simulation.world import Kind, Tariff
 
 PING_S = 0.1
 PONG_S = 0.5  # for an answer to a PING
--- a/brackenloft/rig/platform.py
+++ b/quota_gateway/fault_bench/platform.py
@@ -1,6 +1,6 @@
 """The platform's stand-in: starts and ends members' processes when it is asked to, from outside the rig.
 
-It owes what ``brackenloft.rollout.launch`` does (one process a door, no older token), but its processes are
+It owes what ``quota_gateway.rollout.launcher`` does (one process a door, no older token), but its processes are
 the rig's, and end with it.
 """
 
@@ -11,14 +11,14 @@
 import signal
 from pathlib import Path
 
-from brackenloft.rig.processes import Member, Process, Program
-from brackenloft.rig.relay import Address, Link
-from brackenloft.rollout.launch import last_line
+from quota_gateway.fault_bench.processes import Member, Process, Program
+from quota_gateway.fault_bench.relay import Address, Link
+from quota_gateway.rollout.launcher import last_line
 
 UP_S = 20.0  # for a process's door to answer
 END_S = 4.5  # from SIGTERM to SIGKILL
 LOOK_S = 0.02
-# Of a rollout's plan, behind ``python -m brackenloft.rig.ask HOST:PORT``.
+# Of a rollout's plan, behind ``python -m quota_gateway.fault_bench.platform_client HOST:PORT``.
 START = ("start", "{name}", "{door}", "{token}", "{folder}", "{command}")
 STOP = ("stop", "{name}", "{door}", "{token}")
 
--- a/brackenloft/rig/ask.py
+++ b/quota_gateway/fault_bench/platform_client.py
@@ -1,4 +1,4 @@
-"""A word to the rig's platform, from a rollout's plan: ``python -m brackenloft.rig.ask HOST:PORT start ...``.
+"""A word to the rig's platform, from a rollout's plan: ``python -m quota_gateway.fault_bench.platform_client HOST:PORT start ...``.
 
 Exit code 0 and the answer, or 1. Loads nothing else of the rig: it is run once for each process it starts.
 """
--- a/brackenloft/rig/processes.py
+++ b/quota_gateway/fault_bench/processes.py
@@ -15,9 +15,9 @@
 
 from msgspec import Struct
 
-from brackenloft.rig import history as seen
-from brackenloft.rig.relay import Address, Link
-from brackenloft.rig.standins import Clock
+from quota_gateway.fault_bench import history as seen
+from quota_gateway.fault_bench.relay import Address, Link
+from quota_gateway.fault_bench.stand_ins import Clock
 
 # Ended by the kernel when the rig's main thread ends, however that is; not by its terminal.
 BOUND = ("import ctypes, os, sys; ctypes.CDLL(None).prctl(1, 9);"
--- a/brackenloft/rig/judge.py
+++ b/quota_gateway/fault_bench/referee.py
@@ -13,11 +13,11 @@
 
 from msgspec import Struct
 
-from brackenloft import interface as api
-from brackenloft.lab.models import Server, Store
-from brackenloft.lab.referee import Referee, Try
-from brackenloft.lab.world import SLACK, World
-from brackenloft.rig import history as seen
+from quota_gateway import api
+from quota_gateway.fault_bench import history as seen
+from quota_gateway.simulation.models import Server, Store
+from quota_gateway.simulation.referee import Referee, Try
+from quota_gateway.simulation.world import SLACK, World
 
 SOCKETS_MS = 50.0  # every time limit is so much longer on sockets
 TOLD_MS = 6000.0  # what discovery has to tell counts as told by then, whether it arrived or not
--- a/brackenloft/rig/rollouts.py
+++ b/quota_gateway/fault_bench/rollouts.py
@@ -18,15 +18,15 @@
 
 import msgspec
 
-from brackenloft.rig import history as seen
-from brackenloft.rig.platform import START, STOP
-from brackenloft.rig.processes import BOUND, Program
-from brackenloft.rig.rig import PLACES, Rig
-from brackenloft.rollout import journal as told
-from brackenloft.rollout.launch import last_line
-from brackenloft.rollout.plan import Version
-
-CONTROLLER = ("-m", "brackenloft.rollout")
+from quota_gateway.fault_bench import history as seen
+from quota_gateway.fault_bench.bench import PLACES, Rig
+from quota_gateway.fault_bench.platform import START, STOP
+from quota_gateway.fault_bench.processes import BOUND, Program
+from quota_gateway.rollout import journal as told
+from quota_gateway.rollout.launcher import last_line
+from quota_gateway.rollout.plan import Version
+
+CONTROLLER = ("-m", "quota_gateway.rollout")
 LAUNCH = BOUND + "os.execv(sys.executable, [sys.executable, *sys.argv[2:]])"
 LONGEST_LINE = 300  # characters of it that are told on
 ROOT = Path(__file__).parents[2]
@@ -79,7 +79,7 @@
 
     def program(self, name: str, after: Program, before: Program, fields: Fields) -> None:
         """A plan that changes all members' program."""
-        words = [sys.executable, "-m", "brackenloft.rig.ask",
+        words = [sys.executable, "-m", "quota_gateway.fault_bench.platform_client",
                  "{}:{}".format(*self.rig.links["controller>platform"].at)]
         versions = {"before": before, "after": after}
         given = {f"program.{when}": msgspec.to_builtins(Version(str(one.folder), one.command))
--- a/brackenloft/rig/scenario.py
+++ b/quota_gateway/fault_bench/scenario.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Struct
 
-from brackenloft.lab.world import Above, Amount, World, WorldError, check, read_file
+from quota_gateway.simulation.world import Above, Amount, World, WorldError, check, read_file
 
 MOST_GATEWAYS = 50
 CONDITION = re.compile(r"(asked|answered|open|ready)(?: (g\d+))? >= (\d+)")
--- a/brackenloft/rig/standins.py
+++ b/quota_gateway/fault_bench/stand_ins.py
@@ -16,11 +16,11 @@
 import hiredis
 import numpy as np
 
-from brackenloft import interface as api
-from brackenloft.lab.models import Job, Meter, Server
-from brackenloft.lab.world import Tariff, World
-from brackenloft.rig import history as seen
-from brackenloft.rig.relay import Address, pair_of
+from quota_gateway import api
+from quota_gateway.fault_bench import history as seen
+from quota_gateway.fault_bench.relay import Address, pair_of
+from quota_gateway.simulation.models import Job, Meter, Server
+from quota_gateway.simulation.world import Tariff, World
 
 log = logging.getLogger(__name__)
 
--- a/brackenloft/rig/timeline.py
+++ b/quota_gateway/fault_bench/timeline.py
@@ -8,14 +8,14 @@
 import signal
 from collections.abc import Awaitable, Callable
 
-from brackenloft import interface as api
-from brackenloft.rig import history as seen
-from brackenloft.rig.processes import Member, Neighbour, Program
-from brackenloft.rig.relay import Link
-from brackenloft.rig.rig import Rig
-from brackenloft.rig.rollouts import Rollouts
-from brackenloft.rig.scenario import CONDITION, CONTROLLER, OF_LINK, OF_SERVER, Step
-from brackenloft.rig.standins import StandIn
+from quota_gateway import api
+from quota_gateway.fault_bench import history as seen
+from quota_gateway.fault_bench.bench import Rig
+from quota_gateway.fault_bench.processes import Member, Neighbour, Program
+from quota_gateway.fault_bench.relay import Link
+from quota_gateway.fault_bench.rollouts import Rollouts
+from quota_gateway.fault_bench.scenario import CONDITION, CONTROLLER, OF_LINK, OF_SERVER, Step
+from quota_gateway.fault_bench.stand_ins import StandIn
 
 LOOK_S = 0.005
 LIMITS = {"descriptors": resource.RLIMIT_NOFILE, "memory": resource.RLIMIT_AS,
--- a/brackenloft/net/operators.py
+++ b/quota_gateway/net/admin_commands.py
@@ -6,12 +6,12 @@
 import logging
 from collections.abc import Callable
 
-from brackenloft import interface as api
-from brackenloft.net.admin import Answer, Handler
-from brackenloft.net.clients import Clients
-from brackenloft.net.discovery import Roster
-from brackenloft.net.driver import Driver
-from brackenloft.net.handover import Handover
+from quota_gateway import api
+from quota_gateway.net.admin import Answer, Handler
+from quota_gateway.net.clients import Clients
+from quota_gateway.net.discovery import Roster
+from quota_gateway.net.driver import Driver
+from quota_gateway.net.hot_restart import Handover
 
 log = logging.getLogger(__name__)
 
--- a/brackenloft/net/clients.py
+++ b/quota_gateway/net/clients.py
@@ -13,11 +13,11 @@
 
 import hiredis
 
-from brackenloft import interface as api
-from brackenloft.net.driver import CLIENT_MARGIN_MS, Call, Driver
-from brackenloft.net.lengths import Lengths
-from brackenloft.net.servers import Source
-from brackenloft.net.sockets import unread
+from quota_gateway import api
+from quota_gateway.net.declared_lengths import Lengths
+from quota_gateway.net.driver import CLIENT_MARGIN_MS, Call, Driver
+from quota_gateway.net.servers import Source
+from quota_gateway.net.sockets import unread
 
 log = logging.getLogger(__name__)
 
--- a/brackenloft/net/discovery.py
+++ b/quota_gateway/net/discovery.py
@@ -15,8 +15,8 @@
 
 import httptools
 
-from brackenloft import interface as api
-from brackenloft.net.servers import Address
+from quota_gateway import api
+from quota_gateway.net.servers import Address
 
 log = logging.getLogger(__name__)
 
--- a/brackenloft/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -12,10 +12,10 @@
 from math import ceil, inf
 from typing import Any
 
-from brackenloft import interface as api
-from brackenloft.net.figures import Figures
-from brackenloft.net.servers import Attempt, Reply, Servers, Sink, Source
-from brackenloft.policy.gateway import Gateway
+from quota_gateway import api
+from quota_gateway.net.metrics import Figures
+from quota_gateway.net.servers import Attempt, Reply, Servers, Sink, Source
+from quota_gateway.policy.gateway import Gateway
 
 log = logging.getLogger(__name__)
 
--- a/brackenloft/net/handover.py
+++ b/quota_gateway/net/hot_restart.py
@@ -25,13 +25,12 @@
 from pathlib import Path
 from typing import Any
 
-from brackenloft import interface as api
-from brackenloft import state
-from brackenloft.net.beside import BEAT_S, MISSED, Beats, Kept, Other, credentials
-from brackenloft.net.clients import Client, Clients
-from brackenloft.net.discovery import Discovery
-from brackenloft.net.driver import Driver
-from brackenloft.net.servers import Connection, Servers
+from quota_gateway import api, state_document
+from quota_gateway.net.clients import Client, Clients
+from quota_gateway.net.discovery import Discovery
+from quota_gateway.net.driver import Driver
+from quota_gateway.net.peer_process import BEAT_S, MISSED, Beats, Kept, Other, credentials
+from quota_gateway.net.servers import Connection, Servers
 
 log = logging.getLogger(__name__)
 
@@ -251,7 +250,7 @@
             raise ValueError("the state is torn")
         document = json.loads(raw)
         self.discovery.known(document["list"])
-        state.load(self.driver.gateway, document["decisions"], self.discovery.roster.numbers)
+        state_document.load(self.driver.gateway, document["decisions"], self.discovery.roster.numbers)
         self._want(document["operators"])
         self._take_counts(document)
         self.loaded = True
@@ -334,7 +333,7 @@
         roster = self.discovery.roster
         names = {number: name for name, number in roster.numbers.items()}
         raw = json.dumps({
-            "list": roster.document(), "decisions": state.save(self.driver.gateway, names),
+            "list": roster.document(), "decisions": state_document.save(self.driver.gateway, names),
             "operators": self.wanted(), **self._counts(),
         }).encode()
         for at in range(0, len(raw), PIECE):
--- a/brackenloft/net/reload.py
+++ b/quota_gateway/net/reload.py
@@ -17,16 +17,16 @@
 from dataclasses import dataclass
 from functools import partial
 
-from brackenloft import interface as api
-from brackenloft.config import Config, read, read_file, told
-from brackenloft.net import admin
-from brackenloft.net.admin import Answer, Handler
-from brackenloft.net.clients import MOST_LINGERING, Clients
-from brackenloft.net.discovery import Discovery
-from brackenloft.net.driver import Driver
-from brackenloft.net.handover import Handover
-from brackenloft.net.servers import Servers
-from brackenloft.reader import ConfigError
+from quota_gateway import api
+from quota_gateway.config import Config, read, read_file, told
+from quota_gateway.config_reader import ConfigError
+from quota_gateway.net import admin
+from quota_gateway.net.admin import Answer, Handler
+from quota_gateway.net.clients import MOST_LINGERING, Clients
+from quota_gateway.net.discovery import Discovery
+from quota_gateway.net.driver import Driver
+from quota_gateway.net.hot_restart import Handover
+from quota_gateway.net.servers import Servers
 
 log = logging.getLogger(__name__)
 
--- a/brackenloft/net/servers.py
+++ b/quota_gateway/net/servers.py
@@ -17,10 +17,10 @@
 
 import hiredis
 
-from brackenloft import interface as api
-from brackenloft.net.lengths import END, LONG, Lengths, long_value
-from brackenloft.net.sockets import unread
-from brackenloft.settings import REPORT_FIELD
+from quota_gateway import api
+from quota_gateway.net.declared_lengths import END, LONG, Lengths, long_value
+from quota_gateway.net.sockets import unread
+from quota_gateway.settings_reader import REPORT_FIELD
 
 log = logging.getLogger(__name__)
 
--- a/brackenloft/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -4,10 +4,10 @@
 out to a server; else it is parked, and tried again whenever an attempt ends or the list changes.
 """
 
-from brackenloft.interface import Plan, Request, RequestClass
-from brackenloft.policy.attempts import Attempts
-from brackenloft.policy.customers import Customers
-from brackenloft.tables import Context, Customer, Flight
+from quota_gateway.api import Plan, Request, RequestClass
+from quota_gateway.policy.attempts import Attempts
+from quota_gateway.policy.customers import Customers
+from quota_gateway.state import Context, Customer, Flight
 
 
 class Admission:
--- a/brackenloft/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -1,12 +1,12 @@
 """Attempts: sent, judged when they end or become slow, sent again as class, budget and time allow."""
 
-from brackenloft.interface import Cancel, Effect, Outcome, Send, Status, StreamStarted
-from brackenloft.policy.answers import Answers
-from brackenloft.policy.ceilings import Ceilings
-from brackenloft.policy.choice import Choice
-from brackenloft.policy.pressure import SLOW
-from brackenloft.policy.resend import window
-from brackenloft.tables import Context, Flight, Server
+from quota_gateway.api import Cancel, Effect, Outcome, Send, Status, StreamStarted
+from quota_gateway.policy.concurrency_limit import SLOW
+from quota_gateway.policy.rate_ceiling import Ceilings
+from quota_gateway.policy.responses import Answers
+from quota_gateway.policy.retry_policy import window
+from quota_gateway.policy.server_selection import Choice
+from quota_gateway.state import Context, Flight, Server
 
 RETRY_SHARE = 0.2  # further attempts per first one, over time: bounds what failures can add to the load
 RETRY_STORE = 10.0  # further attempts saved up at most
--- a/brackenloft/policy/pressure.py
+++ b/quota_gateway/policy/concurrency_limit.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 from math import inf
 
-from brackenloft.interface import RequestClass
-from brackenloft.tables import Context, Flight, Latencies, Server
+from quota_gateway.api import RequestClass
+from quota_gateway.state import Context, Flight, Latencies, Server
 
 FIRST_LATENCY = 0.2  # of a class's aim: its latency until answers have been seen
 LATENCY_STEP = 0.03  # weight of one answer in a class's mean latency: some thirty answers of memory
--- a/brackenloft/policy/customers.py
+++ b/quota_gateway/policy/customers.py
@@ -6,10 +6,10 @@
 
 from collections import OrderedDict
 
-from brackenloft.interface import Plan, Request
-from brackenloft.policy.ceilings import Ceilings
-from brackenloft.policy.meter import Meter
-from brackenloft.tables import Context, Customer, Epochs, Flight, Key
+from quota_gateway.api import Plan, Request
+from quota_gateway.policy.quota_meter import Meter
+from quota_gateway.policy.rate_ceiling import Ceilings
+from quota_gateway.state import Context, Customer, Epochs, Flight, Key
 
 MOST_PAST = 32  # changes that customers may lag behind
 MOST_RETIRED = 64  # plans that are gone, but remembered for their customers
--- a/brackenloft/policy/lists.py
+++ b/quota_gateway/policy/endpoint_list.py
@@ -1,9 +1,9 @@
 """Discovery's lists: which servers there are, and when discovery is asked."""
 
-from brackenloft.interface import DiscoveryMode, ListKind, ServerList, Subscribe
-from brackenloft.policy.cold import Cold
-from brackenloft.policy.pressure import Pressure
-from brackenloft.tables import Epochs, Fleet
+from quota_gateway.api import DiscoveryMode, ListKind, ServerList, Subscribe
+from quota_gateway.policy.concurrency_limit import Pressure
+from quota_gateway.policy.slow_start import Cold
+from quota_gateway.state import Epochs, Fleet
 
 ASK_SHARE = 0.5  # of the time in which discovery must be asked: room for one failed call
 
--- a/brackenloft/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -4,22 +4,22 @@
 from collections.abc import Callable
 from typing import Any
 
-from brackenloft import interface as api
-from brackenloft.policy.admission import Admission
-from brackenloft.policy.answers import Answers
-from brackenloft.policy.attempts import Attempts
-from brackenloft.policy.ceilings import Ceilings
-from brackenloft.policy.change import Changes
-from brackenloft.policy.choice import Choice
-from brackenloft.policy.cold import Cold
-from brackenloft.policy.customers import Customers
-from brackenloft.policy.drain import ELSEWHERE_MS, Operators
-from brackenloft.policy.handover import Handover
-from brackenloft.policy.health import Health
-from brackenloft.policy.lists import Lists
-from brackenloft.policy.meter import Meter
-from brackenloft.policy.pressure import Pressure
-from brackenloft.tables import Context, Fleet, Hand, Reports, Views
+from quota_gateway import api
+from quota_gateway.policy.admission import Admission
+from quota_gateway.policy.attempts import Attempts
+from quota_gateway.policy.concurrency_limit import Pressure
+from quota_gateway.policy.customers import Customers
+from quota_gateway.policy.endpoint_list import Lists
+from quota_gateway.policy.graceful_shutdown import ELSEWHERE_MS, Operators
+from quota_gateway.policy.hot_restart import Handover
+from quota_gateway.policy.outlier_detection import Health
+from quota_gateway.policy.quota_meter import Meter
+from quota_gateway.policy.rate_ceiling import Ceilings
+from quota_gateway.policy.responses import Answers
+from quota_gateway.policy.server_selection import Choice
+from quota_gateway.policy.settings_change import Changes
+from quota_gateway.policy.slow_start import Cold
+from quota_gateway.state import Context, Fleet, Hand, Reports, Views
 
 FADE_MS = 4000.0  # time constant with which figures fade, so that a server is tried again; but see Decay
 
--- a/brackenloft/policy/drain.py
+++ b/quota_gateway/policy/graceful_shutdown.py
@@ -1,8 +1,8 @@
 """What operators decide: servers that are out by hand, and the drain of this gateway."""
 
-from brackenloft.interface import Admit, Drain, ServerByHand, SetUsable
-from brackenloft.policy.lists import Lists
-from brackenloft.tables import Context
+from quota_gateway.api import Admit, Drain, ServerByHand, SetUsable
+from quota_gateway.policy.endpoint_list import Lists
+from quota_gateway.state import Context
 
 MOST_OUT = 1024  # servers out by hand at once
 OWED_MS = 1500.0  # after it is put back a server is used, whether its turn has come or not
--- a/brackenloft/policy/handover.py
+++ b/quota_gateway/policy/hot_restart.py
@@ -1,8 +1,8 @@
 """Upgrades: this process and the next one are one gateway."""
 
-from brackenloft.interface import Elsewhere, OtherGone
-from brackenloft.policy.customers import Customers
-from brackenloft.tables import Context, Customer, Hand
+from quota_gateway.api import Elsewhere, OtherGone
+from quota_gateway.policy.customers import Customers
+from quota_gateway.state import Context, Customer, Hand
 
 
 class Handover:
--- a/brackenloft/policy/health.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -1,7 +1,7 @@
 """Health: the share of failures that a server shows, apart for its class and for its plan."""
 
-from brackenloft.interface import Status
-from brackenloft.tables import Context, Flight, Server, Shares
+from quota_gateway.api import Status
+from quota_gateway.state import Context, Flight, Server, Shares
 
 DOUBT_PRIOR = 1.0  # answers that the share seen at all servers weighs against a server's own
 DOUBTED = 0.5  # share of failures from which a slow attempt is taken elsewhere, and a line is logged
--- a/brackenloft/policy/meter.py
+++ b/quota_gateway/policy/quota_meter.py
@@ -2,8 +2,8 @@
 
 from math import inf
 
-from brackenloft.interface import Plan
-from brackenloft.tables import Context, Customer
+from quota_gateway.api import Plan
+from quota_gateway.state import Context, Customer
 
 THOUSANDTHS = 1000.0  # of a unit, the unit of the excess
 GROWTH = 0.2  # share of the room that is given out: the meter is late, and all gateways rise on one figure
--- a/brackenloft/policy/ceilings.py
+++ b/quota_gateway/policy/rate_ceiling.py
@@ -2,9 +2,9 @@
 
 from math import inf
 
-from brackenloft.interface import Plan
-from brackenloft.policy.meter import Meter
-from brackenloft.tables import Context, Customer, Epochs, Flight
+from quota_gateway.api import Plan
+from quota_gateway.policy.quota_meter import Meter
+from quota_gateway.state import Context, Customer, Epochs, Flight
 
 CAP_NEWS = 2.0  # times that a rate's reading is news: few gateways hear of one customer's attempts twice
 CAP_POWER = 3.0  # of the overuse: gateways without a reading let theirs out all the same
--- a/brackenloft/policy/answers.py
+++ b/quota_gateway/policy/responses.py
@@ -2,11 +2,11 @@
 
 from math import inf
 
-from brackenloft.interface import Cancel, ClientGone, Fail, Plan, Refuse, Stopping
-from brackenloft.policy.handover import Handover
-from brackenloft.policy.pressure import Pressure
-from brackenloft.policy.resend import harmless
-from brackenloft.tables import Context, Customer, Flight, Tally
+from quota_gateway.api import Cancel, ClientGone, Fail, Plan, Refuse, Stopping
+from quota_gateway.policy.concurrency_limit import Pressure
+from quota_gateway.policy.hot_restart import Handover
+from quota_gateway.policy.retry_policy import harmless
+from quota_gateway.state import Context, Customer, Flight, Tally
 
 ANSWER_TICKS = 2.0  # ticks before the client's deadline of the last answer: one to fire, one to spare
 TALLY_MS = 5000.0  # between two lines that tell what was given up, and why
--- a/brackenloft/policy/resend.py
+++ b/quota_gateway/policy/retry_policy.py
@@ -1,7 +1,7 @@
 """What may be sent again, by its class: where to, and what a client may be told of it. Owns nothing."""
 
-from brackenloft.interface import Effect, KeyScope
-from brackenloft.tables import Flight, Group
+from quota_gateway.api import Effect, KeyScope
+from quota_gateway.state import Flight, Group
 
 EVERYWHERE: Group = ()
 
--- a/brackenloft/policy/choice.py
+++ b/quota_gateway/policy/server_selection.py
@@ -1,11 +1,11 @@
 """Choice of a server: the best of some that are ready."""
 
-from brackenloft.interface import Effect
-from brackenloft.policy.cold import Cold
-from brackenloft.policy.health import Health, Priors
-from brackenloft.policy.pressure import Pressure
-from brackenloft.policy.resend import group
-from brackenloft.tables import Flight, Reports, Server
+from quota_gateway.api import Effect
+from quota_gateway.policy.concurrency_limit import Pressure
+from quota_gateway.policy.outlier_detection import Health, Priors
+from quota_gateway.policy.retry_policy import group
+from quota_gateway.policy.slow_start import Cold
+from quota_gateway.state import Flight, Reports, Server
 
 QUEUE_WEIGHT = 1.0  # requests out that one reported as waiting stands for
 CROSS_WEIGHT = 10.0  # how many times its price a zone crossing weighs against a mean latency
--- a/brackenloft/policy/change.py
+++ b/quota_gateway/policy/settings_change.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from brackenloft.interface import HandOver, NewSettings, Plan
-from brackenloft.policy.handover import Handover
-from brackenloft.policy.health import Health
-from brackenloft.policy.lists import Lists
-from brackenloft.tables import Key
+from quota_gateway.api import HandOver, NewSettings, Plan
+from quota_gateway.policy.endpoint_list import Lists
+from quota_gateway.policy.hot_restart import Handover
+from quota_gateway.policy.outlier_detection import Health
+from quota_gateway.state import Key
 
 SETTLE_MS = 4000.0  # the platform gives a change of configuration so long: others may go by the old one
 STEP = 100  # customers brought up to date in a step
--- a/brackenloft/policy/cold.py
+++ b/quota_gateway/policy/slow_start.py
@@ -1,6 +1,6 @@
 """Cold servers: who may be sent how much."""
 
-from brackenloft.tables import Context, Flight, Server
+from quota_gateway.state import Context, Flight, Server
 
 COLD_SAFETY = 0.33  # of the tipping budget that a full fleet's even share may use: chance and heavy requests
 ROUNDING = 1e-9  # a turn found by its phase is checked exactly: none may be missed
--- a/brackenloft/recording/__main__.py
+++ b/quota_gateway/recording/__main__.py
@@ -1,4 +1,4 @@
-"""The command: ``python -m brackenloft.recording sim|drive|play|time|scale``; see ``--help``."""
+"""The command: ``python -m quota_gateway.recording sim|drive|play|time|scale``; see ``--help``."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 import sys
 from pathlib import Path
 
-from brackenloft import adapter
-from brackenloft.recording import cost
-from brackenloft.recording.codec import Recorder, RecordingError, play
-from brackenloft.recording.drive import drive
+from quota_gateway import simulator_adapter
+from quota_gateway.recording import benchmark
+from quota_gateway.recording.codec import Recorder, RecordingError, play
+from quota_gateway.recording.random_driver import drive
 
 
 def _sim(folder: Path) -> int:
     """The simulator's wire, recorded; each process writes a file of its own."""
     with open(folder / f"sim-{os.getpid()}.jsonl", "wb") as sink:
         recorder = Recorder(sink)
-        code = adapter.main(recorder.open)
+        code = simulator_adapter.main(recorder.open)
         recorder.close()
     return code
 
@@ -51,29 +51,29 @@
 def _time(file: Path, tree: Path | None, rounds: int) -> int:
     if tree is None:
         try:
-            print(f"{cost.seconds(file):.3f} s of CPU")
+            print(f"{benchmark.seconds(file):.3f} s of CPU")
         except RecordingError as error:
             print(f"{file}: {error}", file=sys.stderr)
             return 2
         return 0
-    here, there = cost.against(file, tree, rounds)
+    here, there = benchmark.against(file, tree, rounds)
     print(f"here {here:.3f} s, there {there:.3f} s, medians of {rounds} in turn: ratio {here / there:.3f}")
     return 0
 
 
 def _scale() -> int:
     print("servers customers   cold  first us  again us")
-    cells = [(n, 100, 0.0) for n in cost.SIZES] + [(n, 100, 0.5) for n in cost.SIZES]
-    cells += [(100, n, 0.0) for n in cost.CUSTOMERS]
+    cells = [(n, 100, 0.0) for n in benchmark.SIZES] + [(n, 100, 0.5) for n in benchmark.SIZES]
+    cells += [(100, n, 0.0) for n in benchmark.CUSTOMERS]
     for servers, customers, cold in cells:
-        first, again = cost.Crowd(servers, customers, cold).measure()
+        first, again = benchmark.Crowd(servers, customers, cold).measure()
         print(f"{servers:7} {customers:9} {cold:6.1f} {first:9.0f} {again:9.0f}")
     return 0
 
 
 def main() -> int:
     """0: done, and all the same; 1: differences, or a recording cut off; 2: no recording."""
-    parser = argparse.ArgumentParser(prog="brackenloft.recording", description=__doc__)
+    parser = argparse.ArgumentParser(prog="quota_gateway.recording", description=__doc__)
     calls = parser.add_subparsers(dest="call", required=True)
     sim = calls.add_parser("sim", help="speak the simulator's wire as `sim` does, and record it")
     sim.add_argument("folder", type=Path, help="where each process writes a file")
--- a/brackenloft/recording/cost.py
+++ b/quota_gateway/recording/benchmark.py
@@ -13,10 +13,10 @@
 from statistics import median
 from typing import TypeVar
 
-from brackenloft import Gateway
-from brackenloft import interface as api
-from brackenloft.recording.codec import Recording
-from brackenloft.recording.drive import draw_settings
+from quota_gateway import Gateway, api
+from quota_gateway.compatibility import package_in
+from quota_gateway.recording.codec import Recording
+from quota_gateway.recording.random_driver import draw_settings
 
 SIZES = (10, 100, 1_000, 20_000)  # servers listed
 CUSTOMERS = (100, 10_000, 100_000)
@@ -39,7 +39,7 @@
     took: dict[Path, list[float]] = {Path.cwd(): [], tree: []}
     for _ in range(rounds):
         for where, found in took.items():
-            call = [sys.executable, "-m", "brackenloft.recording", "time", str(file.resolve())]
+            call = [sys.executable, "-m", f"{package_in(where)}.recording", "time", str(file.resolve())]
             done = subprocess.run(call, cwd=where, capture_output=True, text=True, check=True)
             found.append(float(done.stdout.split()[0]))
     here, there = (median(found) for found in took.values())
--- a/brackenloft/recording/codec.py
+++ b/quota_gateway/recording/codec.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from brackenloft import Gateway
-from brackenloft import interface as api
+from quota_gateway import Gateway, api
+from quota_gateway.compatibility import RECORDING_HEAD
 
-HEAD = b'["brackenloft recording",1]'
+HEAD = RECORDING_HEAD
 EVENTS: dict[str, type] = {item.__name__: item for item in get_args(api.Event)}
 
 
--- a/brackenloft/recording/drive.py
+++ b/quota_gateway/recording/random_driver.py
@@ -13,8 +13,8 @@
 from heapq import heappop, heappush
 from typing import TypeVar
 
-from brackenloft import interface as api
-from brackenloft.adapter import Handles, Make
+from quota_gateway import api
+from quota_gateway.simulator_adapter import Handles, Make
 
 ZONES, CUSTOMERS, MOST_SERVERS = "abc", 40, 120
 ENDS = (*[api.Status.OK] * 12, *(status for status in api.Status if status is not api.Status.OK))
--- a/brackenloft/rollout/__main__.py
+++ b/quota_gateway/rollout/__main__.py
@@ -1,4 +1,4 @@
-"""The command: ``python -m brackenloft.rollout start PLAN.toml``; see ``--help``."""
+"""The command: ``python -m quota_gateway.rollout start PLAN.toml``; see ``--help``."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from rich.console import Console
 from rich.table import Table
 
-from brackenloft.rollout import journal as told
-from brackenloft.rollout.controller import DONE, Controller, wish_path
-from brackenloft.rollout.doors import FencedError, put
-from brackenloft.rollout.judge import Word
-from brackenloft.rollout.plan import Plan, PlanError, load
-from brackenloft.rollout.trial import HARMS, play
+from quota_gateway.rollout import journal as told
+from quota_gateway.rollout.admin_clients import FencedError, put
+from quota_gateway.rollout.canary_analysis import Word
+from quota_gateway.rollout.canary_trial import HARMS, play
+from quota_gateway.rollout.controller import DONE, Controller, wish_path
+from quota_gateway.rollout.plan import Plan, PlanError, load
 
 OK, WENT_BACK, NO_PLAN, HELD = 0, 1, 2, 3
 File = click.Path(path_type=Path)
--- a/brackenloft/rollout/doors.py
+++ b/quota_gateway/rollout/admin_clients.py
@@ -10,8 +10,8 @@
 import msgspec
 from msgspec import Struct
 
-from brackenloft.rollout.judge import Figures
-from brackenloft.rollout.plan import Member
+from quota_gateway.rollout.canary_analysis import Figures
+from quota_gateway.rollout.plan import Member
 
 ANSWER_S = 2.0  # for a whole call: a door answers within one
 LONGEST_ANSWER = 64 * 1024
--- a/brackenloft/rollout/trial.py
+++ b/quota_gateway/rollout/canary_trial.py
@@ -10,7 +10,7 @@
 import numpy as np
 from msgspec import Struct
 
-from brackenloft.rollout.judge import GROWTH, Figures, Judge, Word, Worse, measure_before
+from quota_gateway.rollout.canary_analysis import GROWTH, Figures, Judge, Word, Worse, measure_before
 
 WINDOW_S = 1.0
 REFUSED = 0.03  # share of requests, in the mean of the members
--- a/brackenloft/rollout/ways.py
+++ b/quota_gateway/rollout/change_strategy.py
@@ -9,11 +9,11 @@
 from contextlib import suppress
 from pathlib import Path
 
-from brackenloft.config import read as read_config
-from brackenloft.reader import ConfigError
-from brackenloft.rollout.doors import AwayError, Doors, put
-from brackenloft.rollout.journal import Begun, State
-from brackenloft.rollout.plan import MOST_FILE, Member, Plan, PlanError, digest
+from quota_gateway.config import read as read_config
+from quota_gateway.config_reader import ConfigError
+from quota_gateway.rollout.admin_clients import AwayError, Doors, put
+from quota_gateway.rollout.journal import Begun, State
+from quota_gateway.rollout.plan import MOST_FILE, Member, Plan, PlanError, digest
 
 
 class RefusedError(Exception):
--- a/brackenloft/rollout/controller.py
+++ b/quota_gateway/rollout/controller.py
@@ -21,14 +21,22 @@
 from pathlib import Path
 from typing import Any
 
-from brackenloft.rollout import journal as told
-from brackenloft.rollout.doors import AwayError, Doors, FencedError
-from brackenloft.rollout.judge import GROWTH, Before, Figures, Finding, Judge, Word, measure_before
-from brackenloft.rollout.plan import Plan, PlanError, fingerprint
-from brackenloft.rollout.programs import OfProgram
-from brackenloft.rollout.ways import OfSettings, RefusedError, Way
-
-log = logging.getLogger("brackenloft.rollout")
+from quota_gateway.rollout import journal as told
+from quota_gateway.rollout.admin_clients import AwayError, Doors, FencedError
+from quota_gateway.rollout.canary_analysis import (
+    GROWTH,
+    Before,
+    Figures,
+    Finding,
+    Judge,
+    Word,
+    measure_before,
+)
+from quota_gateway.rollout.change_strategy import OfSettings, RefusedError, Way
+from quota_gateway.rollout.plan import Plan, PlanError, fingerprint
+from quota_gateway.rollout.program_change import OfProgram
+
+log = logging.getLogger("quota_gateway.rollout")
 
 AGAIN_S = (0.2, 5.0)  # before a member that was away is told again: at first, at most; half of it is drawn
 RENEW = 3  # times in a trial's length that it is begun anew, while its stage is watched
--- a/brackenloft/rollout/journal.py
+++ b/quota_gateway/rollout/journal.py
@@ -17,7 +17,7 @@
 import msgspec
 from msgspec import Struct
 
-from brackenloft.rollout.judge import Before
+from quota_gateway.rollout.canary_analysis import Before
 
 HEAD = struct.Struct("<II")  # length and CRC-32 of what follows
 LONGEST = 4 * 1024 * 1024  # bytes of a record
--- a/brackenloft/rollout/plan.py
+++ b/quota_gateway/rollout/plan.py
@@ -16,7 +16,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from brackenloft.rollout.judge import Above, Share, Worse
+from quota_gateway.compatibility import DEFAULT_COMMAND
+from quota_gateway.rollout.canary_analysis import Above, Share, Worse
 
 Count = Annotated[int, Meta(ge=1, le=10_000)]
 DOOR = re.compile(r"[^\s:]+:\d{1,5}")
@@ -49,7 +50,7 @@
     ``--about`` are put behind it."""
 
     folder: str
-    command: str = "exec .venv/bin/python -m brackenloft"
+    command: str = DEFAULT_COMMAND
 
 
 class Change(Struct, forbid_unknown_fields=True, frozen=True):
--- a/brackenloft/rollout/programs.py
+++ b/quota_gateway/rollout/program_change.py
@@ -20,13 +20,13 @@
 from enum import Enum
 from pathlib import Path
 
-from brackenloft.rollout.doors import AwayError, Doors
-from brackenloft.rollout.journal import State
-from brackenloft.rollout.launch import last_line
-from brackenloft.rollout.plan import Change, Plan, PlanError, Version
-from brackenloft.rollout.ways import RefusedError, Way
+from quota_gateway.rollout.admin_clients import AwayError, Doors
+from quota_gateway.rollout.change_strategy import RefusedError, Way
+from quota_gateway.rollout.journal import State
+from quota_gateway.rollout.launcher import last_line
+from quota_gateway.rollout.plan import Change, Plan, PlanError, Version
 
-LAUNCH = (sys.executable, "-m", "brackenloft.rollout.launch")
+LAUNCH = (sys.executable, "-m", "quota_gateway.rollout.launcher")
 PLACE = ("--door", "{door}", "--tmp", "{tmp}", "--token", "{token}")
 START = (*LAUNCH, "start", *PLACE, "--name", "{name}", "--folder", "{folder}", "--command", "{command}",
          "--config", "{config}")
--- a/brackenloft/settings.py
+++ b/quota_gateway/settings_reader.py
@@ -7,8 +7,8 @@
 
 from typing import Any
 
-from brackenloft import interface as api
-from brackenloft.reader import ConfigError, Found, Node
+from quota_gateway import api
+from quota_gateway.config_reader import ConfigError, Found, Node
 
 Fields = dict[str, Any]
 
--- a/brackenloft/lab/__main__.py
+++ b/quota_gateway/simulation/__main__.py
@@ -1,4 +1,4 @@
-"""The command: ``python -m brackenloft.lab run WORLD.toml``; see ``--help``."""
+"""The command: ``python -m quota_gateway.simulation run WORLD.toml``; see ``--help``."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from rich.progress import track
 from rich.table import Table
 
-from brackenloft import Gateway
-from brackenloft.lab.baselines import BASELINES
-from brackenloft.lab.day import Day, Result
-from brackenloft.lab.world import World, WorldError, load
+from quota_gateway import Gateway
+from quota_gateway.simulation.baselines import BASELINES
+from quota_gateway.simulation.day import Day, Result
+from quota_gateway.simulation.world import World, WorldError, load
 
 
 def play(world: World, seed: int, policy: str) -> Result:
--- a/brackenloft/lab/baselines.py
+++ b/quota_gateway/simulation/baselines.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from brackenloft import interface as api
+from quota_gateway import api
 
 MARGIN = 5.0  # ms before the deadline at which a request still out is answered as failed
 
--- a/brackenloft/lab/day.py
+++ b/quota_gateway/simulation/day.py
@@ -12,12 +12,11 @@
 import msgspec
 import numpy as np
 
-from brackenloft import Gateway
-from brackenloft import interface as api
-from brackenloft.adapter import Handles
-from brackenloft.lab.models import Clock, Job, Meter, Server, Store
-from brackenloft.lab.referee import Ledger, Referee, Try
-from brackenloft.lab.world import Kind, Tariff, Trouble, World
+from quota_gateway import Gateway, api
+from quota_gateway.simulation.models import Clock, Job, Meter, Server, Store
+from quota_gateway.simulation.referee import Ledger, Referee, Try
+from quota_gateway.simulation.world import Kind, Tariff, Trouble, World
+from quota_gateway.simulator_adapter import Handles
 
 NOTICED = 1000.0  # ms after which the front sends nobody to a dead gateway
 RECONNECT = 5.0  # ms that a client takes to try the next gateway when one is dead
--- a/brackenloft/lab/models.py
+++ b/quota_gateway/simulation/models.py
@@ -11,8 +11,8 @@
 from itertools import count
 from typing import Any, Protocol
 
-from brackenloft import interface as api
-from brackenloft.lab.world import Machines, Tariff
+from quota_gateway import api
+from quota_gateway.simulation.world import Machines, Tariff
 
 Answer = Callable[[api.Status], None]
 
--- a/brackenloft/lab/referee.py
+++ b/quota_gateway/simulation/referee.py
@@ -5,9 +5,9 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 
-from brackenloft import interface as api
-from brackenloft.lab.models import Server, Store
-from brackenloft.lab.world import DRAIN_GRACE, SLACK, World
+from quota_gateway import api
+from quota_gateway.simulation.models import Server, Store
+from quota_gateway.simulation.world import DRAIN_GRACE, SLACK, World
 
 MOST_TOLD = 20  # breaches that are told in words; all are counted
 NEVER_RAN = (api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.NOT_SENT)
--- a/brackenloft/lab/world.py
+++ b/quota_gateway/simulation/world.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from brackenloft import interface as api
+from quota_gateway import api
 
 Above = Annotated[float, Meta(gt=0)]
 Amount = Annotated[float, Meta(ge=0)]
--- a/brackenloft/adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from typing import Any, Protocol, TextIO
 
-from brackenloft import interface as api
-from brackenloft.policy.gateway import Gateway
-from brackenloft.settings import Fields, settings_from
+from quota_gateway import api
+from quota_gateway.policy.gateway import Gateway
+from quota_gateway.settings_reader import Fields, settings_from
 
 STATUS = {
     200: api.Status.OK, 500: api.Status.ERROR, 503: api.Status.FULL, 504: api.Status.TIMEOUT,
@@ -191,7 +191,7 @@
     try:
         serve(sys.stdin, sys.stdout, make)
     except WireError as error:
-        print(f"brackenloft adapter: {error}", file=sys.stderr)
+        print(f"quota_gateway adapter: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/brackenloft/tables/context.py
+++ b/quota_gateway/state/context.py
@@ -7,8 +7,8 @@
 from random import Random
 from typing import Any
 
-from brackenloft.interface import Action, Log, SetTimer, Settings, TimerFired
-from brackenloft.tables.decay import Decay
+from quota_gateway.api import Action, Log, SetTimer, Settings, TimerFired
+from quota_gateway.state.decay import Decay
 
 MOST_LOGGED = 100  # lines that are told once, of each gateway
 
--- a/brackenloft/tables/decay.py
+++ b/quota_gateway/state/decay.py
@@ -4,7 +4,7 @@
 
 from math import exp, inf
 
-from brackenloft.tables.rows import Moment
+from quota_gateway.state.rows import Moment
 
 
 class Decay:
--- a/brackenloft/tables/fleet.py
+++ b/quota_gateway/state/endpoints.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import Any
 
-from brackenloft.interface import ListKind, ServerEntry, ServerList, ServerState
-from brackenloft.tables.rows import Server
+from quota_gateway.api import ListKind, ServerEntry, ServerList, ServerState
+from quota_gateway.state.rows import Server
 
 Group = tuple[()] | tuple[str] | tuple[str, int]  # all servers, those of a zone, of a cell in a zone
 
--- a/brackenloft/tables/estimates.py
+++ b/quota_gateway/state/estimates.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Iterable, Mapping, Sequence
 
-from brackenloft.interface import Linked, ProbeResult
-from brackenloft.tables.context import Context
-from brackenloft.tables.decay import Decay
-from brackenloft.tables.fleet import Fleet
-from brackenloft.tables.rows import NEVER, Mark, Server, keys
+from quota_gateway.api import Linked, ProbeResult
+from quota_gateway.state.context import Context
+from quota_gateway.state.decay import Decay
+from quota_gateway.state.endpoints import Fleet
+from quota_gateway.state.rows import NEVER, Mark, Server, keys
 
 
 class Shares:
--- a/brackenloft/tables/hand.py
+++ b/quota_gateway/state/in_flight.py
@@ -4,8 +4,8 @@
 
 from math import inf
 
-from brackenloft.interface import Outcome
-from brackenloft.tables.rows import Customer, Flight, Key, Server
+from quota_gateway.api import Outcome
+from quota_gateway.state.rows import Customer, Flight, Key, Server
 
 
 class Hand:
--- a/brackenloft/tables/rows.py
+++ b/quota_gateway/state/rows.py
@@ -8,7 +8,7 @@
 
 from math import inf
 
-from brackenloft.interface import Plan, Request, RequestClass, ServerEntry, ServerState
+from quota_gateway.api import Plan, Request, RequestClass, ServerEntry, ServerState
 
 Moment = tuple[float, int]  # the time in milliseconds, and how many attempts had been sent from here
 Mark = tuple[float, float, Moment]  # failures and all outcomes, both faded, and when they were noted
--- a/brackenloft/tables/epochs.py
+++ b/quota_gateway/state/settings_epochs.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from brackenloft.interface import Plan
-from brackenloft.tables.rows import Key
+from quota_gateway.api import Plan
+from quota_gateway.state.rows import Key
 
 
 @dataclass(frozen=True, slots=True)
--- a/brackenloft/tables/views.py
+++ b/quota_gateway/state/views.py
@@ -5,7 +5,7 @@
 from operator import attrgetter
 from typing import Any
 
-from brackenloft.interface import Plan
+from quota_gateway.api import Plan
 
 
 def _alias(path: str) -> Any:
--- a/brackenloft/state.py
+++ b/quota_gateway/state_document.py
@@ -15,8 +15,8 @@
 from math import isnan
 from typing import Any
 
-from brackenloft.policy.gateway import Gateway
-from brackenloft.tables.rows import Customer, Key, Mark, Moment, Server
+from quota_gateway.policy.gateway import Gateway
+from quota_gateway.state.rows import Customer, Key, Mark, Moment, Server
 
 MOST_CUSTOMERS = 20_000  # of a document, the last touched: some 4 MB
 FIGURES = ("excess", "touched", "largest", "width", "used", "used_at", "ceiling", "ceiling_at", "asked",
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brackenloft import (
+from quota_gateway import (
     Contract,
     Effect,
     Fail,
@@ -27,7 +27,7 @@
     Status,
     TimerFired,
 )
-from brackenloft.net import servers
+from quota_gateway.net import servers
 
 CLASSES = (
     RequestClass("safe", 2000.0, 4000.0, Effect.SAFE, worth=1.0),
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -13,7 +13,7 @@
 import hiredis
 import uvloop
 
-from brackenloft import (
+from quota_gateway import (
     Contract,
     Effect,
     Gateway,
@@ -26,9 +26,9 @@
     ServerList,
     Settings,
 )
-from brackenloft.net.clients import Clients
-from brackenloft.net.driver import Clock, Driver
-from brackenloft.net.servers import Servers
+from quota_gateway.net.clients import Clients
+from quota_gateway.net.driver import Clock, Driver
+from quota_gateway.net.servers import Servers
 
 LIMIT_S = 60.0  # generous: a test that takes so long hangs
 SETTINGS = Settings(
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -6,7 +6,7 @@
 import pytest
 from fakes import run
 
-from brackenloft.net import admin
+from quota_gateway.net import admin
 
 
 class Caller:
--- a/tests/test_by_hand.py
+++ b/tests/test_admin_down.py
@@ -7,7 +7,7 @@
 from conftest import Rig, entry, rig_with
 from fakes import FakeServer, array, call, node, resp, run
 
-from brackenloft import (
+from quota_gateway import (
     Admit,
     Drain,
     Limits,
@@ -19,7 +19,7 @@
     SetUsable,
     Status,
 )
-from brackenloft.policy.drain import MOST_OUT
+from quota_gateway.policy.graceful_shutdown import MOST_OUT
 
 
 def used(rig: Rig, count: int = 60) -> set[int]:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 from test_adapter import ENV
 
-from brackenloft import __main__ as program
-from brackenloft import config as module
-from brackenloft.config import read, read_file
-from brackenloft.reader import ConfigError, parse
-from brackenloft.settings import settings_from
+from quota_gateway import __main__ as program
+from quota_gateway import config as module
+from quota_gateway.config import read, read_file
+from quota_gateway.config_reader import ConfigError, parse
+from quota_gateway.settings_reader import settings_from
 
 GOOD = {
     "name": "n0", "listen": "127.0.0.1:6379", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
--- a/tests/test_links.py
+++ b/tests/test_connection_news.py
@@ -6,10 +6,10 @@
 from conftest import SETTINGS, Rig, entry
 from fakes import FakeServer, array, call, node, run, until
 
-from brackenloft import CloseIdle, Linked, ServerByHand, Status
-from brackenloft.net import servers as module
-from brackenloft.net.discovery import Roster
-from brackenloft.net.operators import Operators
+from quota_gateway import CloseIdle, Linked, ServerByHand, Status
+from quota_gateway.net import servers as module
+from quota_gateway.net.admin_commands import Operators
+from quota_gateway.net.discovery import Roster
 
 
 def a_rig(price: float, count: int = 6) -> Rig:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,9 +9,9 @@
 import pytest
 from fakes import SETTINGS, FakeServer, Raw, array, call, node, resp, run, until
 
-from brackenloft import Admit, Plan
-from brackenloft.net import clients as module
-from brackenloft.net.clients import MOST_PIPELINED
+from quota_gateway import Admit, Plan
+from quota_gateway.net import clients as module
+from quota_gateway.net.clients import MOST_PIPELINED
 
 BUSY = b"-ERR max number of clients reached\r\n"
 
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -9,8 +9,8 @@
 from test_net_driver import Script, scripted
 from test_net_servers import Ends
 
-from brackenloft import Effect, KeyScope, Limits, ListKind, Send, ServerState, Status
-from brackenloft.net import servers as module
+from quota_gateway import Effect, KeyScope, Limits, ListKind, Send, ServerState, Status
+from quota_gateway.net import servers as module
 
 KINDS = ["read", "post", "buy"]
 FREE = Limits(max_attempts=3, can_cancel=True, connect_timeout_ms=60_000.0)
--- a/tests/test_herd.py
+++ b/tests/test_discovery_herd.py
@@ -6,8 +6,8 @@
 from fakes import SETTINGS as NET_SETTINGS
 from fakes import node, run
 
-from brackenloft import DiscoveryMode, Limits, ListKind
-from brackenloft.net.discovery import BACKOFF_S, SHARED_S, Discovery
+from quota_gateway import DiscoveryMode, Limits, ListKind
+from quota_gateway.net.discovery import BACKOFF_S, SHARED_S, Discovery
 
 GATEWAYS, SERVERS = 14, 24
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -5,7 +5,7 @@
 import pytest
 from conftest import SETTINGS, Rig, entry
 
-from brackenloft import ListKind, Outcome, Request, Status
+from quota_gateway import ListKind, Outcome, Request, Status
 
 
 def play(rig: Rig, width: int, count: int = 40) -> None:
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -6,7 +6,7 @@
 import pytest
 from conftest import SETTINGS, Rig, entry, rig_with
 
-from brackenloft import DiscoveryMode, ListKind, Plan, Settings, Subscribe
+from quota_gateway import DiscoveryMode, ListKind, Plan, Settings, Subscribe
 
 README = Path(__file__).parent.parent / "README.md"
 
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -7,10 +7,10 @@
 from conftest import Rig, entry, rig_with
 from fakes import FakeServer, call, node, resp, run, until
 
-from brackenloft import Limits, Outcome, Status, StreamStarted
-from brackenloft.net import clients as clients_module
-from brackenloft.net import servers as servers_module
-from brackenloft.net.lengths import LONG, LONGEST_VALUE, long_value
+from quota_gateway import Limits, Outcome, Status, StreamStarted
+from quota_gateway.net import clients as clients_module
+from quota_gateway.net import servers as servers_module
+from quota_gateway.net.declared_lengths import LONG, LONGEST_VALUE, long_value
 
 LENGTH = 3 * 1024 * 1024
 VALUE = bytes(range(256)) * (LENGTH // 256)
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -6,9 +6,9 @@
 import pytest
 from fakes import FakeServer, array, call, node, resp, run, until
 
-from brackenloft.net import clients as module
-from brackenloft.net.clients import LONGEST_COMMAND, LONGEST_WORD, MOST_PIPELINED
-from brackenloft.net.lengths import Lengths
+from quota_gateway.net import clients as module
+from quota_gateway.net.clients import LONGEST_COMMAND, LONGEST_WORD, MOST_PIPELINED
+from quota_gateway.net.declared_lengths import Lengths
 
 GOOD = "c=read,t=free,d=4000,units=1,spread=2,first=0"
 WHO, ID = "00000000b4d65521", "00000000000000aa"
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -7,9 +7,9 @@
 import pytest
 from fakes import FakeDiscovery, chunk, listing, row, run, until
 
-from brackenloft import DiscoveryMode, ListKind, ServerState
-from brackenloft.net import discovery as module
-from brackenloft.net.discovery import Discovery
+from quota_gateway import DiscoveryMode, ListKind, ServerState
+from quota_gateway.net import discovery as module
+from quota_gateway.net.discovery import Discovery
 
 
 @asynccontextmanager
--- a/tests/test_net_driver.py
+++ b/tests/test_net_driver.py
@@ -5,7 +5,7 @@
 
 from fakes import FakeServer, array, call, node, run, until
 
-from brackenloft import (
+from quota_gateway import (
     Cancel,
     ClientGone,
     Fail,
@@ -20,7 +20,7 @@
     Status,
     TimerFired,
 )
-from brackenloft.net.driver import Call, Clock, Driver
+from quota_gateway.net.driver import Call, Clock, Driver
 
 
 class Script:
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -31,7 +31,7 @@
 )
 from test_adapter import ENV
 
-from brackenloft import __main__ as program_module
+from quota_gateway import __main__ as program_module
 
 ROOT = Path(__file__).parent.parent
 RUN = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
--- a/tests/test_net_servers.py
+++ b/tests/test_net_servers.py
@@ -7,10 +7,10 @@
 import pytest
 from fakes import FakeServer, array, call, node, resp, run, until
 
-from brackenloft import Limits, ListKind, ServerEntry, ServerState, Status
-from brackenloft.net import servers as module
-from brackenloft.net.lengths import Lengths
-from brackenloft.net.servers import Attempt, Readings, Reply
+from quota_gateway import Limits, ListKind, ServerEntry, ServerState, Status
+from quota_gateway.net import servers as module
+from quota_gateway.net.declared_lengths import Lengths
+from quota_gateway.net.servers import Attempt, Readings, Reply
 
 COMMAND = resp("CALL.GET", "00000000b4d65521", "00000000000000aa", "c=read,t=free,d=10")
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brackenloft import ClientGone, Effect, ListKind, NewSettings, Outcome, ServerState, Status
+from quota_gateway import ClientGone, Effect, ListKind, NewSettings, Outcome, ServerState, Status
 
 NAMES = [item.name for item in SETTINGS.classes]
 MAYBE = {Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED}
--- a/tests/test_meter.py
+++ b/tests/test_quota_meter.py
@@ -5,7 +5,7 @@
 import pytest
 from conftest import SETTINGS, Rig, entry, rig_with
 
-from brackenloft import ClientGone, Limits, Plan, Refuse, Request, Status
+from quota_gateway import ClientGone, Limits, Plan, Refuse, Request, Status
 
 
 @pytest.fixture
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from brackenloft.recording import __main__ as command
-from brackenloft.recording.codec import HEAD, Recorder, RecordingError, play
-from brackenloft.recording.drive import drive
+from quota_gateway.recording import __main__ as command
+from quota_gateway.recording.codec import HEAD, Recorder, RecordingError, play
+from quota_gateway.recording.random_driver import drive
 
 SMALL = Path(__file__).parent / "recordings" / "small.jsonl"  # made by README's command
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -14,13 +14,13 @@
 from fakes import FakeServer, array, call, node, resp, run, until
 from test_config import GOOD
 
-from brackenloft import Drain
-from brackenloft.config import read, read_file
-from brackenloft.net import admin
-from brackenloft.net import reload as module
-from brackenloft.net.discovery import Discovery
-from brackenloft.net.reload import Reload
-from brackenloft.settings import settings_from
+from quota_gateway import Drain
+from quota_gateway.config import read, read_file
+from quota_gateway.net import admin
+from quota_gateway.net import reload as module
+from quota_gateway.net.discovery import Discovery
+from quota_gateway.net.reload import Reload
+from quota_gateway.settings_reader import settings_from
 
 SERVICE = {**GOOD["settings"]["services"][0], "name": "read", "slo_ms": 2000.0, "hard_limit_ms": 4000.0}
 PLAN = {**GOOD["settings"]["tariffs"][0], "name": "free", "refill": 0.0, "most_at_once": 0.0}
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,7 @@
 import pytest
 from conftest import SETTINGS, Rig, entry, rig_with
 
-from brackenloft import Limits, ListKind, Log, ServerState, Status
+from quota_gateway import Limits, ListKind, Log, ServerState, Status
 
 RAN_NOT = [Status.FULL, Status.CONNECT_FAILED]
 MAY_HAVE_RUN = [Status.ERROR, Status.TIMEOUT, Status.RESET]
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -2,7 +2,7 @@
 
 from conftest import Rig, entry, rig_with
 
-from brackenloft import Limits, Log, Plan, Refuse, Stopping
+from quota_gateway import Limits, Log, Plan, Refuse, Stopping
 
 
 def test_all_in_hand_and_all_that_comes_is_answered_before_the_end(rig):
