--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -136,7 +136,8 @@
             clients.ready = True
 
     discovery = Discovery(
-        config.discovery, news, config.seed, config.settings.gateways, config.settings.discovery)
+        config.discovery, news, config.seed, config.settings.gateways, config.settings.discovery
+    )
     who = {"name": config.name, "listen": f"{config.listen[0]}:{config.listen[1]}"}
     survivor = _survivor(clients)
     # Under a keeper the next process stands by already: it must not take over from one that serves.
@@ -196,11 +197,15 @@
     if not path:
         return None
     from quota_gateway.failover.gateway import Survivor
+
     return Survivor(path, clients)
 
 
 async def _leave(
-    settings: api.Settings, driver: Driver, clients: Clients, handover: Handover | None = None,
+    settings: api.Settings,
+    driver: Driver,
+    clients: Clients,
+    handover: Handover | None = None,
 ) -> None:
     """Serve on until shortly before the end, answer all that was taken, close; all before SIGKILL.
 
@@ -260,7 +265,8 @@
         return _check(arguments[1])
     hang_up = HangUp()
     logging.basicConfig(
-        stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s %(message)s")
+        stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s %(message)s"
+    )
     for handler in logging.getLogger().handlers:
         handler.addFilter(Sparing())
     config = _load(os.environ)
--- a/quota_gateway/api/actions.py
+++ b/quota_gateway/api/actions.py
@@ -111,6 +111,19 @@
 
 
 Action = (
-    Send | Refuse | Fail | Cancel | SetTimer | Log | Subscribe | FetchList | Probe | CloseIdle
-    | TellPeer | CounterAdd | SetUsable | Admit | Elsewhere
+    Send
+    | Refuse
+    | Fail
+    | Cancel
+    | SetTimer
+    | Log
+    | Subscribe
+    | FetchList
+    | Probe
+    | CloseIdle
+    | TellPeer
+    | CounterAdd
+    | SetUsable
+    | Admit
+    | Elsewhere
 )
--- a/quota_gateway/api/events.py
+++ b/quota_gateway/api/events.py
@@ -170,7 +170,21 @@
 
 
 Event = (
-    ServerList | Request | Outcome | StreamStarted | ClientGone | TimerFired
-    | ProbeResult | PeerMessage | CounterReply | Stopping | ServerByHand | Drain
-    | HandOver | Elsewhere | OtherGone | NewSettings | Linked
+    ServerList
+    | Request
+    | Outcome
+    | StreamStarted
+    | ClientGone
+    | TimerFired
+    | ProbeResult
+    | PeerMessage
+    | CounterReply
+    | Stopping
+    | ServerByHand
+    | Drain
+    | HandOver
+    | Elsewhere
+    | OtherGone
+    | NewSettings
+    | Linked
 )
--- a/quota_gateway/api/settings.py
+++ b/quota_gateway/api/settings.py
@@ -134,8 +134,16 @@
 
     def __post_init__(self) -> None:
         check(self, 1, "gateways")
-        check(self, 0.0, "index", "meter_period_ms", "counter_timeout_ms", "tick_ms", "cross_zone_price",
-               "handshake_price")
+        check(
+            self,
+            0.0,
+            "index",
+            "meter_period_ms",
+            "counter_timeout_ms",
+            "tick_ms",
+            "cross_zone_price",
+            "handshake_price",
+        )
         refuse_if(self.index >= self.gateways, self, "index", "is not below the number of gateways")
         check(self, 0.0, "largest_units")
         refuse_if(self.largest_units <= 0, self, "largest_units", "is nothing")
--- a/quota_gateway/config.py
+++ b/quota_gateway/config.py
@@ -44,13 +44,20 @@
     def changes(self, before: Config) -> list[str]:
         """What differs, each with its old and its new value."""
         paths = sorted(self.values.keys() | before.values.keys())
-        return [f"{path} {_shown(before, path)} -> {_shown(self, path)}" for path in paths
-                if self.values.get(path) != before.values.get(path)]
+        return [
+            f"{path} {_shown(before, path)} -> {_shown(self, path)}"
+            for path in paths
+            if self.values.get(path) != before.values.get(path)
+        ]
 
     def unchangeable(self, before: Config) -> list[str]:
         """The faults of a reload that would change what can't change while the process runs."""
-        return [f"{name}: {show(self.fixed[name])}, want {show(before.fixed[name])}: it can't change in a "
-                "running process" for name in FIXED if self.fixed[name] != before.fixed[name]]
+        return [
+            f"{name}: {show(self.fixed[name])}, want {show(before.fixed[name])}: it can't change in a "
+            "running process"
+            for name in FIXED
+            if self.fixed[name] != before.fixed[name]
+        ]
 
 
 def _shown(config: Config, path: str) -> str:
@@ -118,10 +125,18 @@
     values["discovery"] = f"{discovery[0]}:{discovery[1]}"
     values["admin"] = f"{door[0]}:{door[1]}" if door else "none"
     return Config(
-        name=environment.get("EDGE_NAME") or name, listen=listen, discovery=discovery, admin=door,
-        seed=int(seed, 16), descriptors=descriptors, known=known,
-        settings=build_settings(fields), digest=hashlib.sha256(raw).hexdigest()[:12],
-        fixed=MappingProxyType(fixed), values=MappingProxyType(values), unknown=tuple(found.unknown),
+        name=environment.get("EDGE_NAME") or name,
+        listen=listen,
+        discovery=discovery,
+        admin=door,
+        seed=int(seed, 16),
+        descriptors=descriptors,
+        known=known,
+        settings=build_settings(fields),
+        digest=hashlib.sha256(raw).hexdigest()[:12],
+        fixed=MappingProxyType(fixed),
+        values=MappingProxyType(values),
+        unknown=tuple(found.unknown),
     )
 
 
--- a/quota_gateway/config_reader.py
+++ b/quota_gateway/config_reader.py
@@ -147,8 +147,14 @@
         if self.whole_table:
             self.found.fault(join(self.path, name), value, want)
 
-    def number(self, name: str, low: float = 0.0, high: float = HIGHEST, above: bool = False,
-               default: object = MISSING) -> float:
+    def number(
+        self,
+        name: str,
+        low: float = 0.0,
+        high: float = HIGHEST,
+        above: bool = False,
+        default: object = MISSING,
+    ) -> float:
         """A number within bounds."""
         value = self.raw(name, default)
         plain = isinstance(value, (int, float)) and not isinstance(value, bool)
--- a/quota_gateway/failover/__main__.py
+++ b/quota_gateway/failover/__main__.py
@@ -41,8 +41,13 @@
         result = explore(fault, deaths, standbys)
         good &= (result.broken is None) == (fault == "")
         found = result.broken.rule if result.broken else "nothing"
-        table.add_row(FAULTS.get(fault, "none"), f"{result.states:,}", str(result.depth),
-                      f"{time.monotonic() - begun:.1f}", found)
+        table.add_row(
+            FAULTS.get(fault, "none"),
+            f"{result.states:,}",
+            str(result.depth),
+            f"{time.monotonic() - begun:.1f}",
+            found,
+        )
         if way and result.broken:
             out.print(f"{FAULTS.get(fault, 'none')}: " + "; ".join(result.broken.way))
     out.print(table)
--- a/quota_gateway/failover/connection_record.py
+++ b/quota_gateway/failover/connection_record.py
@@ -49,7 +49,7 @@
             number, length, checksum = HALF.unpack_from(self.memory, place)
             if not number or length > self.room or self._place(number) != place:
                 continue
-            body = bytes(self.memory[place + HALF.size:place + HALF.size + length])
+            body = bytes(self.memory[place + HALF.size : place + HALF.size + length])
             if checksum == _checksum(number, body):
                 yield number, body
 
@@ -61,8 +61,10 @@
         """Put it in place of what is there. The half that holds is not touched."""
         self.number += 1
         place = self._place(self.number)
-        self.memory[place + HALF.size:place + HALF.size + len(body)] = body
-        self.memory[place:place + HALF.size] = HALF.pack(self.number, len(body), _checksum(self.number, body))
+        self.memory[place + HALF.size : place + HALF.size + len(body)] = body
+        self.memory[place : place + HALF.size] = HALF.pack(
+            self.number, len(body), _checksum(self.number, body)
+        )
 
 
 def _checksum(number: int, body: bytes) -> int:
@@ -91,7 +93,7 @@
             raise RecordError(f"{rows} rows of {room} bytes")
         os.ftruncate(file, size(rows, room))
         memory = mmap.mmap(file, size(rows, room))
-        memory[:HEAD.size] = HEAD.pack(MAGIC, VERSION, rows, room)
+        memory[: HEAD.size] = HEAD.pack(MAGIC, VERSION, rows, room)
         return cls(file, memory)
 
     @classmethod
--- a/quota_gateway/failover/gateway.py
+++ b/quota_gateway/failover/gateway.py
@@ -149,8 +149,11 @@
             else:
                 sock.close()
         if followed.connections:
-            log.info("gone on from a process that died: %d connections at rest, %d with work in hand closed",
-                     kept, len(followed.connections) - kept)
+            log.info(
+                "gone on from a process that died: %d connections at rest, %d with work in hand closed",
+                kept,
+                len(followed.connections) - kept,
+            )
         self.followed = Followed()
         self._tell_all()
 
@@ -186,8 +189,9 @@
         base = self.bases.get(client)
         if base:
             number, row, came, went = base
-            self.record.change(row, ROW.pack(
-                number, came + client.read_bytes, went + client.written_bytes, client.asked))
+            self.record.change(
+                row, ROW.pack(number, came + client.read_bytes, went + client.written_bytes, client.asked)
+            )
 
     def _closed(self, client: Client) -> None:
         base = self.bases.pop(client, None)
--- a/quota_gateway/failover/model.py
+++ b/quota_gateway/failover/model.py
@@ -114,8 +114,10 @@
         if world.keeper:
             yield from self._keep(world)
             if world.deaths < self.deaths:
-                yield "the keeper dies", structs.replace(
-                    world, keeper=False, told=frozenset(), deaths=world.deaths + 1)
+                yield (
+                    "the keeper dies",
+                    structs.replace(world, keeper=False, told=frozenset(), deaths=world.deaths + 1),
+                )
         else:
             yield "a keeper starts", structs.replace(world, keeper=True)
         if world.open:
@@ -168,8 +170,10 @@
             if actor.read > coming:
                 yield f"writes down {coming}", self._note(world, number, coming, TAKEN, 0)
             elif world.read <= coming:
-                yield f"reads {coming}", structs.replace(
-                    self._with(world, number, read=coming + 1), read=coming + 1)
+                yield (
+                    f"reads {coming}",
+                    structs.replace(self._with(world, number, read=coming + 1), read=coming + 1),
+                )
         if state == NONE:
             return
         if state == READY:
@@ -177,8 +181,14 @@
         else:
             yield self._attempt(world, number, actor, request, state)
 
-    def _attempt(self, world: World, number: int, actor: Actor, request: int, state: int,
-                 ) -> tuple[str, World]:
+    def _attempt(
+        self,
+        world: World,
+        number: int,
+        actor: Actor,
+        request: int,
+        state: int,
+    ) -> tuple[str, World]:
         if actor.step == 0:
             if state == SENT and UNSAFE[request]:
                 return f"gives {request} up", self._answer(world, number, request, FAILED)
@@ -199,21 +209,32 @@
             return self._with(world, number, step=3, view=view)
         return self._note(world, number, request, READY, origin, step=3)
 
-    def _deliver(self, world: World, number: int, actor: Actor, request: int, origin: int,
-                 ) -> tuple[str, World]:
+    def _deliver(
+        self,
+        world: World,
+        number: int,
+        actor: Actor,
+        request: int,
+        origin: int,
+    ) -> tuple[str, World]:
         part = actor.out - HALVES * request
         if part < HALVES:
             return f"writes part {part} of {request}", structs.replace(
-                self._with(world, number, out=actor.out + 1),
-                stream=(*world.stream, (request, part, origin)))
+                self._with(world, number, out=actor.out + 1), stream=(*world.stream, (request, part, origin))
+            )
         if world.record[request] != actor.view[request] and self.fault == "no count":
             return f"marks {request} answered", self._note(world, number, request, READY, origin)
         return f"is done with {request}", self._with(world, number, request=request + 1, step=0)
 
     # ---- Changes
 
-    def _put(self, rows: tuple[tuple[int, int], ...], request: int, state: int, origin: int,
-             ) -> tuple[tuple[int, int], ...]:
+    def _put(
+        self,
+        rows: tuple[tuple[int, int], ...],
+        request: int,
+        state: int,
+        origin: int,
+    ) -> tuple[tuple[int, int], ...]:
         return tuple((state, origin) if place == request else row for place, row in enumerate(rows))
 
     def _note(self, world: World, number: int, request: int, state: int, origin: int, **more: int) -> World:
@@ -224,8 +245,10 @@
 
     def _with(self, world: World, number: int, **more: Any) -> World:
         outer = {name: more.pop(name) for name in ("deaths", "stops") if name in more}
-        actors = tuple(structs.replace(actor, **more) if place == number else actor
-                       for place, actor in enumerate(world.actors))
+        actors = tuple(
+            structs.replace(actor, **more) if place == number else actor
+            for place, actor in enumerate(world.actors)
+        )
         return structs.replace(world, actors=actors, **outer)
 
     # ---- Guarantees
--- a/quota_gateway/failover/supervisor.py
+++ b/quota_gateway/failover/supervisor.py
@@ -134,8 +134,13 @@
 
     async def _start(self) -> None:
         child = await asyncio.create_subprocess_exec(
-            "/bin/sh", "-c", self.job.command, cwd=self.job.folder, start_new_session=True,
-            env={**os.environ, "EDGE_KEEPER": self.socket})
+            "/bin/sh",
+            "-c",
+            self.job.command,
+            cwd=self.job.folder,
+            start_new_session=True,
+            env={**os.environ, "EDGE_KEEPER": self.socket},
+        )
         self.children[child.pid] = child
         task = self.loop.create_task(self._reap(child))
         self.tasks.add(task)
@@ -218,8 +223,17 @@
         if peer.link not in self.peers:
             return
         self._forget(peer)
-        log.info("%s", json.dumps({"event": "died", "pid": peer.link.other.pid, "serving": peer.serving,
-                                   "connections": len(peer.connections)}))
+        log.info(
+            "%s",
+            json.dumps(
+                {
+                    "event": "died",
+                    "pid": peer.link.other.pid,
+                    "serving": peer.serving,
+                    "connections": len(peer.connections),
+                }
+            ),
+        )
         if not peer.serving or self.ending.is_set() or self.left:
             peer.let_go()
         else:
--- a/quota_gateway/fault_bench/__main__.py
+++ b/quota_gateway/fault_bench/__main__.py
@@ -40,8 +40,9 @@
     rollouts: dict[str, str]  # what became of each
 
 
-async def play(scenario: Scenario, folder: Path, seed: int, program: Program, following: Program,
-               progress: Progress) -> Result:
+async def play(
+    scenario: Scenario, folder: Path, seed: int, program: Program, following: Program, progress: Progress
+) -> Result:
     """Start everything, run the timeline under load, judge. Raises RuntimeError, OSError, TimeoutError."""
     begun = progress.add_task("start", total=1)
     async with Rig(scenario, folder, seed, program) as rig:
@@ -64,10 +65,14 @@
         verdict = rig.verdict()
         latency = rig.clients.latency
         return Result(
-            verdict, {f"{q:g}%": latency.get_value_at_percentile(q) / 1000.0 for q in QUANTILES},
-            [*rig.sums(verdict), *timeline.missed], rig.clients.no_gateway,
-            sum(link.opened for name, link in rig.links.items() if ">s-" in name), rig.discovery.calls,
-            {name: became(timeline.rollouts.state(name)) for name in timeline.controllers})
+            verdict,
+            {f"{q:g}%": latency.get_value_at_percentile(q) / 1000.0 for q in QUANTILES},
+            [*rig.sums(verdict), *timeline.missed],
+            rig.clients.no_gateway,
+            sum(link.opened for name, link in rig.links.items() if ">s-" in name),
+            rig.discovery.calls,
+            {name: became(timeline.rollouts.state(name)) for name in timeline.controllers},
+        )
 
 
 def became(state: State) -> str:
@@ -88,10 +93,14 @@
     rows += Counter(verdict.outcomes).most_common()
     rows += [(f"excused by a fault: {name}", n) for name, n in sorted(verdict.excused.items())]
     rows += [(f"served within, {name}", f"{value:.1f} ms") for name, value in result.latency_ms.items()]
-    rows += [("attempts at servers", verdict.attempts), ("units beyond quotas", f"{verdict.beyond:g}"),
-             ("handshakes with servers", result.handshakes), ("calls of discovery", result.discovery_calls),
-             ("wishes that found no gateway", result.no_gateway),
-             ("the rig late by", f"{verdict.late_ms:.0f} ms")]
+    rows += [
+        ("attempts at servers", verdict.attempts),
+        ("units beyond quotas", f"{verdict.beyond:g}"),
+        ("handshakes with servers", result.handshakes),
+        ("calls of discovery", result.discovery_calls),
+        ("wishes that found no gateway", result.no_gateway),
+        ("the rig late by", f"{verdict.late_ms:.0f} ms"),
+    ]
     rows += [(f"rollout {name}", text) for name, text in result.rollouts.items()]
     rows += [(f"broken: {rule}", n) for rule, n in sorted(verdict.broken.items())]
     for name, value in rows:
@@ -110,11 +119,20 @@
 @click.option("--gateways", type=click.IntRange(1, 50), help="in place of the file's number")
 @click.option("--folder", type=click.Path(path_type=Path), help="keep history and logs in this new folder")
 @click.option("--program", type=click.Path(path_type=Path), default=".", help="a tree of this repository")
-@click.option("--next", "following", type=click.Path(path_type=Path, exists=True, file_okay=False),
-              help="another tree, for rollouts of the program; else this one from another folder")
+@click.option(
+    "--next",
+    "following",
+    type=click.Path(path_type=Path, exists=True, file_okay=False),
+    help="another tree, for rollouts of the program; else this one from another folder",
+)
 @click.option("--json", "as_json", is_flag=True, help="the result as JSON")
 def run(
-    file: Path, seed: int, gateways: int | None, folder: Path | None, program: Path, following: Path | None,
+    file: Path,
+    seed: int,
+    gateways: int | None,
+    folder: Path | None,
+    program: Path,
+    following: Path | None,
     as_json: bool,
 ) -> None:
     """Play a scenario. Exit code 0: all rules kept; 1: one was broken; 2: no rig, or not the play."""
@@ -123,8 +141,10 @@
         scenario = load(file, gateways)
         if folder and folder.exists():
             raise RuntimeError(f"{folder}: is there already")
-        with tempfile.TemporaryDirectory(prefix="rig-") as scratch, \
-                Progress(console=console, transient=True) as progress:
+        with (
+            tempfile.TemporaryDirectory(prefix="rig-") as scratch,
+            Progress(console=console, transient=True) as progress,
+        ):
             at = folder.resolve() if folder else Path(scratch)
             this = Program.of(program.resolve())
             next_one = Program.of(following.resolve()) if following else again(this, Path(scratch) / "next")
--- a/quota_gateway/fault_bench/bench.py
+++ b/quota_gateway/fault_bench/bench.py
@@ -45,7 +45,11 @@
     """``async with Rig(...)``: processes are started on entering, and ended on leaving."""
 
     def __init__(
-        self, scenario: Scenario, folder: Path, seed: int = 1, program: Program | None = None,
+        self,
+        scenario: Scenario,
+        folder: Path,
+        seed: int = 1,
+        program: Program | None = None,
     ) -> None:
         self.scenario, self.folder, self.seed = scenario, folder, seed
         self.program = program or Program.of(Path.cwd())
@@ -84,8 +88,13 @@
     async def _stand_ins(self) -> None:
         world = self.scenario.world
         meters, speeds = Meters(world, self.clock), self._draw(3)
-        self.discovery = Discovery(self.clock, self.history, world.list_late, self._draw(4),
-                                   lambda gateway, server: self.links[f"{gateway}>{server}"].at)
+        self.discovery = Discovery(
+            self.clock,
+            self.history,
+            world.list_late,
+            self._draw(4),
+            lambda gateway, server: self.links[f"{gateway}>{server}"].at,
+        )
         for number, name in enumerate(self.scenario.servers(), 1):
             machines = world.machines
             speed = float(speeds.uniform(machines.slowest, machines.fastest))
@@ -112,8 +121,9 @@
         """The history and discovery, of a server as it is now."""
         model = server.model
         state, started = model.entry.state.value, model.started
-        self.history.add(seen.ServerIs(
-            self.clock.now, server.name, model.entry.zone, state, started, model.speed))
+        self.history.add(
+            seen.ServerIs(self.clock.now, server.name, model.entry.zone, state, started, model.speed)
+        )
         self.discovery.set(server.name, model.entry, started)
 
     def mark(self, server: StandIn, state: api.ServerState) -> None:
@@ -129,23 +139,29 @@
             listen, doors = self._port(), [self._port(), self._port()]
             await self._link(f"clients>{name}", listen)
             link = await self._link(f"doors>{name}", doors[0])
-            places[name] = [await self._link(f"{way}>{name}", door)
-                            for way, door in zip(PLACES, doors, strict=True)]
+            places[name] = [
+                await self._link(f"{way}>{name}", door) for way, door in zip(PLACES, doors, strict=True)
+            ]
             host, port = self.links[f"{name}>discovery"].at
             document = {
-                "name": name, "listen": f"{listen[0]}:{listen[1]}", "discovery": f"{host}:{port}",
-                "admin": f"{doors[0][0]}:{doors[0][1]}", "seed": f"{self.seed * 1000 + number:016x}",
+                "name": name,
+                "listen": f"{listen[0]}:{listen[1]}",
+                "discovery": f"{host}:{port}",
+                "admin": f"{doors[0][0]}:{doors[0][1]}",
+                "seed": f"{self.seed * 1000 + number:016x}",
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
                 "known": self.discovery.document(name, list(self.servers), True),
                 "settings": settings_document(self.scenario.world.settings(number)),
             }
-            self.members[name] = Member(name, self.folder / name, document, doors, link, self.clock,
-                                        self.history, self.program)
+            self.members[name] = Member(
+                name, self.folder / name, document, doors, link, self.clock, self.history, self.program
+            )
         self.platform = Platform(self.members, places)
         await self.platform.listen((await self._link("controller>platform", self._port())).target)
         self.front = Front({name: self.links[f"clients>{name}"] for name in self.members}, self.clock)
         self.clients = Clients(
-            self.scenario, self.front.links, self.front, self.clock, self.history, self.seed)
+            self.scenario, self.front.links, self.front, self.clock, self.history, self.seed
+        )
         self.tasks.append(asyncio.get_running_loop().create_task(self._watch_loop()))
         processes = [await member.start() for member in self.members.values()]
         async with asyncio.timeout(READY_S):
@@ -188,8 +204,10 @@
         counted: dict[str, Any] = {name: n for name, n in self.clients.count.items() if name != "asked"}
         faults = []
         if self.clients.count["asked"] != verdict.asked or sum(counted.values()) != verdict.asked:
-            faults.append(f"asked {self.clients.count['asked']}, came to {sum(counted.values())}, "
-                          f"in the history {verdict.asked}")
+            faults.append(
+                f"asked {self.clients.count['asked']}, came to {sum(counted.values())}, "
+                f"in the history {verdict.asked}"
+            )
         if {name: n for name, n in verdict.outcomes.items() if n} != {k: n for k, n in counted.items() if n}:
             faults.append(f"clients counted {counted}, the history has {verdict.outcomes}")
         return faults
--- a/quota_gateway/fault_bench/history.py
+++ b/quota_gateway/fault_bench/history.py
@@ -125,7 +125,7 @@
     by: float
 
 
-Any = (Header | Asked | Resent | Answered | Extra | Arrived | Left | ServerIs | Told | Process | Act | Late)
+Any = Header | Asked | Resent | Answered | Extra | Arrived | Left | ServerIs | Told | Process | Act | Late
 
 
 class History:
--- a/quota_gateway/fault_bench/load.py
+++ b/quota_gateway/fault_bench/load.py
@@ -146,8 +146,15 @@
 class Clients:
     """Draws wishes and sees each of them through."""
 
-    def __init__(self, scenario: Scenario, links: dict[str, Link], front: Front, clock: Clock,
-                 history: seen.History, seed: int) -> None:
+    def __init__(
+        self,
+        scenario: Scenario,
+        links: dict[str, Link],
+        front: Front,
+        clock: Clock,
+        history: seen.History,
+        seed: int,
+    ) -> None:
         self.scenario, self.links, self.front, self.clock = scenario, links, front, clock
         self.history, self.world = history, scenario.world
         arrivals, self.chance = (np.random.default_rng([seed, stream]) for stream in (1, 2))
@@ -232,13 +239,19 @@
         up = up or [name for name in self.links if self.front.up(name)]  # the front moves on from its set
         return up[int(self.chance.integers(len(up)))] if up else None
 
-    async def _ask(self, wish: str, customer: Customer, kind: Kind, gateway: str, key: str,
-                   intended: float, again: bool) -> tuple[str, float]:
+    async def _ask(
+        self, wish: str, customer: Customer, kind: Kind, gateway: str, key: str, intended: float, again: bool
+    ) -> tuple[str, float]:
         """A try: what it came to, and in how many ms to come again."""
         self.numbers += 1
         request = f"{self.numbers:016x}"
-        fields = [f"c={kind.name}", f"t={customer.tariff.name}", "units=1",
-                  f"spread={min(customer.tariff.spread, self.world.gateways)}", f"first={customer.first}"]
+        fields = [
+            f"c={kind.name}",
+            f"t={customer.tariff.name}",
+            "units=1",
+            f"spread={min(customer.tariff.spread, self.world.gateways)}",
+            f"first={customer.first}",
+        ]
         fields += [f"k={key}"] * bool(key) + ["r=1"] * again
         deadline = self.clock.now + kind.deadline
 
@@ -248,8 +261,20 @@
             words = [customer.name, request, ",".join([*fields, f"d={left:.0f}"])]
             return encode(*(("CALL.GET", *words) if kind.effect == "safe" else ("CALL.POST", *words, "body")))
 
-        self.history.add(seen.Asked(self.clock.now, request, wish, gateway, kind.name, customer.tariff.name,
-                                    customer.name, intended, deadline, key))
+        self.history.add(
+            seen.Asked(
+                self.clock.now,
+                request,
+                wish,
+                gateway,
+                kind.name,
+                customer.tariff.name,
+                customer.name,
+                intended,
+                deadline,
+                key,
+            )
+        )
         self.count["asked"] += 1
         self.open[gateway] += 1
         how, advice_ms = "none", 0.0
@@ -267,7 +292,11 @@
         return how, advice_ms
 
     async def _exchange(
-        self, gateway: str, command: Callable[[], bytes], request: str, kind: Kind,
+        self,
+        gateway: str,
+        command: Callable[[], bytes],
+        request: str,
+        kind: Kind,
     ) -> tuple[str, float]:
         for turn in range(2):
             wire = await self._wire(gateway)
--- a/quota_gateway/fault_bench/platform.py
+++ b/quota_gateway/fault_bench/platform.py
@@ -1,7 +1,7 @@
 """The platform's stand-in: starts and ends members' processes when it is asked to, from outside the rig.
 
-It owes what ``quota_gateway.rollout.launcher`` does (one process a door, no older token), but its processes are
-the rig's, and end with it.
+It owes what ``quota_gateway.rollout.launcher`` does (one process an admin endpoint, no older token), but its
+processes are the fault bench's, and end with it.
 """
 
 from __future__ import annotations
--- a/quota_gateway/fault_bench/platform_client.py
+++ b/quota_gateway/fault_bench/platform_client.py
@@ -1,6 +1,7 @@
-"""A word to the rig's platform, from a rollout's plan: ``python -m quota_gateway.fault_bench.platform_client HOST:PORT start ...``.
+"""Calls the fault bench's platform stand-in from a rollout's plan.
 
-Exit code 0 and the answer, or 1. Loads nothing else of the rig: it is run once for each process it starts.
+``python -m quota_gateway.fault_bench.platform_client HOST:PORT start ...`` prints the answer and exits with
+0, or with 1. Loads nothing else of the fault bench: it is run once for each process it starts.
 """
 
 from __future__ import annotations
--- a/quota_gateway/fault_bench/processes.py
+++ b/quota_gateway/fault_bench/processes.py
@@ -20,8 +20,9 @@
 from quota_gateway.fault_bench.stand_ins import Clock
 
 # Ended by the kernel when the rig's main thread ends, however that is; not by its terminal.
-BOUND = ("import ctypes, os, sys; ctypes.CDLL(None).prctl(1, 9);"
-         "os.getppid() == int(sys.argv[1]) or os._exit(1);")
+BOUND = (
+    "import ctypes, os, sys; ctypes.CDLL(None).prctl(1, 9);os.getppid() == int(sys.argv[1]) or os._exit(1);"
+)
 LAUNCH = BOUND + "os.execv('/bin/sh', ['sh', '-c', sys.argv[2]])"
 SPIN = BOUND + "\nwhile True: pass"
 DOOR_S = 1.5  # for an answer at a door
@@ -90,8 +91,17 @@
 class Member:
     """A gateway: its addresses, its configuration file, the processes that are or were it."""
 
-    def __init__(self, name: str, folder: Path, document: dict[str, Any], doors: list[Address],
-                 link: Link, clock: Clock, history: seen.History, program: Program) -> None:
+    def __init__(
+        self,
+        name: str,
+        folder: Path,
+        document: dict[str, Any],
+        doors: list[Address],
+        link: Link,
+        clock: Clock,
+        history: seen.History,
+        program: Program,
+    ) -> None:
         self.name, self.folder, self.document, self.doors = name, folder, document, doors
         self.link = link  # of the operators' door, to whichever process is the newest
         self.clock, self.history, self.program = clock, history, program
@@ -124,13 +134,29 @@
         door = self.doors[self.started % len(self.doors) if place is None else place]
         self.started = self.doors.index(door) + 1
         program = program or self.program
-        environment = {**os.environ, "EDGE_CONFIG": str(self.config), "EDGE_NAME": self.name,
-                       "EDGE_ADMIN": f"{door[0]}:{door[1]}", "TMPDIR": str(self.tmp)}
+        environment = {
+            **os.environ,
+            "EDGE_CONFIG": str(self.config),
+            "EDGE_NAME": self.name,
+            "EDGE_ADMIN": f"{door[0]}:{door[1]}",
+            "TMPDIR": str(self.tmp),
+        }
         with (self.folder / "log").open("ab") as sink:
             child = await asyncio.create_subprocess_exec(
-                sys.executable, "-I", "-S", "-c", LAUNCH, str(os.getpid()), program.command,
-                cwd=program.folder, env=environment, stdin=asyncio.subprocess.DEVNULL, stdout=sink,
-                stderr=sink, start_new_session=True)
+                sys.executable,
+                "-I",
+                "-S",
+                "-c",
+                LAUNCH,
+                str(os.getpid()),
+                program.command,
+                cwd=program.folder,
+                env=environment,
+                stdin=asyncio.subprocess.DEVNULL,
+                stdout=sink,
+                stderr=sink,
+                start_new_session=True,
+            )
         process = Process(child, door)
         self.processes.append(process)
         self.link.target = door
@@ -208,7 +234,8 @@
                 self.pinned.append(process.pid)
         for _ in range(count):
             child = await asyncio.create_subprocess_exec(
-                sys.executable, "-I", "-S", "-c", SPIN, str(os.getpid()), start_new_session=True)
+                sys.executable, "-I", "-S", "-c", SPIN, str(os.getpid()), start_new_session=True
+            )
             with suppress(ProcessLookupError):
                 os.sched_setaffinity(child.pid, {core})
             self.children.append(child)
--- a/quota_gateway/fault_bench/referee.py
+++ b/quota_gateway/fault_bench/referee.py
@@ -23,10 +23,17 @@
 TOLD_MS = 6000.0  # what discovery has to tell counts as told by then, whether it arrived or not
 LOST, LATE = "lost", "late"
 EXCUSES: dict[str, frozenset[str]] = {  # on the gateway, or on its clients' link
-    "kill": frozenset((LOST, LATE)), "stop": frozenset((LOST, LATE)), "memory": frozenset((LOST, LATE)),
-    "busy": frozenset((LATE,)), "delay": frozenset((LATE,)), "silent": frozenset((LOST, LATE)),
-    "partition": frozenset((LOST, LATE)), "reset": frozenset((LOST,)), "lose": frozenset((LOST,)),
-    "cut": frozenset((LOST,)), "refuse": frozenset((LOST,)),
+    "kill": frozenset((LOST, LATE)),
+    "stop": frozenset((LOST, LATE)),
+    "memory": frozenset((LOST, LATE)),
+    "busy": frozenset((LATE,)),
+    "delay": frozenset((LATE,)),
+    "silent": frozenset((LOST, LATE)),
+    "partition": frozenset((LOST, LATE)),
+    "reset": frozenset((LOST,)),
+    "lose": frozenset((LOST,)),
+    "cut": frozenset((LOST,)),
+    "refuse": frozenset((LOST,)),
 }
 AFTER_MS = 1500.0  # what a fault has spoilt is seen so much later at the most: a client gives up then
 
@@ -91,9 +98,16 @@
         self.excused: Counter[str] = Counter()
         self.attempts, self.beyond = 0, 0.0
         self.takes: dict[type, Callable[[Any], None]] = {
-            seen.Asked: self._asked, seen.Answered: self._answered, seen.Arrived: self._arrived,
-            seen.Left: self._left, seen.Extra: self._extra, seen.Late: self._lateness, seen.Act: self._act,
-            seen.Process: self._process, seen.ServerIs: self._server, seen.Told: self._told,
+            seen.Asked: self._asked,
+            seen.Answered: self._answered,
+            seen.Arrived: self._arrived,
+            seen.Left: self._left,
+            seen.Extra: self._extra,
+            seen.Late: self._lateness,
+            seen.Act: self._act,
+            seen.Process: self._process,
+            seen.ServerIs: self._server,
+            seen.Told: self._told,
             seen.Resent: self._resent,
         }
 
@@ -176,8 +190,13 @@
             self._charge(request)
         request.arrived += 1
         number = request.one.sends
-        self.referee.sent(request.one, self.servers[record.server], record.work,
-                          None if drained == inf else drained, record.t)
+        self.referee.sent(
+            request.one,
+            self.servers[record.server],
+            record.work,
+            None if drained == inf else drained,
+            record.t,
+        )
         request.out[record.server, record.number] = number
 
     def _left(self, record: seen.Left) -> None:
@@ -193,8 +212,7 @@
         if not quota.take(asked.units, self.clock.now):
             self.beyond += asked.units
         if tariff.ceiling_rate:
-            store = self.ceilings.setdefault(
-                asked.customer, Store(tariff.ceiling_rate, tariff.ceiling_burst))
+            store = self.ceilings.setdefault(asked.customer, Store(tariff.ceiling_rate, tariff.ceiling_burst))
             slack = tariff.ceiling_slack + tariff.ceiling_rate * 3.0 * SOCKETS_MS / 1000.0
             self.referee.drawn(request.one, store, slack, self.clock.now)
 
@@ -229,8 +247,10 @@
             self.excused["unheard"] += 1
 
     def _excuse(self, request: Request, until: float, what: str) -> bool:
-        return any(what in EXCUSES[do] and begin <= until and request.asked.t <= end + AFTER_MS
-                   for do, begin, end in self.faults.get(request.asked.gateway, ()))
+        return any(
+            what in EXCUSES[do] and begin <= until and request.asked.t <= end + AFTER_MS
+            for do, begin, end in self.faults.get(request.asked.gateway, ())
+        )
 
     def _lag(self, now: float) -> float:
         """By how much the rig was late lately: no gateway on this machine could be quicker."""
@@ -247,9 +267,15 @@
             if not died and not self._excuse(request, at, LOST):
                 self.referee.breach("lost", f"{request.one.name}: sent on, then its connection was closed")
         return Verdict(
-            asked=len(self.requests), outcomes=dict(outcomes), excused=dict(self.excused),
-            attempts=self.attempts, beyond=self.beyond, broken=dict(self.referee.broken),
-            told=self.referee.told, late_ms=max((by for _, by in self.late), default=0.0))
+            asked=len(self.requests),
+            outcomes=dict(outcomes),
+            excused=dict(self.excused),
+            attempts=self.attempts,
+            beyond=self.beyond,
+            broken=dict(self.referee.broken),
+            told=self.referee.told,
+            late_ms=max((by for _, by in self.late), default=0.0),
+        )
 
 
 def judge(records: Iterable[seen.Any]) -> Verdict:
--- a/quota_gateway/fault_bench/relay.py
+++ b/quota_gateway/fault_bench/relay.py
@@ -98,7 +98,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self.weather.cut is not None:
-            data, self.weather.cut = data[:self.weather.cut], self.weather.cut - len(data)
+            data, self.weather.cut = data[: self.weather.cut], self.weather.cut - len(data)
         self._later(len(data), self._give, data)
         if self.weather.cut is not None and self.weather.cut <= 0:
             self.weather.cut = None
@@ -153,8 +153,12 @@
     def look(self) -> None:
         """Read or not, as the link, the other side and what is under way want it."""
         other = self.pair.other(self)
-        want = (not self.weather.silent and other.transport is not None and not other.full
-                and self.under_way < MOST_DELAYED)
+        want = (
+            not self.weather.silent
+            and other.transport is not None
+            and not other.full
+            and self.under_way < MOST_DELAYED
+        )
         if self.transport and not self.transport.is_closing() and want != self.reading:
             self.reading = want
             (self.transport.resume_reading if want else self.transport.pause_reading)()
--- a/quota_gateway/fault_bench/rollouts.py
+++ b/quota_gateway/fault_bench/rollouts.py
@@ -71,26 +71,45 @@
         for gateway, member in self.rig.members.items():
             files[gateway] = json.dumps(changed(member.document, changes)).encode()
             (self.folder / f"{name}-{gateway}").write_bytes(files[gateway])
-            door, = self.doors(gateway, "doors")
-            members.append({"name": gateway, "door": door, "config": str(member.config),
-                            "zone": member.document["settings"]["locality"]})
+            (door,) = self.doors(gateway, "doors")
+            members.append(
+                {
+                    "name": gateway,
+                    "door": door,
+                    "config": str(member.config),
+                    "zone": member.document["settings"]["locality"],
+                }
+            )
         self._write(name, {"settings": f"{name}-{{name}}", **fields}, members)
         return files
 
     def program(self, name: str, after: Program, before: Program, fields: Fields) -> None:
         """A plan that changes all members' program."""
-        words = [sys.executable, "-m", "quota_gateway.fault_bench.platform_client",
-                 "{}:{}".format(*self.rig.links["controller>platform"].at)]
+        words = [
+            sys.executable,
+            "-m",
+            "quota_gateway.fault_bench.platform_client",
+            "{}:{}".format(*self.rig.links["controller>platform"].at),
+        ]
         versions = {"before": before, "after": after}
-        given = {f"program.{when}": msgspec.to_builtins(Version(str(one.folder), one.command))
-                 for when, one in versions.items()}
+        given = {
+            f"program.{when}": msgspec.to_builtins(Version(str(one.folder), one.command))
+            for when, one in versions.items()
+        }
         given |= {"program.start": [*words, *START], "program.stop": [*words, *STOP]}
         members = []
         for gateway, member in self.rig.members.items():
             first, second = self.doors(gateway, *PLACES)
-            members.append({"name": gateway, "door": first, "next_door": second,
-                            "config": str(member.config), "folder": str(member.tmp),
-                            "zone": member.document["settings"]["locality"]})
+            members.append(
+                {
+                    "name": gateway,
+                    "door": first,
+                    "next_door": second,
+                    "config": str(member.config),
+                    "folder": str(member.tmp),
+                    "zone": member.document["settings"]["locality"],
+                }
+            )
         self._write(name, given | fields, members)
 
     def _write(self, name: str, fields: Fields, members: list[Fields]) -> None:
@@ -108,13 +127,27 @@
     # ---- Controllers
 
     async def control(
-        self, plan: Path, call: str = "start", controller: Sequence[str] = CONTROLLER,
+        self,
+        plan: Path,
+        call: str = "start",
+        controller: Sequence[str] = CONTROLLER,
     ) -> asyncio.subprocess.Process:
         """A process that carries a plan out, or says something to the one that does."""
         with (self.folder / "controller.log").open("ab") as sink:
             child = await asyncio.create_subprocess_exec(
-                sys.executable, "-c", LAUNCH, str(os.getpid()), *controller, call, str(plan), cwd=ROOT,
-                stdin=asyncio.subprocess.DEVNULL, stdout=sink, stderr=sink, start_new_session=True)
+                sys.executable,
+                "-c",
+                LAUNCH,
+                str(os.getpid()),
+                *controller,
+                call,
+                str(plan),
+                cwd=ROOT,
+                stdin=asyncio.subprocess.DEVNULL,
+                stdout=sink,
+                stderr=sink,
+                start_new_session=True,
+            )
         self.controllers.append(child)
         return child
 
@@ -123,8 +156,11 @@
         child = await self.control(self.plans[name])
         code = await child.wait()
         state = self.state(name)
-        self.rig.history.add(seen.Act(
-            self.rig.clock.now, -1, "rollout", [name], True, f"{code}: {state.outcome or state.turned}"))
+        self.rig.history.add(
+            seen.Act(
+                self.rig.clock.now, -1, "rollout", [name], True, f"{code}: {state.outcome or state.turned}"
+            )
+        )
 
     def signal(self, number: int) -> None:
         """To all controllers that live."""
--- a/quota_gateway/fault_bench/scenario.py
+++ b/quota_gateway/fault_bench/scenario.py
@@ -17,14 +17,50 @@
 
 MOST_GATEWAYS = 50
 CONDITION = re.compile(r"(asked|answered|open|ready)(?: (g\d+))? >= (\d+)")
-OF_PROCESS = ("kill", "stop", "term", "hup", "start", "upgrade", "busy", "descriptors", "memory", "call",
-              "no-folder", "full")
+OF_PROCESS = (
+    "kill",
+    "stop",
+    "term",
+    "hup",
+    "start",
+    "upgrade",
+    "busy",
+    "descriptors",
+    "memory",
+    "call",
+    "no-folder",
+    "full",
+)
 OF_LINK = ("delay", "silent", "reset", "lose", "cut", "refuse")
 OF_SERVER = ("slow", "failing", "mute", "release", "drain")
 Do = Literal[
-    "kill", "stop", "term", "hup", "start", "upgrade", "busy", "descriptors", "memory", "call",
-    "no-folder", "full", "delay", "silent", "reset", "lose", "cut", "refuse", "partition",
-    "slow", "failing", "mute", "release", "drain", "no-discovery", "skew", "rollout",
+    "kill",
+    "stop",
+    "term",
+    "hup",
+    "start",
+    "upgrade",
+    "busy",
+    "descriptors",
+    "memory",
+    "call",
+    "no-folder",
+    "full",
+    "delay",
+    "silent",
+    "reset",
+    "lose",
+    "cut",
+    "refuse",
+    "partition",
+    "slow",
+    "failing",
+    "mute",
+    "release",
+    "drain",
+    "no-discovery",
+    "skew",
+    "rollout",
 ]
 CONTROLLER = "controller"  # what kill and stop call the processes that carry out rollouts
 
@@ -77,9 +113,18 @@
 
     def links(self) -> list[str]:
         """Names of all connections' ways, from who connects to whom."""
-        return [link for one in self.gateways() for link in (
-            f"clients>{one}", f"doors>{one}", f"doors-0>{one}", f"doors-1>{one}", f"{one}>discovery",
-            *(f"{one}>{server}" for server in self.servers()))]
+        return [
+            link
+            for one in self.gateways()
+            for link in (
+                f"clients>{one}",
+                f"doors>{one}",
+                f"doors-0>{one}",
+                f"doors-1>{one}",
+                f"{one}>discovery",
+                *(f"{one}>{server}" for server in self.servers()),
+            )
+        ]
 
     def targets(self, step: Step) -> list[str]:
         """The names that a step is about."""
@@ -87,8 +132,15 @@
             return [one.name for one in self.rollouts if one.name in step.on]
         if step.on == (CONTROLLER,) and step.do in ("kill", "stop"):
             return [CONTROLLER]
-        all_of = (self.gateways() if step.do in OF_PROCESS else self.servers() if step.do in OF_SERVER
-                  else self.links() if step.do in OF_LINK else [])
+        all_of = (
+            self.gateways()
+            if step.do in OF_PROCESS
+            else self.servers()
+            if step.do in OF_SERVER
+            else self.links()
+            if step.do in OF_LINK
+            else []
+        )
         return [name for name in all_of if any(fnmatchcase(name, pattern) for pattern in step.on)]
 
 
--- a/quota_gateway/fault_bench/stand_ins.py
+++ b/quota_gateway/fault_bench/stand_ins.py
@@ -26,8 +26,11 @@
 
 BEAT_S = 2.0  # an empty line on each watch so often
 LINES = {api.Status.ERROR: b"-ERR failed\r\n", api.Status.FULL: b"-BUSY\r\n"}
-LIFECYCLE = {api.ServerState.READY: "Ready", api.ServerState.DRAINING: "Terminating",
-             api.ServerState.GONE: "Gone"}
+LIFECYCLE = {
+    api.ServerState.READY: "Ready",
+    api.ServerState.DRAINING: "Terminating",
+    api.ServerState.GONE: "Gone",
+}
 
 
 class Clock:
@@ -72,8 +75,9 @@
 class StandIn:
     """One server: a listener, its connections, the model behind them."""
 
-    def __init__(self, name: str, model: Server, meters: Meters, history: seen.History,
-                 draw: np.random.Generator) -> None:
+    def __init__(
+        self, name: str, model: Server, meters: Meters, history: seen.History, draw: np.random.Generator
+    ) -> None:
         self.name, self.model, self.meters, self.history, self.draw = name, model, meters, history, draw
         self.kinds = {kind.name: kind for kind in meters.world.kinds}
         self.attempts: dict[str, int] = {}  # numbers given, by request
@@ -178,8 +182,14 @@
 class Discovery:
     """Holds the list, and tells each gateway the servers' addresses as that gateway has them."""
 
-    def __init__(self, clock: Clock, history: seen.History, late_ms: float, random: np.random.Generator,
-                 addresses: Callable[[str, str], Address]) -> None:
+    def __init__(
+        self,
+        clock: Clock,
+        history: seen.History,
+        late_ms: float,
+        random: np.random.Generator,
+        addresses: Callable[[str, str], Address],
+    ) -> None:
         self.clock, self.history, self.late_ms, self.random = clock, history, late_ms, random
         self.addresses = addresses  # of a server, for a gateway
         self.entries: dict[str, tuple[api.ServerEntry, float]] = {}  # by name, with the last start
@@ -203,14 +213,24 @@
 
     def document(self, gateway: str, names: list[str], reset: bool) -> dict[str, Any]:
         """A list in discovery's form."""
-        return {"generation": self.generation, "reset": reset,
-                "instances": [self._row(gateway, name) for name in names]}
+        return {
+            "generation": self.generation,
+            "reset": reset,
+            "instances": [self._row(gateway, name) for name in names],
+        }
 
     def _row(self, gateway: str, name: str) -> dict[str, Any]:
         (entry, started), (host, port) = self.entries[name], self.addresses(gateway, name)
-        return {"instanceId": name, "hostPort": f"{host}:{port}", "zone": entry.zone, "machineType": "m1",
-                "cell": entry.cell, "lifecycle": LIFECYCLE[entry.state], "weight": entry.size,
-                "startedAtMs": round(self.clock.wall + self.ahead_ms + started) if started > 0.0 else 0}
+        return {
+            "instanceId": name,
+            "hostPort": f"{host}:{port}",
+            "zone": entry.zone,
+            "machineType": "m1",
+            "cell": entry.cell,
+            "lifecycle": LIFECYCLE[entry.state],
+            "weight": entry.size,
+            "startedAtMs": round(self.clock.wall + self.ahead_ms + started) if started > 0.0 else 0,
+        }
 
     def fail(self, on: bool) -> None:
         """Discovery goes away, or comes back."""
@@ -253,8 +273,9 @@
             self.transport.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             self.transport.close()
             return
-        self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
-                             b"Transfer-Encoding: chunked\r\n\r\n")
+        self.transport.write(
+            b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
+        )
         self.discovery.watches.add(self)
         if b"from=%d " % self.discovery.generation not in self.head.split(b"\r\n")[0]:
             self.tell(list(self.discovery.entries), True)
--- a/quota_gateway/fault_bench/timeline.py
+++ b/quota_gateway/fault_bench/timeline.py
@@ -18,8 +18,11 @@
 from quota_gateway.fault_bench.stand_ins import StandIn
 
 LOOK_S = 0.005
-LIMITS = {"descriptors": resource.RLIMIT_NOFILE, "memory": resource.RLIMIT_AS,
-          "full": resource.RLIMIT_FSIZE}  # what is written to a file fails, as on a full disk
+LIMITS = {
+    "descriptors": resource.RLIMIT_NOFILE,
+    "memory": resource.RLIMIT_AS,
+    "full": resource.RLIMIT_FSIZE,
+}  # what is written to a file fails, as on a full disk
 SPINNING = 3  # processes that take a gateway's core away
 Undo = Callable[[], Awaitable[None]]
 
@@ -52,14 +55,18 @@
         """
         for number in self.waiting:
             self.tasks[number].cancel()
-        self.missed = [f"step {number}, {self.scenario.steps[number].do}, never came about: "
-                       f"{self.scenario.steps[number].when or 'too late'}" for number in sorted(self.waiting)]
+        self.missed = [
+            f"step {number}, {self.scenario.steps[number].do}, never came about: "
+            f"{self.scenario.steps[number].when or 'too late'}"
+            for number in sorted(self.waiting)
+        ]
         results = await asyncio.gather(*self.tasks, return_exceptions=True)
         for name in self.controllers:
             state = self.rollouts.state(name)
             if not state.outcome:
                 self.missed.append(
-                    f"rollout {name} has not ended: {state.halted or self.rollouts.last_line()}")
+                    f"rollout {name} has not ended: {state.halted or self.rollouts.last_line()}"
+                )
         for result in results:
             if isinstance(result, Exception):
                 raise result
@@ -107,8 +114,11 @@
         """The links between parties of different groups; who is in none is cut off from nobody."""
         group = {name: number for number, names in enumerate(groups) for name in names}
         group |= {f"doors-{place}": group["doors"] for place in (0, 1) if "doors" in group}
-        return [link for link in self.rig.links.values()
-                if len({group[end] for end in link.name.split(">") if end in group}) == 2]
+        return [
+            link
+            for link in self.rig.links.values()
+            if len({group[end] for end in link.name.split(">") if end in group}) == 2
+        ]
 
     # ---- Acts
 
@@ -133,6 +143,7 @@
         async def undo() -> None:
             for one in undone:
                 await one()
+
         return undo
 
     def _silence(self, links: list[Link], step: Step) -> Undo:
@@ -142,6 +153,7 @@
         async def heal() -> None:
             for link in links:
                 link.silence(step.way, False)
+
         return heal
 
     async def _link(self, step: Step, links: list[Link]) -> Undo:
@@ -163,6 +175,7 @@
         async def heal() -> None:
             for weather in ways:
                 weather.delay, weather.jitter, weather.cut = 0.0, 0.0, None
+
         return heal
 
     async def _refuse(self, links: list[Link]) -> Undo:
@@ -172,6 +185,7 @@
         async def heal() -> None:
             for link in links:
                 await link.refuse(False)
+
         return heal
 
     # ---- Rollouts
@@ -198,6 +212,7 @@
             for name in running:
                 await self.controllers[name]
                 self._begin(name)
+
         return again
 
     def _discovery(self, step: Step) -> Undo:
@@ -210,6 +225,7 @@
             discovery.ahead_ms -= ahead
             if not ahead:
                 discovery.fail(False)
+
         return back
 
     def _server(self, step: Step, servers: list[StandIn]) -> Undo:
@@ -230,6 +246,7 @@
                     server.model.restart()
                 if step.do in ("release", "drain"):
                     self.rig.mark(server, api.ServerState.READY)
+
         return back
 
     async def _process(self, step: Step, member: Member, number: int) -> Undo:
@@ -247,12 +264,14 @@
 
             async def free() -> None:
                 member.limit(which, resource.getrlimit(which)[1])
+
             return free
         if step.do == "no-folder":
             shutil.rmtree(member.tmp)
 
             async def folder() -> None:
                 member.tmp.mkdir(exist_ok=True)
+
             return folder
         await self._once(step, member, number)
         return nothing
@@ -280,6 +299,7 @@
             shutil.rmtree(member.tmp)  # private, and empty at each start
             member.tmp.mkdir()
             await member.start()
+
         return again
 
     def _stop(self, member: Member) -> Undo:
@@ -290,6 +310,5 @@
         async def go_on() -> None:
             for process in stopped:
                 process.signal(signal.SIGCONT)
-        return go_on
-
 
+        return go_on
--- a/quota_gateway/net/admin.py
+++ b/quota_gateway/net/admin.py
@@ -50,7 +50,7 @@
     def data_received(self, data: bytes) -> None:
         if self.called:
             return
-        line, end, _ = (self.line + data[:LONGEST_LINE + 2]).partition(b"\n")
+        line, end, _ = (self.line + data[: LONGEST_LINE + 2]).partition(b"\n")
         self.line = line
         if len(line) > LONGEST_LINE:
             self.refuse("the line is too long")
@@ -169,5 +169,7 @@
 
 NOTHING = {0: "nothing"}
 TAKES: Mapping[str, Mapping[int, str]] = {  # words behind a call
-    "OFFLINE": {1: "one id"}, "ONLINE": {1: "one id"}, "RELOAD": {0: "nothing", 2: "CONFIRM SECONDS"},
+    "OFFLINE": {1: "one id"},
+    "ONLINE": {1: "one id"},
+    "RELOAD": {0: "nothing", 2: "CONFIRM SECONDS"},
 }
--- a/quota_gateway/net/admin_commands.py
+++ b/quota_gateway/net/admin_commands.py
@@ -29,9 +29,16 @@
 
     def calls(self) -> dict[str, Handler]:
         """By name."""
-        return {"HEALTH": self.health, "OFFLINE": self.offline, "ONLINE": self.online,
-                "LEAVE": self.leave, "JOIN": self.join, "POOLS": self.pools, "FIGURES": self.figures,
-                "RETIRE": self.retire}
+        return {
+            "HEALTH": self.health,
+            "OFFLINE": self.offline,
+            "ONLINE": self.online,
+            "LEAVE": self.leave,
+            "JOIN": self.join,
+            "POOLS": self.pools,
+            "FIGURES": self.figures,
+            "RETIRE": self.retire,
+        }
 
     async def health(self, _: str) -> Answer:
         """Whether this process can serve; it can while the gateway is drained, too."""
--- a/quota_gateway/net/clients.py
+++ b/quota_gateway/net/clients.py
@@ -67,7 +67,9 @@
         self.aims = {item.name: item.aim_ms for item in settings.classes}
 
     def read(
-        self, command: list[bytes], waited_ms: float = 0.0,
+        self,
+        command: list[bytes],
+        waited_ms: float = 0.0,
     ) -> tuple[api.Request, Callable[[float], bytes]]:
         """The request, which has waited here for so long, and what encodes it for a server that has so many
         milliseconds."""
@@ -85,13 +87,16 @@
             raise CommandError("a keyed class without a key")
         _number(fields, b"d", "", 0.001, 1e9)
         request = api.Request(
-            request_id=self._id(request_id), class_name=kind.name, plan=plan,
+            request_id=self._id(request_id),
+            class_name=kind.name,
+            plan=plan,
             customer=self._customer(customer),
             patience_ms=max(0.0, float(fields[b"d"]) - CLIENT_MARGIN_MS - waited_ms),
             units=_number(fields, b"units", "1", 1e-6, 1e6),
             width=int(_number(fields, b"spread", str(self.gateways), 1, 1e6)),
             first_gateway=int(_number(fields, b"first", "0", 0, 1e6)),
-            is_retry=fields.get(b"r") == b"1", is_write=posts,
+            is_retry=fields.get(b"r") == b"1",
+            is_write=posts,
         )
         return request, _encoder(name, command, listed)
 
@@ -486,14 +491,23 @@
         return not self.unread() if self.clients.late else self.at_rest()
 
     def _between_commands(self) -> bool:
-        return (self.open() and not self.slots and not self.ending and not self.lengths.within()
-                and not self.out_of_bounds)
+        return (
+            self.open()
+            and not self.slots
+            and not self.ending
+            and not self.lengths.within()
+            and not self.out_of_bounds
+        )
 
     def between_requests(self) -> bool:
         """Whether nothing of a command has been read, and nothing of an answer is left."""
         transport = self.transport
-        return (transport is not None and self._between_commands() and not transport.is_closing()
-                and transport.get_write_buffer_size() == 0)
+        return (
+            transport is not None
+            and self._between_commands()
+            and not transport.is_closing()
+            and transport.get_write_buffer_size() == 0
+        )
 
     def idle(self) -> bool:
         """Whether a close crosses nothing that is here already: of no command a part is here, read or not."""
@@ -631,7 +645,8 @@
         """Accept, on a copy of the listener: when that is closed, the listener's queue goes on filling."""
         if self.listener and not self.server:
             self.server = await self.loop.create_server(
-                lambda: Client(self), sock=self.listener.dup(), backlog=BACKLOG)
+                lambda: Client(self), sock=self.listener.dup(), backlog=BACKLOG
+            )
 
     def stop_accepting(self) -> None:
         """Leave what comes to another process, or to later."""
@@ -640,7 +655,11 @@
             self.server = None
 
     def adopt(
-        self, sock: socket.socket, asked: bool, waited_s: float, kept_as: int = 0,
+        self,
+        sock: socket.socket,
+        asked: bool,
+        waited_s: float,
+        kept_as: int = 0,
     ) -> asyncio.Task[None]:
         """Take a connection that is accepted already.
 
@@ -720,8 +739,10 @@
         if not self.beyond():
             return
         idle = next((one for one in self.connections if one is not client and one.idle()), None)
-        idle = idle or next((one for one in self.connections
-                             if one is not client and not one.slots and not one.unread()), client)
+        idle = idle or next(
+            (one for one in self.connections if one is not client and not one.slots and not one.unread()),
+            client,
+        )
         if idle is client:
             client.refuse_for_want_of_room()
         idle.close()  # it counts no more: the next one must not count on the same place again
--- a/quota_gateway/net/declared_lengths.py
+++ b/quota_gateway/net/declared_lengths.py
@@ -62,7 +62,7 @@
             elif self.in_line or (self.answers and not self.header and data[at] in LINES):
                 at = self._line(data, at)
             else:
-                line = self.header + data[at:at + LONGEST_HEADER]
+                line = self.header + data[at : at + LONGEST_HEADER]
                 end = line.find(b"\r\n")
                 if end < 0 and len(line) < LONGEST_HEADER and line[:1] in self._kinds():
                     self.header = line
--- a/quota_gateway/net/discovery.py
+++ b/quota_gateway/net/discovery.py
@@ -32,7 +32,9 @@
 SILENT = "silent"  # why a watch ended
 LONGEST_LINE = 4 * 1024 * 1024
 STATES = {
-    "Ready": api.ServerState.READY, "Terminating": api.ServerState.DRAINING, "Gone": api.ServerState.GONE,
+    "Ready": api.ServerState.READY,
+    "Terminating": api.ServerState.DRAINING,
+    "Gone": api.ServerState.GONE,
 }
 News = Callable[[api.ServerList, dict[int, Address]], None]
 
@@ -96,8 +98,12 @@
     def _entry(self, row: dict[str, Any]) -> api.ServerEntry:
         """A row that was found good."""
         return api.ServerEntry(
-            server=self.assign(row["instanceId"]), zone=row["zone"] or "", kind=row.get("machineType") or "",
-            cell=row.get("cell") or 0, state=STATES[row["lifecycle"]], size=_weight(row),
+            server=self.assign(row["instanceId"]),
+            zone=row["zone"] or "",
+            kind=row.get("machineType") or "",
+            cell=row.get("cell") or 0,
+            state=STATES[row["lifecycle"]],
+            size=_weight(row),
             started_ms=float(row.get("startedAtMs") or 0.0),
         )
 
@@ -116,9 +122,14 @@
     host, _, port = row["hostPort"].rpartition(":")
     words = row["instanceId"], row["lifecycle"], row["zone"] or "", row.get("machineType") or ""
     figures = _weight(row), row.get("startedAtMs") or 0.0
-    good = (all(isinstance(word, str) for word in words) and row["lifecycle"] in STATES
-            and all(isinstance(figure, (int, float)) and 0.0 <= figure < inf for figure in figures)
-            and isinstance(row.get("cell") or 0, int) and port.isdecimal() and 0 < int(port) < 1 << 16)
+    good = (
+        all(isinstance(word, str) for word in words)
+        and row["lifecycle"] in STATES
+        and all(isinstance(figure, (int, float)) and 0.0 <= figure < inf for figure in figures)
+        and isinstance(row.get("cell") or 0, int)
+        and port.isdecimal()
+        and 0 < int(port) < 1 << 16
+    )
     try:
         socket.inet_pton(socket.AF_INET, host)
     except (OSError, ValueError):
@@ -147,7 +158,8 @@
         self.transport = cast(asyncio.Transport, transport)
         host, port = self.discovery.address
         self.transport.write(
-            f"GET {self.target} HTTP/1.1\r\nHost: {host}:{port}\r\nAccept: application/json\r\n\r\n".encode())
+            f"GET {self.target} HTTP/1.1\r\nHost: {host}:{port}\r\nAccept: application/json\r\n\r\n".encode()
+        )
         self._heard()
 
     def _heard(self) -> None:
@@ -260,8 +272,14 @@
 class Discovery:
     """Keeps a watch open for as long as the gateway runs."""
 
-    def __init__(self, address: Address, news: News, seed: int = 0, gateways: int = 1,
-                 mode: api.DiscoveryMode = api.DiscoveryMode.ASK) -> None:
+    def __init__(
+        self,
+        address: Address,
+        news: News,
+        seed: int = 0,
+        gateways: int = 1,
+        mode: api.DiscoveryMode = api.DiscoveryMode.ASK,
+    ) -> None:
         self.address, self.news = address, news
         self.retell(gateways, mode)
         self.random = random.Random(seed)
--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -39,11 +39,25 @@
 class Call:
     """A client's request in hand, until it has been answered and no attempt is out."""
 
-    __slots__ = ("request_id", "encode", "on_answer", "on_value", "deadline", "sends", "out", "answered",
-                 "passing", "taken", "aim_ms")
+    __slots__ = (
+        "request_id",
+        "encode",
+        "on_answer",
+        "on_value",
+        "deadline",
+        "sends",
+        "out",
+        "answered",
+        "passing",
+        "taken",
+        "aim_ms",
+    )
 
     def __init__(
-        self, request_id: str, encode: Callable[[float], bytes], on_answer: Callable[[bytes], None],
+        self,
+        request_id: str,
+        encode: Callable[[float], bytes],
+        on_answer: Callable[[bytes], None],
         on_value: Callable[[int, Source], Sink | None] = lambda length, source: None,
     ) -> None:
         self.request_id, self.encode, self.on_answer, self.on_value = request_id, encode, on_answer, on_value
@@ -70,8 +84,12 @@
         self.on_elsewhere: Callable[[api.Elsewhere], None] = lambda _: None  # set by who hands over
         self.on_admit: Callable[[api.Admit], None] = lambda _: None  # set by who holds the clients
         self.actions: dict[type, Callable[[Any], None]] = {
-            api.Send: self._send, api.Refuse: self._refuse, api.Fail: self._fail, api.Cancel: self._cancel,
-            api.SetTimer: self._set_timer, api.Log: lambda action: log.info("%s", action.text),
+            api.Send: self._send,
+            api.Refuse: self._refuse,
+            api.Fail: self._fail,
+            api.Cancel: self._cancel,
+            api.SetTimer: self._set_timer,
+            api.Log: lambda action: log.info("%s", action.text),
             api.CloseIdle: lambda action: servers.close_idle(action.server),
             api.SetUsable: lambda action: servers.hold(action.server, not action.usable),
             api.Subscribe: lambda _: None,  # the watch on discovery is kept in any case
@@ -175,7 +193,13 @@
             self.servers.stop(attempt, api.Status.TIMEOUT)
 
     def _begin(
-        self, call: Call, number: int, server: int, sent: float, length: int, source: Source,
+        self,
+        call: Call,
+        number: int,
+        server: int,
+        sent: float,
+        length: int,
+        source: Source,
     ) -> Sink | None:
         """A long value begins: it is the answer from now on, if the client still waits for one."""
         if call.answered:
@@ -191,9 +215,19 @@
         """The outcome of an attempt; a good answer goes to the client first, if it still waits."""
         if reply.value is not None and not call.answered:
             self._answer(call, b"$%d\r\n%b\r\n" % (len(reply.value), reply.value))
-        self.post(api.Outcome(
-            call.request_id, number, server, reply.status, self.clock() - sent, call.answered,
-            reply.used, reply.cost, reply.load))
+        self.post(
+            api.Outcome(
+                call.request_id,
+                number,
+                server,
+                reply.status,
+                self.clock() - sent,
+                call.answered,
+                reply.used,
+                reply.cost,
+                reply.load,
+            )
+        )
         self._drop_if_done(call)
 
     def _refuse(self, action: api.Refuse) -> None:
--- a/quota_gateway/net/hot_restart.py
+++ b/quota_gateway/net/hot_restart.py
@@ -52,8 +52,12 @@
 class Link:
     """A connection between two processes of one gateway; whatever breaks it ends it."""
 
-    def __init__(self, sock: socket.socket, on_message: Callable[[Link, bytes, list[int]], None],
-                 on_end: Callable[[Link], None]) -> None:
+    def __init__(
+        self,
+        sock: socket.socket,
+        on_message: Callable[[Link, bytes, list[int]], None],
+        on_end: Callable[[Link], None],
+    ) -> None:
         self.sock, self.on_message, self.on_end = sock, on_message, on_end
         self.loop = asyncio.get_running_loop()
         self.queue: deque[tuple[bytes, int]] = deque()  # with a descriptor, or -1
@@ -147,8 +151,15 @@
 class Handover:
     """Both ends of it: taking over from the process before this one, handing over to the next."""
 
-    def __init__(self, folder: str | None, who: dict[str, Any], driver: Driver, clients: Clients,
-                 servers: Servers, discovery: Discovery) -> None:
+    def __init__(
+        self,
+        folder: str | None,
+        who: dict[str, Any],
+        driver: Driver,
+        clients: Clients,
+        servers: Servers,
+        discovery: Discovery,
+    ) -> None:
         self.folder = Path(folder) if folder else None
         self.who = {"version": VERSION, **who}
         self.driver, self.clients, self.servers, self.discovery = driver, clients, servers, discovery
@@ -208,8 +219,11 @@
             if not self.loaded:
                 raise ConnectionError("the process before broke off")
             wanted = self.wanted()
-            log.info("taken over from the process before; out: %s%s", ", ".join(wanted["out"]) or "no server",
-                     "; drained" if wanted["drained"] else "")
+            log.info(
+                "taken over from the process before; out: %s%s",
+                ", ".join(wanted["out"]) or "no server",
+                "; drained" if wanted["drained"] else "",
+            )
             return True
         except (OSError, TimeoutError, ValueError, KeyError, TypeError, AttributeError) as error:
             log.error("nothing taken over: %r", error)
@@ -332,12 +346,16 @@
         self.driver.post(api.HandOver())
         roster = self.discovery.roster
         names = {number: name for name, number in roster.numbers.items()}
-        raw = json.dumps({
-            "list": roster.document(), "decisions": state_document.save(self.driver.gateway, names),
-            "operators": self.wanted(), **self._counts(),
-        }).encode()
+        raw = json.dumps(
+            {
+                "list": roster.document(),
+                "decisions": state_document.save(self.driver.gateway, names),
+                "operators": self.wanted(),
+                **self._counts(),
+            }
+        ).encode()
         for at in range(0, len(raw), PIECE):
-            self.link.send(b"S" + raw[at:at + PIECE])
+            self.link.send(b"S" + raw[at : at + PIECE])
         listener = self.clients.listener
         end = b"E" + json.dumps({"bytes": len(raw), "crc": zlib.crc32(raw), "beats": beats}).encode()
         self.link.send(end, listener.fileno() if listener else -1)
@@ -386,9 +404,16 @@
 
     def _tell(self, news: api.Elsewhere) -> None:
         if self.handed:
-            self._say("F", {
-                "plan": news.plan, "customer": news.customer, "in_hand": news.in_hand,
-                "charged": news.charged, "used": news.used_percent})
+            self._say(
+                "F",
+                {
+                    "plan": news.plan,
+                    "customer": news.customer,
+                    "in_hand": news.in_hand,
+                    "charged": news.charged,
+                    "used": news.used_percent,
+                },
+            )
 
     # ---- Messages
 
@@ -450,9 +475,15 @@
             self._take_counts(document)
             return
         used = document["used"]
-        self.driver.post(api.Elsewhere(
-            document["plan"], document["customer"], int(document["in_hand"]),
-            float(document["charged"]), None if used is None else float(used)))
+        self.driver.post(
+            api.Elsewhere(
+                document["plan"],
+                document["customer"],
+                int(document["in_hand"]),
+                float(document["charged"]),
+                None if used is None else float(used),
+            )
+        )
 
     def _adopt(self, letter: bytes, rest: bytes, sock: socket.socket) -> None:
         sock.setblocking(False)
@@ -537,8 +568,11 @@
         """Servers out, by id, whether the gateway is drained, and the highest token of a caller."""
         gateway, roster = self.driver.gateway, self.discovery.roster
         out = [name for name, number in roster.numbers.items() if number in gateway.by_hand]
-        return {"out": sorted(out), "drained": gateway.draining,
-                **({"token": self.token} if self.token else {})}
+        return {
+            "out": sorted(out),
+            "drained": gateway.draining,
+            **({"token": self.token} if self.token else {}),
+        }
 
     def _want(self, wanted: dict[str, Any]) -> None:
         """Make the same true here."""
@@ -585,8 +619,11 @@
             document = json.loads((self.folder / KEPT).read_text())
             wanted = dict(document.pop("operators"))
             if document == self.who and isinstance(wanted["out"], list):
-                return {"out": wanted["out"], "drained": bool(wanted["drained"]),
-                        "token": int(wanted.get("token", 0))}
+                return {
+                    "out": wanted["out"],
+                    "drained": bool(wanted["drained"]),
+                    "token": int(wanted.get("token", 0)),
+                }
         except (OSError, ValueError, KeyError, TypeError, AttributeError):
             pass
         return {}
--- a/quota_gateway/net/metrics.py
+++ b/quota_gateway/net/metrics.py
@@ -63,11 +63,23 @@
 
     def look(self, reasons: Counter[str], in_hand: int, revision: Callable[[], str]) -> str:
         """All of it as a JSON object on one line; memory in KiB, at the most so far."""
-        return json.dumps({
-            "pid": os.getpid(), "since": round(self.since, 3), "revision": revision(),
-            "program": PROGRAM, "asked": self.asked, "served": self.served, "refused": self.refused,
-            "failed": self.failed, "gone": self.gone, "late": self.late, "attempts": self.attempts,
-            "in_hand": in_hand, "reasons": dict(reasons),
-            "latency": {number: n for number, n in enumerate(self.latency) if n},
-            "memory_kb": peak_kb(),
-        }, separators=(",", ":"))
+        return json.dumps(
+            {
+                "pid": os.getpid(),
+                "since": round(self.since, 3),
+                "revision": revision(),
+                "program": PROGRAM,
+                "asked": self.asked,
+                "served": self.served,
+                "refused": self.refused,
+                "failed": self.failed,
+                "gone": self.gone,
+                "late": self.late,
+                "attempts": self.attempts,
+                "in_hand": in_hand,
+                "reasons": dict(reasons),
+                "latency": {number: n for number, n in enumerate(self.latency) if n},
+                "memory_kb": peak_kb(),
+            },
+            separators=(",", ":"),
+        )
--- a/quota_gateway/net/peer_process.py
+++ b/quota_gateway/net/peer_process.py
@@ -31,8 +31,9 @@
 
 def credentials(sock: socket.socket) -> tuple[int, int]:
     """Process and user at the other end of a Unix socket."""
-    pid, user, _ = struct.unpack(CREDENTIALS, sock.getsockopt(
-        socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize(CREDENTIALS)))
+    pid, user, _ = struct.unpack(
+        CREDENTIALS, sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize(CREDENTIALS))
+    )
     return pid, user
 
 
--- a/quota_gateway/net/reload.py
+++ b/quota_gateway/net/reload.py
@@ -57,8 +57,17 @@
 class Reload:
     """Holds what is in force; takes signals and calls."""
 
-    def __init__(self, config: Config, environment: Mapping[str, str], driver: Driver, servers: Servers,
-                 clients: Clients, discovery: Discovery, door: admin.Door, handover: Handover) -> None:
+    def __init__(
+        self,
+        config: Config,
+        environment: Mapping[str, str],
+        driver: Driver,
+        servers: Servers,
+        clients: Clients,
+        discovery: Discovery,
+        door: admin.Door,
+        handover: Handover,
+    ) -> None:
         self.environment, self.door, self.handover = environment, door, handover
         self.driver, self.servers, self.clients, self.discovery = driver, servers, clients, discovery
         self.loop = asyncio.get_running_loop()
@@ -75,8 +84,12 @@
 
     def calls(self) -> dict[str, Handler]:
         """For the door, by name."""
-        return {"CONFIG": self.show, "RELOAD": self.reload, "CONFIRM": self.confirm,
-                "ROLLBACK": self.rollback}
+        return {
+            "CONFIG": self.show,
+            "RELOAD": self.reload,
+            "CONFIRM": self.confirm,
+            "ROLLBACK": self.rollback,
+        }
 
     # ---- Signals
 
@@ -212,8 +225,13 @@
         if config.admin != self.config.admin:
             self.door.move(server)
         self.config, self.revision, self.since = config, self.revision + 1, time.time()
-        log.info("configuration %s is in force, revision %d%s: %s", config.digest, self.revision,
-                 f" ({how})" if how else "", told(changes))
+        log.info(
+            "configuration %s is in force, revision %d%s: %s",
+            config.digest,
+            self.revision,
+            f" ({how})" if how else "",
+            told(changes),
+        )
         return True, f"revision {self.revision}, {len(changes)} changes{', ' + how if how else ''}"
 
     def _tell_decisions(self, settings: api.Settings) -> str:
@@ -281,5 +299,3 @@
 
 def _clock(at: float) -> str:
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(at))
-
-
--- a/quota_gateway/net/servers.py
+++ b/quota_gateway/net/servers.py
@@ -80,8 +80,12 @@
 
     __slots__ = ("payload", "done", "begun", "connection")
 
-    def __init__(self, payload: Callable[[], bytes | None], done: Callable[[Reply], None],
-                 begun: Callable[[int, Source], Sink | None] = lambda length, source: None) -> None:
+    def __init__(
+        self,
+        payload: Callable[[], bytes | None],
+        done: Callable[[Reply], None],
+        begun: Callable[[int, Source], Sink | None] = lambda length, source: None,
+    ) -> None:
         self.payload, self.begun = payload, begun
         self.done: Callable[[Reply], None] | None = done
         self.connection: Connection | None = None
@@ -301,8 +305,8 @@
     def _pass_on(self, data: bytes) -> None:
         assert self.sink
         self._heard()
-        value, self.left = data[:self.left], max(0, self.left - len(data))
-        rest = data[len(value):]
+        value, self.left = data[: self.left], max(0, self.left - len(data))
+        rest = data[len(value) :]
         if value:
             self.sink.write(value)
         if not self.left:
@@ -311,7 +315,7 @@
     def _line_end(self, data: bytes) -> None:
         """All of the value has been passed on: it is whole if its line's end comes now."""
         self.head += data
-        if not self.head.startswith(END[:len(self.head)]):
+        if not self.head.startswith(END[: len(self.head)]):
             log.warning("a server's long value runs on: %.100r", self.head)
             self.close(api.Status.ERROR)
         elif self.sink and len(self.head) >= len(END):
@@ -409,7 +413,6 @@
         if attempt:
             attempt.finish(Reply(status))
 
-
     def detach(self) -> None:
         """Let go of the socket, which another process has by now: it must not be shut down."""
         self.closed = True
@@ -544,12 +547,16 @@
         held = len(self.connections)
         idle = sum(len(host.idle) for host in self.hosts.values())
         opening = sum(connection.transport is None for connection in self.connections)
-        counts = (f"{self.handshakes} handshakes, {self.reuses} reuses, {self.evicted} evicted, "
-                  f"{self.no_room} turned away for want of room since the last look")
+        counts = (
+            f"{self.handshakes} handshakes, {self.reuses} reuses, {self.evicted} evicted, "
+            f"{self.no_room} turned away for want of room since the last look"
+        )
         self.handshakes = self.reuses = self.evicted = self.no_room = 0
         passed = f", {self.elsewhere} in the process before" if self.elsewhere else ""
-        return (f"{held} open ({idle} idle, {opening} opening) of {self.most_connections}{passed} "
-                f"to {len(self.hosts)} servers; {counts}")
+        return (
+            f"{held} open ({idle} idle, {opening} opening) of {self.most_connections}{passed} "
+            f"to {len(self.hosts)} servers; {counts}"
+        )
 
     def stop(self, attempt: Attempt, status: api.Status) -> None:
         """Stop waiting: the connection is closed, then the outcome told. Without its last byte it never
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -46,21 +46,30 @@
         self.operators = Operators(context, self.lists)
         self.changes = Changes(self.handover, self.health, self.lists, self.retry_parked)
         self.handlers: dict[type, Callable[[Any], None]] = {
-            api.Request: self._on_request, api.ClientGone: self.answers.gone,
-            api.Outcome: self._freeing(self.attempts.ended), api.ServerList: self._freeing(self.lists.take),
-            api.StreamStarted: self._freeing(self.attempts.streams), api.TimerFired: context.fire,
-            api.ServerByHand: self._freeing(self.operators.by_hand), api.Drain: self.operators.drain,
-            api.Stopping: self.answers.stop, api.HandOver: self.changes.hand_over,
-            api.Elsewhere: self._freeing(self.handover.hear), api.OtherGone: self._freeing(self.handover.end),
-            api.NewSettings: self._freeing(self.changes.take), api.Linked: self.reports.linked,
+            api.Request: self._on_request,
+            api.ClientGone: self.answers.gone,
+            api.Outcome: self._freeing(self.attempts.ended),
+            api.ServerList: self._freeing(self.lists.take),
+            api.StreamStarted: self._freeing(self.attempts.streams),
+            api.TimerFired: context.fire,
+            api.ServerByHand: self._freeing(self.operators.by_hand),
+            api.Drain: self.operators.drain,
+            api.Stopping: self.answers.stop,
+            api.HandOver: self.changes.hand_over,
+            api.Elsewhere: self._freeing(self.handover.hear),
+            api.OtherGone: self._freeing(self.handover.end),
+            api.NewSettings: self._freeing(self.changes.take),
+            api.Linked: self.reports.linked,
             api.ProbeResult: self.reports.probed,
         }
 
     def _freeing(self, take: Callable[[Any], bool]) -> Callable[[Any], None]:
         """Whatever alters what may go (true) lets the parked be tried again."""
+
         def on_event(event: Any) -> None:
             if take(event):
                 self.retry_parked()
+
         return on_event
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
--- a/quota_gateway/policy/rate_ceiling.py
+++ b/quota_gateway/policy/rate_ceiling.py
@@ -26,8 +26,9 @@
     def turn(self, epochs: Epochs, now: float) -> None:
         """A new epoch: unseen customers keep what they may have; plans that are added begin with nothing."""
         before = epochs.past[-1].plans
-        fresh = {name: (self.fresh_level(plan, 1, now), now) for name, plan in before.items()
-                 if epochs.plan(name)}
+        fresh = {
+            name: (self.fresh_level(plan, 1, now), now) for name, plan in before.items() if epochs.plan(name)
+        }
         self.fresh = fresh | {name: (0.0, now) for name in epochs.plans if name not in before}
 
     def level(self, customer: Customer, plan: Plan, at: float) -> float:
@@ -73,4 +74,4 @@
         thin = not plan.rate and plan.over_cost and 0 < plan.max_in_flight < customer.width
         if not thin or now - customer.used_at > CAP_NEWS * self.meter.news_ms:
             return False
-        return self.context.random.random() * float(customer.used ** CAP_POWER) > 1.0
+        return self.context.random.random() * float(customer.used**CAP_POWER) > 1.0
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -49,8 +49,10 @@
         """Count what is given up; a line every few seconds tells it."""
         if text := self.tally.add(why, plan.name, self.context.now, self.context.since):
             pressure = self.pressure
-            self.context.log(f"given up: {text}; pool {pressure.size:.1f}, out {len(pressure.young)}, "
-                         f"parked {len(self.hand.parked)}")
+            self.context.log(
+                f"given up: {text}; pool {pressure.size:.1f}, out {len(pressure.young)}, "
+                f"parked {len(self.hand.parked)}"
+            )
 
     def give_up(self, flight: Flight, why: str) -> None:
         """The final answer: a refusal where a retry is proven harmless, else a failure."""
--- a/quota_gateway/policy/settings_change.py
+++ b/quota_gateway/policy/settings_change.py
@@ -17,13 +17,18 @@
 
 def stricter(one: Plan, other: Plan) -> Plan:
     """The first plan, with the lower of both ceilings and caps; nought is none."""
+
     def low(a: float, b: float) -> float:
         return min(a, b) if a and b else a or b
 
     rate = low(one.ceiling_rate, other.ceiling_rate)
     burst = low(one.ceiling_burst, other.ceiling_burst) if rate else 0.0
-    return replace(one, max_in_flight=int(low(one.max_in_flight, other.max_in_flight)),
-                   ceiling_rate=rate, ceiling_burst=burst)
+    return replace(
+        one,
+        max_in_flight=int(low(one.max_in_flight, other.max_in_flight)),
+        ceiling_rate=rate,
+        ceiling_burst=burst,
+    )
 
 
 class Changes:
@@ -82,8 +87,9 @@
             old, customer = flight.plan, flight.customer
             new, strict = plans.get(old.name, old), bounds.get(customer.key) or customer.strict
             bound = stricter(new, stricter(old, strict or old))
-            if strict or any(getattr(bound, name) != getattr(plan, name)
-                             for name in BOUNDS for plan in (old, new)):
+            if strict or any(
+                getattr(bound, name) != getattr(plan, name) for name in BOUNDS for plan in (old, new)
+            ):
                 bounds[customer.key] = bound
         return bounds
 
--- a/quota_gateway/recording/benchmark.py
+++ b/quota_gateway/recording/benchmark.py
@@ -57,7 +57,8 @@
         self.draw = draw
         entries = tuple(
             api.ServerEntry(n, "abc"[n % 3], cell=n % 50, started_ms=self.now * (draw.random() < cold))
-            for n in range(servers))
+            for n in range(servers)
+        )
         self.gateway.handle(self.now, api.ServerList(api.ListKind.FULL, entries))
 
     def ask(self, customer: int, kind: str = "k0") -> tuple[str, list[api.Action]]:
@@ -71,8 +72,9 @@
         sent = [action for action in actions if isinstance(action, api.Send)]
         if not sent:
             return self.gateway.handle(self.now, api.ClientGone(name))
-        return self.gateway.handle(self.now, api.Outcome(
-            name, number, sent[0].server, status, 20.0, status is api.Status.OK))
+        return self.gateway.handle(
+            self.now, api.Outcome(name, number, sent[0].server, status, 20.0, status is api.Status.OK)
+        )
 
     def measure(self) -> tuple[float, float]:
         """Median microseconds of a first decision, and of one after an attempt that may have run."""
--- a/quota_gateway/recording/random_driver.py
+++ b/quota_gateway/recording/random_driver.py
@@ -24,29 +24,63 @@
 
 def draw_settings(draw: random.Random) -> api.Settings:
     """Settings with every kind of class, quota and permission."""
-    kinds = [(effect, scope) for effect in api.Effect for scope in api.KeyScope
-             if effect is api.Effect.KEYED or scope is api.KeyScope.ALL]
+    kinds = [
+        (effect, scope)
+        for effect in api.Effect
+        for scope in api.KeyScope
+        if effect is api.Effect.KEYED or scope is api.KeyScope.ALL
+    ]
     classes = tuple(
-        api.RequestClass(f"k{n}", draw.choice((200.0, 500.0, 2000.0)), deadline_ms=4000.0, effect=effect,
-                         worth=draw.choice((0.5, 1.0, 3.0)), key_scope=scope, key_memory_ms=1500.0)
-        for n, (effect, scope) in enumerate(kinds))
+        api.RequestClass(
+            f"k{n}",
+            draw.choice((200.0, 500.0, 2000.0)),
+            deadline_ms=4000.0,
+            effect=effect,
+            worth=draw.choice((0.5, 1.0, 3.0)),
+            key_scope=scope,
+            key_memory_ms=1500.0,
+        )
+        for n, (effect, scope) in enumerate(kinds)
+    )
     plans = (
         api.Plan("rate", rate=draw.uniform(2.0, 40.0), burst=draw.uniform(2.0, 40.0)),
         api.Plan("thin", rate=1.0, burst=2.0, price=2.0),
         api.Plan("cap", max_in_flight=draw.randint(1, 8)),
-        api.Plan("both", rate=20.0, burst=20.0, max_in_flight=6, ceiling_rate=draw.uniform(5.0, 30.0),
-                 ceiling_burst=30.0),
+        api.Plan(
+            "both",
+            rate=20.0,
+            burst=20.0,
+            max_in_flight=6,
+            ceiling_rate=draw.uniform(5.0, 30.0),
+            ceiling_burst=30.0,
+        ),
         api.Plan("free"),
     )
     limits = api.Limits(
-        max_attempts=draw.randint(1, 4), may_duplicate=draw.random() < 0.5, can_cancel=draw.random() < 0.7,
-        can_advise_retry=draw.random() < 0.7, max_retry_after_ms=800.0)
+        max_attempts=draw.randint(1, 4),
+        may_duplicate=draw.random() < 0.5,
+        can_cancel=draw.random() < 0.7,
+        can_advise_retry=draw.random() < 0.7,
+        max_retry_after_ms=800.0,
+    )
     contract = api.Contract(8.0, 500.0, draw.choice((0.2, 1.0)), 5000.0, 3.0, 2000.0, 10_000.0)
     return api.Settings(
-        gateways=draw.randint(1, 6), index=0, zone="a", classes=classes, plans=plans, limits=limits,
-        contract=contract, discovery=draw.choice(list(api.DiscoveryMode)), load_fields=("util", "queue"),
-        meter_period_ms=1000.0, largest_units=6.0, settles=True, tick_ms=2.0,
-        cross_zone_price=draw.choice((0.0, 0.05)), handshake_price=draw.choice((0.0, 0.02)))
+        gateways=draw.randint(1, 6),
+        index=0,
+        zone="a",
+        classes=classes,
+        plans=plans,
+        limits=limits,
+        contract=contract,
+        discovery=draw.choice(list(api.DiscoveryMode)),
+        load_fields=("util", "queue"),
+        meter_period_ms=1000.0,
+        largest_units=6.0,
+        settles=True,
+        tick_ms=2.0,
+        cross_zone_price=draw.choice((0.0, 0.05)),
+        handshake_price=draw.choice((0.0, 0.02)),
+    )
 
 
 class World:
@@ -62,8 +96,16 @@
         self.servers = draw.choice((2, 8, 25, MOST_SERVERS))
         self.handed = False
         self.steps: list[tuple[int, Callable[[], None]]] = [
-            (40, self._ask), (40, self._end), (12, self._wait), (3, self._list), (2, self._leave),
-            (2, self._link), (1, self._stream), (1, self._by_hand), (1, self._change), (1, self._upgrade),
+            (40, self._ask),
+            (40, self._end),
+            (12, self._wait),
+            (3, self._list),
+            (2, self._leave),
+            (2, self._link),
+            (1, self._stream),
+            (1, self._by_hand),
+            (1, self._change),
+            (1, self._upgrade),
             (1, self._odd),
         ]
         self._do(api.ServerList(api.ListKind.CACHED, tuple(map(self._entry, range(self.servers)))))
@@ -88,9 +130,19 @@
         self.asked += 1
         plan, kind = self.draw.choice(self.first.plans), self.draw.choice(self.first.classes)
         number = min(int(self.draw.expovariate(0.2)), CUSTOMERS)
-        self._do(api.Request(
-            f"r{self.asked}", kind.name, plan.name, f"c{number}", self.draw.uniform(20.0, 4000.0),
-            self.draw.choice((1.0, 1.0, 2.0, 6.0)), self.draw.randint(1, 6), 0, self.draw.random() < 0.1))
+        self._do(
+            api.Request(
+                f"r{self.asked}",
+                kind.name,
+                plan.name,
+                f"c{number}",
+                self.draw.uniform(20.0, 4000.0),
+                self.draw.choice((1.0, 1.0, 2.0, 6.0)),
+                self.draw.randint(1, 6),
+                0,
+                self.draw.random() < 0.1,
+            )
+        )
 
     def _end(self) -> None:
         if not self.out:
@@ -114,8 +166,9 @@
     def _entry(self, number: int) -> api.ServerEntry:
         started = self.draw.choice((0.0, 0.0, 0.0, max(0.0, self.now - self.draw.uniform(0.0, 6000.0))))
         state = self.draw.choice((*[api.ServerState.READY] * 8, *api.ServerState))
-        return api.ServerEntry(number, ZONES[number % len(ZONES)], cell=number % 5, state=state,
-                               started_ms=started)
+        return api.ServerEntry(
+            number, ZONES[number % len(ZONES)], cell=number % 5, state=state, started_ms=started
+        )
 
     def _list(self) -> None:
         kind = self.draw.choice((*[api.ListKind.CHANGES] * 5, *api.ListKind))
@@ -148,11 +201,17 @@
 
     def _change(self) -> None:
         """Other numbers, and some classes and plans gone or back; the first of each stays."""
+
         def other(plan: api.Plan) -> api.Plan:
             factor = self.draw.choice((0.5, 1.0, 2.0))
             cap = max(1, int(plan.max_in_flight * factor)) if plan.max_in_flight else 0
-            return replace(plan, rate=plan.rate * factor, max_in_flight=cap,
-                           ceiling_rate=plan.ceiling_rate * factor, ceiling_burst=plan.ceiling_burst * factor)
+            return replace(
+                plan,
+                rate=plan.rate * factor,
+                max_in_flight=cap,
+                ceiling_rate=plan.ceiling_rate * factor,
+                ceiling_burst=plan.ceiling_burst * factor,
+            )
 
         def some(items: tuple[T, ...]) -> tuple[T, ...]:
             return tuple(item for n, item in enumerate(items) if not n or self.draw.random() < 0.8)
@@ -164,11 +223,20 @@
     def _odd(self) -> None:
         """What nobody should send, or nobody asked for: it must neither crash nor count."""
         server, name = self.draw.randrange(2 * self.servers), f"r{max(1, self.asked)}"
-        self._do(self.draw.choice((
-            api.ProbeResult(server, api.Status.OK, 5.0, (0.1, 3.0)), api.PeerMessage(1, b"x"),
-            api.CounterReply(1, api.Status.OK, 2.0, 3.0), api.TimerFired(10**9),
-            api.Outcome("nobody", 0, server, api.Status.OK, 5.0), api.StreamStarted("nobody", 0, server, 5.0),
-            api.Request(name, "k0", "free", "c1", 500.0), api.Request("x", "unknown", "free", "c1", 500.0))))
+        self._do(
+            self.draw.choice(
+                (
+                    api.ProbeResult(server, api.Status.OK, 5.0, (0.1, 3.0)),
+                    api.PeerMessage(1, b"x"),
+                    api.CounterReply(1, api.Status.OK, 2.0, 3.0),
+                    api.TimerFired(10**9),
+                    api.Outcome("nobody", 0, server, api.Status.OK, 5.0),
+                    api.StreamStarted("nobody", 0, server, 5.0),
+                    api.Request(name, "k0", "free", "c1", 500.0),
+                    api.Request("x", "unknown", "free", "c1", 500.0),
+                )
+            )
+        )
 
     def stop(self) -> None:
         """The gateway is to end, and requests go on coming for a while."""
--- a/quota_gateway/rollout/__main__.py
+++ b/quota_gateway/rollout/__main__.py
@@ -93,9 +93,11 @@
         put(wish_path(plan), word.encode())
         click.echo(f"{word}: left for the controller")
 
-    help_text = {"pause": "Stop where it is; what is on trial stays on trial.",
-                 "resume": "Go on after a halt; the stage is watched anew.",
-                 "back": "All that was changed goes back."}[word]
+    help_text = {
+        "pause": "Stop where it is; what is on trial stays on trial.",
+        "resume": "Go on after a halt; the stage is watched anew.",
+        "back": "All that was changed goes back.",
+    }[word]
     return click.command(word, help=help_text)(leave)
 
 
@@ -107,7 +109,7 @@
     """Each member's standing, by name."""
     found = {member.name: "as before" for member in plan.members}
     found |= dict.fromkeys(state.touched, "being changed") | dict.fromkeys(state.changed, "changed")
-    for stage in (state.begun.stages if state.begun else [])[:state.stage]:
+    for stage in (state.begun.stages if state.begun else [])[: state.stage]:
         found |= {name: "kept" for name in stage if name in state.changed}
     return found | {name: "back" if is_back else "given up" for name, is_back in state.back.items()}
 
@@ -119,12 +121,21 @@
     """Where it stands, by member."""
     plan = _load(file)
     state = _state(plan)
-    word = ("not begun" if state.begun is None else state.outcome or (state.turned and "going back")
-            or (state.halted and "halted") or f"stage {state.stage}")
+    word = (
+        "not begun"
+        if state.begun is None
+        else state.outcome
+        or (state.turned and "going back")
+        or (state.halted and "halted")
+        or f"stage {state.stage}"
+    )
     rows, why = standing(plan, state), state.halted or state.turned
     if as_json:
-        click.echo(msgspec.json.encode({
-            "rollout": plan.name, "state": word, "why": why, "stage": state.stage, "members": rows}))
+        click.echo(
+            msgspec.json.encode(
+                {"rollout": plan.name, "state": word, "why": why, "stage": state.stage, "members": rows}
+            )
+        )
         return
     table = Table("member", "zone", "standing", title=f"{plan.name}: {word}{f', {why}' if why else ''}")
     for member in plan.members:
@@ -140,8 +151,16 @@
 def trial(rollouts: int, members: int, rate: float, harms: tuple[str, ...]) -> None:
     """How often the judge stops for nothing, and how soon it finds harm: in virtual time, all cores."""
     title = f"{rollouts} rollouts each, {members} members, {rate:g} requests a second each"
-    table = Table("the change does", *(word.value for word in Word if word is not Word.WAIT), "can't tell",
-                  "stage", "s until", "hurt: median", "95th", title=title)
+    table = Table(
+        "the change does",
+        *(word.value for word in Word if word is not Word.WAIT),
+        "can't tell",
+        "stage",
+        "s until",
+        "hurt: median",
+        "95th",
+        title=title,
+    )
     with ProcessPoolExecutor() as pool:
         for harm in harms or HARMS:
             plays = list(pool.map(partial(play, harm, members, rate), range(rollouts), chunksize=10))
@@ -149,8 +168,10 @@
             row = ["-"] * 4
             if stopped:
                 middle, late = stopped[len(stopped) // 2], stopped[int(0.95 * len(stopped))]
-                stages, seconds = (median(figures) for figures in zip(
-                    *((one.stage, one.seconds) for one in stopped), strict=True))
+                stages, seconds = (
+                    median(figures)
+                    for figures in zip(*((one.stage, one.seconds) for one in stopped), strict=True)
+                )
                 row = [f"{stages:g}", f"{seconds:g}", str(middle.requests), str(late.requests)]
             counts = Counter(one.word for one in plays)
             words = (Word.FINE, Word.WORSE, Word.TROUBLE, Word.WAIT)
--- a/quota_gateway/rollout/admin_clients.py
+++ b/quota_gateway/rollout/admin_clients.py
@@ -48,7 +48,8 @@
         Raises AwayError or FencedError: looking tells it, too.
         """
         answer = await self._exchange(
-            name, door or self.at[name], f"AS {self.token} {line}" if self.fenced else line)
+            name, door or self.at[name], f"AS {self.token} {line}" if self.fenced else line
+        )
         yes, _, text = answer.partition(" ")
         if yes not in ("YES", "NO"):
             raise AwayError(f"{name}: no door's answer")
--- a/quota_gateway/rollout/canary_analysis.py
+++ b/quota_gateway/rollout/canary_analysis.py
@@ -103,7 +103,9 @@
 def events(figures: Figures, slow_from: int) -> dict[str, int]:
     """How many of a window's requests each measure counts."""
     return {
-        "refused": figures.refused, "failed": figures.failed, "late": figures.late,
+        "refused": figures.refused,
+        "failed": figures.failed,
+        "late": figures.late,
         "slow": sum(n for step, n in figures.latency.items() if step >= slow_from),
         "resent": max(0, figures.attempts - figures.asked),
     }
@@ -128,8 +130,9 @@
     if difference <= 0.0 or variance == inf:
         return -inf
     spread = scale * scale
-    return (0.5 * log(variance / (variance + spread))
-            + difference * difference * spread / (2.0 * variance * (variance + spread)))
+    return 0.5 * log(variance / (variance + spread)) + difference * difference * spread / (
+        2.0 * variance * (variance + spread)
+    )
 
 
 def most(difference: float, variance: float, scale: float, bar: float) -> float:
@@ -228,8 +231,12 @@
             changed, changed_variance = self._step(True, measure)
             others, others_variance = self._step(False, measure)
             variance = (changed_variance + others_variance) * self.spread[measure]
-            figures = {"measure": measure, "changed": round(changed, 5), "others": round(others, 5),
-                       "error": round(sqrt(variance), 5) if variance < inf else None}
+            figures = {
+                "measure": measure,
+                "changed": round(changed, 5),
+                "others": round(others, 5),
+                "error": round(sqrt(variance), 5) if variance < inf else None,
+            }
             more = changed - others
             if self._enough(True, measure) and evidence(more, variance, self.worse.scale) > self.bar:
                 return Finding(Word.WORSE, f"{measure}: {more:+.4f} against the others", figures)
@@ -259,8 +266,11 @@
         for figures in moment:
             for step, n in figures.latency.items():
                 latency[step] = latency.get(step, 0) + n
-        sums.append(Figures(latency=latency, **{
-            name: sum(getattr(figures, name) for figures in moment) for name in names}))
+        sums.append(
+            Figures(
+                latency=latency, **{name: sum(getattr(figures, name) for figures in moment) for name in names}
+            )
+        )
     return sums
 
 
@@ -285,8 +295,10 @@
 
 def blocks(pairs: list[tuple[int, int]], row: int) -> list[tuple[int, int]]:
     """So many windows in a row as one; what is left over at the end is not used."""
-    return [(sum(n for n, _ in pairs[at:at + row]), sum(asked for _, asked in pairs[at:at + row]))
-            for at in range(0, len(pairs) - row + 1, row)]
+    return [
+        (sum(n for n, _ in pairs[at : at + row]), sum(asked for _, asked in pairs[at : at + row]))
+        for at in range(0, len(pairs) - row + 1, row)
+    ]
 
 
 def _dispersion(counts: list[list[tuple[int, int]]]) -> float:
--- a/quota_gateway/rollout/canary_trial.py
+++ b/quota_gateway/rollout/canary_trial.py
@@ -56,15 +56,33 @@
             served = asked - refused
             ms = self.draw.lognormal(*LATENCY, served) * (1.0 + worse.slower)
             counts = np.bincount(np.clip((4.0 * np.log2(np.maximum(1.0, ms))).astype(int), 0, 68))
-            yield name, Figures(asked=asked, served=served, refused=refused, attempts=asked, latency={
-                int(step): int(counts[step]) for step in np.flatnonzero(counts)})
+            yield (
+                name,
+                Figures(
+                    asked=asked,
+                    served=served,
+                    refused=refused,
+                    attempts=asked,
+                    latency={int(step): int(counts[step]) for step in np.flatnonzero(counts)},
+                ),
+            )
 
 
 class Rollout:
     """One rollout: ``sizes`` has how many are changed by the end of each stage; looked at each second."""
 
-    def __init__(self, seed: int, harm: Harm, members: int, rate: float, watch_s: float, longest_s: float,
-                 least: int, worse: Worse, sizes: tuple[int, ...]) -> None:
+    def __init__(
+        self,
+        seed: int,
+        harm: Harm,
+        members: int,
+        rate: float,
+        watch_s: float,
+        longest_s: float,
+        least: int,
+        worse: Worse,
+        sizes: tuple[int, ...],
+    ) -> None:
         self.fleet, self.harm = Fleet(np.random.default_rng(seed), members, rate), harm
         self.watch_s, self.longest_s, self.least = watch_s, longest_s, least
         self.worse, self.sizes = worse, sizes
@@ -74,7 +92,7 @@
         """To the end, or to the first stage that is not found fine."""
         names, word, number = self.fleet.names, Word.FINE, 0
         for number, size in enumerate(self.sizes):
-            earlier = set(names[:self.sizes[number - 1]] if number else ())
+            earlier = set(names[: self.sizes[number - 1]] if number else ())
             changed = set(names[:size])
             blamed = changed if size < len(names) else changed - earlier
             word = self._stage(earlier, changed, blamed)
@@ -112,8 +130,12 @@
 
 
 HARMS = {
-    "nothing": Harm(), "1% more refused": Harm(0.01), "2% more refused": Harm(0.02),
-    "5% more refused": Harm(0.05), "10% more refused": Harm(0.1), "10% slower": Harm(0.0, 0.1),
+    "nothing": Harm(),
+    "1% more refused": Harm(0.01),
+    "2% more refused": Harm(0.02),
+    "5% more refused": Harm(0.05),
+    "10% more refused": Harm(0.1),
+    "10% slower": Harm(0.0, 0.1),
     "30% slower": Harm(0.0, 0.3),
 }
 
--- a/quota_gateway/rollout/change_strategy.py
+++ b/quota_gateway/rollout/change_strategy.py
@@ -102,8 +102,9 @@
         return before, after
 
     def outdated(self) -> bool:
-        return any(digest(self.file(self.plan.settings, name)) != after
-                   for name, after in self.begun().after.items())
+        return any(
+            digest(self.file(self.plan.settings, name)) != after for name, after in self.begun().after.items()
+        )
 
     async def apply(self, name: str) -> int:
         begun, config = self.begun(), self.config(self.members[name])
--- a/quota_gateway/rollout/controller.py
+++ b/quota_gateway/rollout/controller.py
@@ -93,8 +93,14 @@
         self.doors.fenced = False  # a rollout that may not begin must not stop another that runs
         before, after = await self.way.check()
         self.doors.fenced = True
-        self.note(told.Begun, plan=self.plan.name, fingerprint=fingerprint(self.plan),
-                  stages=self.plan.staged(), before=before, after=after)
+        self.note(
+            told.Begun,
+            plan=self.plan.name,
+            fingerprint=fingerprint(self.plan),
+            stages=self.plan.staged(),
+            before=before,
+            after=after,
+        )
 
     def _same_plan(self) -> None:
         if self.way.begun().fingerprint != fingerprint(self.plan):
@@ -138,13 +144,18 @@
         self.note(told.Baseline, stage=stage, measured=before)
 
     def _judge(self, stage: int, before: Before) -> Judge:
-        return Judge(self._blamed(stage), before, self.plan.worse, len(self.way.begun().stages),
-                     self.plan.least_requests)
+        return Judge(
+            self._blamed(stage),
+            before,
+            self.plan.worse,
+            len(self.way.begun().stages),
+            self.plan.least_requests,
+        )
 
     def _blamed(self, stage: int) -> set[str]:
         """Whose figures are the change's: all that have it, as harm may come late, while others are left."""
         stages = self.way.begun().stages
-        changed = {name for names in stages[:stage + 1] for name in names}
+        changed = {name for names in stages[: stage + 1] for name in names}
         return changed if len(changed) < len(self.members) else set(stages[stage])
 
     async def _change(self, names: list[str]) -> None:
@@ -198,10 +209,14 @@
 
     async def _broken(self, changed: set[str]) -> Finding | None:
         """What needs no figures: a changed member that died, or takes memory; one that is away for long."""
-        new = {name: figures.pid for name, figures in self.last.items()
-               if figures.pid != (self.state.changed.get(name) or self.first.get(name, figures).pid)}
-        why = next((f"{name} has started anew, as process {new[name]}"
-                    for name in sorted(new.keys() & changed)), "")
+        new = {
+            name: figures.pid
+            for name, figures in self.last.items()
+            if figures.pid != (self.state.changed.get(name) or self.first.get(name, figures).pid)
+        }
+        why = next(
+            (f"{name} has started anew, as process {new[name]}" for name in sorted(new.keys() & changed)), ""
+        )
         for name in sorted(changed & self.away_since.keys()):
             why = why or await self.way.failed(name)
         others = sorted((new.keys() | self.away_since.keys()) - changed)
@@ -212,8 +227,10 @@
         return self._memory(changed) or self._away(changed)
 
     def _memory(self, changed: set[str]) -> Finding | None:
-        growth = {name: figures.memory_kb - self.first.get(name, figures).memory_kb
-                  for name, figures in self.last.items()}
+        growth = {
+            name: figures.memory_kb - self.first.get(name, figures).memory_kb
+            for name, figures in self.last.items()
+        }
         usual = max((kb for name, kb in growth.items() if name not in changed), default=0)
         for name in sorted(changed & growth.keys()):
             if growth[name] - usual > 1024.0 * self.plan.worse.memory_mb:
@@ -262,6 +279,7 @@
             async def once() -> None:
                 if not await self.way.keep(name):
                     gone_back.append(name)
+
             await self._until_back(once, self.plan.member_s)
 
         try:
@@ -381,5 +399,3 @@
     except OSError:
         return ""
     return word if word in WISHES else ""
-
-
--- a/quota_gateway/rollout/journal.py
+++ b/quota_gateway/rollout/journal.py
@@ -181,7 +181,7 @@
     at = 0
     while at + HEAD.size <= len(raw):
         length, checksum = HEAD.unpack_from(raw, at)
-        body = raw[at + HEAD.size:at + HEAD.size + length]
+        body = raw[at + HEAD.size : at + HEAD.size + length]
         if len(body) < length or zlib.crc32(body) != checksum:
             return
         at += HEAD.size + length
@@ -238,7 +238,7 @@
             raise JournalError("a record too long")
         data = memoryview(HEAD.pack(len(body), zlib.crc32(body)) + body)
         while data:
-            data = data[os.write(self.file, data):]
+            data = data[os.write(self.file, data) :]
         os.fsync(self.file)
         self.state.take(record)
 
--- a/quota_gateway/rollout/launcher.py
+++ b/quota_gateway/rollout/launcher.py
@@ -130,12 +130,24 @@
                 raise Refused(f"a process has {door} and says nothing")
             click.echo("running")
             return
-        environment = {**os.environ, "EDGE_CONFIG": str(config.resolve()), "EDGE_ADMIN": door,
-                       "EDGE_NAME": name, "TMPDIR": str(tmp.resolve())}
+        environment = {
+            **os.environ,
+            "EDGE_CONFIG": str(config.resolve()),
+            "EDGE_ADMIN": door,
+            "EDGE_NAME": name,
+            "TMPDIR": str(tmp.resolve()),
+        }
         with log.open("ab") as sink:
             child = subprocess.Popen(
-                ["/bin/sh", "-c", command], cwd=folder, env=environment, stdin=subprocess.DEVNULL,
-                stdout=sink, stderr=sink, start_new_session=True, pass_fds=(place.file,))
+                ["/bin/sh", "-c", command],
+                cwd=folder,
+                env=environment,
+                stdin=subprocess.DEVNULL,
+                stdout=sink,
+                stderr=sink,
+                start_new_session=True,
+                pass_fds=(place.file,),
+            )
         os.pwrite(place.file, b"%020d" % child.pid, 0)
         if not _up(place, child):
             child.kill()
--- a/quota_gateway/rollout/plan.py
+++ b/quota_gateway/rollout/plan.py
@@ -94,13 +94,24 @@
         return Path(self.folder) / text.format(name=name)
 
     def words(
-        self, call: tuple[str, ...], member: Member, version: Version, door: str, token: int,
+        self,
+        call: tuple[str, ...],
+        member: Member,
+        version: Version,
+        door: str,
+        token: int,
     ) -> list[str]:
         """A command for the platform, with its fields filled in."""
         fields = {
-            "name": member.name, "zone": member.zone, "door": door, "token": token,
-            "config": self.path(member.config, member.name), "tmp": self.path(member.folder, member.name),
-            "folder": self.path(version.folder), "command": version.command}
+            "name": member.name,
+            "zone": member.zone,
+            "door": door,
+            "token": token,
+            "config": self.path(member.config, member.name),
+            "tmp": self.path(member.folder, member.name),
+            "folder": self.path(version.folder),
+            "command": version.command,
+        }
         return [word.format(**fields) for word in call]
 
     def staged(self) -> list[list[str]]:
@@ -144,12 +155,14 @@
         """Whether some set that this place belongs to would be out altogether."""
         count = len(self.members)
         width = min(self.spread, count)
-        return any(all((first + n) % count in out for n in range(width))
-                   for first in range(at - width + 1, at + 1))
+        return any(
+            all((first + n) % count in out for n in range(width)) for first in range(at - width + 1, at + 1)
+        )
 
 
 def spaced(names: list[str]) -> list[str]:
     """The same names, so that those who follow each other stand apart: 0, half, a quarter, and so on."""
+
     def reverse(number: int, bits: int) -> int:
         return int(format(number, f"0{bits}b")[::-1], 2)
 
@@ -173,8 +186,11 @@
 def _fault(plan: Plan) -> str:
     """What types can't tell; empty if nothing is wrong."""
     doors = [door for member in plan.members for door in (member.door, member.next_door) if door]
-    for field, values in (("name", [member.name for member in plan.members]), ("door", doors),
-                          ("config", [member.config for member in plan.members])):
+    for field, values in (
+        ("name", [member.name for member in plan.members]),
+        ("door", doors),
+        ("config", [member.config for member in plan.members]),
+    ):
         twice = next((value for value, n in Counter(values).items() if n > 1), None)
         if twice is not None:
             return f"two members have {field} {twice!r} - at `$.members`"
--- a/quota_gateway/rollout/program_change.py
+++ b/quota_gateway/rollout/program_change.py
@@ -28,8 +28,19 @@
 
 LAUNCH = (sys.executable, "-m", "quota_gateway.rollout.launcher")
 PLACE = ("--door", "{door}", "--tmp", "{tmp}", "--token", "{token}")
-START = (*LAUNCH, "start", *PLACE, "--name", "{name}", "--folder", "{folder}", "--command", "{command}",
-         "--config", "{config}")
+START = (
+    *LAUNCH,
+    "start",
+    *PLACE,
+    "--name",
+    "{name}",
+    "--folder",
+    "{folder}",
+    "--command",
+    "{command}",
+    "--config",
+    "{config}",
+)
 STOP = (*LAUNCH, "stop", *PLACE)
 ABOUT_S = 20.0  # for a version to say what it hands over, and to check a file
 PLATFORM_S = 30.0  # for the platform to start or to stop a process
@@ -113,8 +124,9 @@
 
     async def _ask(self, version: Version, words: str) -> tuple[int, str]:
         """Exit code and last line of a version's command with other words."""
-        return await said_by(["/bin/sh", "-c", f"{version.command} {words}"], ABOUT_S,
-                             self.plan.path(version.folder))
+        return await said_by(
+            ["/bin/sh", "-c", f"{version.command} {words}"], ABOUT_S, self.plan.path(version.folder)
+        )
 
     async def _is(self, name: str, version: Version) -> None:
         """Raises RefusedError where the process that is asked is known to be of another version."""
@@ -138,7 +150,8 @@
     async def both(self, name: str) -> tuple[Stand, Stand]:
         """What its doors say: where it was before, and where it is to be."""
         here, there = await asyncio.gather(
-            self.stand(name, self.begun().before[name]), self.stand(name, self.begun().after[name]))
+            self.stand(name, self.begun().before[name]), self.stand(name, self.begun().after[name])
+        )
         return here, there
 
     # ---- The way there
@@ -247,7 +260,11 @@
             raise AwayError(f"{name}: its process at {door} can't be ended: {said}")
 
     async def _platform(
-        self, call: tuple[str, ...], name: str, version: Version, door: str,
+        self,
+        call: tuple[str, ...],
+        name: str,
+        version: Version,
+        door: str,
     ) -> tuple[int, str]:
         words = self.plan.words(call, self.members[name], version, door, self.doors.token)
         return await said_by(words, PLATFORM_S)
@@ -257,8 +274,12 @@
     """Exit code and last line of a command; it is ended with whoever asked, or when its time is up."""
     try:
         child = await asyncio.create_subprocess_exec(
-            *words, cwd=folder, stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.PIPE,
-            stderr=asyncio.subprocess.STDOUT)
+            *words,
+            cwd=folder,
+            stdin=asyncio.subprocess.DEVNULL,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.STDOUT,
+        )
     except OSError as error:
         return 127, str(error)
     try:
--- a/quota_gateway/simulation/day.py
+++ b/quota_gateway/simulation/day.py
@@ -135,8 +135,19 @@
         customer = wish.customer
         self.tries[one.name] = (one, wish)
         patience = one.deadline - one.taken
-        self.do(api.Request(one.name, wish.kind.name, customer.tariff.name, customer.name, patience,
-                            one.units, customer.width, customer.first, retry))
+        self.do(
+            api.Request(
+                one.name,
+                wish.kind.name,
+                customer.tariff.name,
+                customer.name,
+                patience,
+                one.units,
+                customer.width,
+                customer.first,
+                retry,
+            )
+        )
 
     def do(self, event: api.Event) -> None:
         """Hand an event to the decisions, and carry out what they want."""
@@ -259,9 +270,15 @@
         loads = [server.served for server in self.servers.values()]
         mean = sum(loads) / len(loads)
         return Result(
-            self.seed, self.ledger.offered, dict(sorted(self.ledger.lines.items())),
-            dict(sorted(self.referee.broken.items())), self.referee.told, self.requests, self.attempts,
-            max(loads) / mean if mean else 0.0)
+            self.seed,
+            self.ledger.offered,
+            dict(sorted(self.ledger.lines.items())),
+            dict(sorted(self.referee.broken.items())),
+            self.referee.told,
+            self.requests,
+            self.attempts,
+            max(loads) / mean if mean else 0.0,
+        )
 
     # ---- Clients and the front
 
@@ -335,13 +352,13 @@
             self.asking = trouble.factor
             self.clock.after(lasts, setattr, self, "asking", 1.0)
         elif trouble.kind == "kill":
-            for index in draw.permutation(len(self.nodes))[:round(trouble.share * len(self.nodes))]:
+            for index in draw.permutation(len(self.nodes))[: round(trouble.share * len(self.nodes))]:
                 self.nodes[index].kill()
                 self.clock.after(self.world.down + float(draw.uniform(0.0, lasts)), self.nodes[index].start)
         else:
             servers = [s for s in self.servers.values() if trouble.zone in ("", s.entry.zone)]
             share = 1.0 if trouble.zone else trouble.share
-            for index in draw.permutation(len(servers))[:round(share * len(servers))]:
+            for index in draw.permutation(len(servers))[: round(share * len(servers))]:
                 self._trouble_at(trouble, servers[index], lasts)
 
     def _trouble_at(self, trouble: Trouble, server: Server, lasts: float) -> None:
@@ -349,8 +366,11 @@
             at = float(self.draw["troubles"].uniform(0.0, lasts))
             self.clock.after(at, self._drain, server)
             return
-        name, value = {"slow": ("slow", trouble.factor), "fail": ("failing", True),
-                       "silent": ("silent", True)}[trouble.kind]
+        name, value = {
+            "slow": ("slow", trouble.factor),
+            "fail": ("failing", True),
+            "silent": ("silent", True),
+        }[trouble.kind]
         before = getattr(server, name)
         setattr(server, name, value)
         self.clock.after(lasts, setattr, server, name, before)
--- a/quota_gateway/simulation/referee.py
+++ b/quota_gateway/simulation/referee.py
@@ -63,8 +63,9 @@
         if one.kind.effect is api.Effect.UNSAFE or now - at >= one.kind.key_memory_ms:
             return False
         a, b = first.entry, server.entry
-        return (one.kind.key_scope is api.KeyScope.ALL or
-                (a.zone == b.zone and (one.kind.key_scope is api.KeyScope.ZONE or a.cell == b.cell)))
+        return one.kind.key_scope is api.KeyScope.ALL or (
+            a.zone == b.zone and (one.kind.key_scope is api.KeyScope.ZONE or a.cell == b.cell)
+        )
 
     def _tip(self, one: Try, server: Server, work: float, now: float) -> None:
         """The work sent to a cold server in a window stays under multiple x capacity x window."""
--- a/quota_gateway/simulation/world.py
+++ b/quota_gateway/simulation/world.py
@@ -109,21 +109,50 @@
         """What the gateway with this number is told."""
         machines = self.machines
         return api.Settings(
-            gateways=self.gateways, index=index, zone=self.zones[index % len(self.zones)],
-            classes=tuple(api.RequestClass(
-                kind.name, kind.aim, kind.deadline, api.Effect(kind.effect), worth=kind.worth,
-                key_scope=api.KeyScope(kind.key_scope), key_memory_ms=kind.key_memory)
-                for kind in self.kinds),
-            plans=tuple(api.Plan(
-                plan.name, plan.rate, plan.burst, plan.max_in_flight, plan.price, over_cost=0.5,
-                ceiling_rate=plan.ceiling_rate, ceiling_burst=plan.ceiling_burst,
-                ceiling_slack=plan.ceiling_slack) for plan in self.tariffs),
+            gateways=self.gateways,
+            index=index,
+            zone=self.zones[index % len(self.zones)],
+            classes=tuple(
+                api.RequestClass(
+                    kind.name,
+                    kind.aim,
+                    kind.deadline,
+                    api.Effect(kind.effect),
+                    worth=kind.worth,
+                    key_scope=api.KeyScope(kind.key_scope),
+                    key_memory_ms=kind.key_memory,
+                )
+                for kind in self.kinds
+            ),
+            plans=tuple(
+                api.Plan(
+                    plan.name,
+                    plan.rate,
+                    plan.burst,
+                    plan.max_in_flight,
+                    plan.price,
+                    over_cost=0.5,
+                    ceiling_rate=plan.ceiling_rate,
+                    ceiling_burst=plan.ceiling_burst,
+                    ceiling_slack=plan.ceiling_slack,
+                )
+                for plan in self.tariffs
+            ),
             limits=api.Limits(
-                max_attempts=3, can_cancel=True, can_advise_retry=True, max_retry_after_ms=2000.0),
+                max_attempts=3, can_cancel=True, can_advise_retry=True, max_retry_after_ms=2000.0
+            ),
             contract=api.Contract(
-                SLACK, DRAIN_GRACE, machines.cold_share, machines.warm_up, machines.tip_multiple,
-                machines.tip_window, 10_000.0),
-            meter_period_ms=self.meter_period, tick_ms=1.0)
+                SLACK,
+                DRAIN_GRACE,
+                machines.cold_share,
+                machines.warm_up,
+                machines.tip_multiple,
+                machines.tip_window,
+                10_000.0,
+            ),
+            meter_period_ms=self.meter_period,
+            tick_ms=1.0,
+        )
 
 
 SLACK = 20.0  # ms by which an answer may come after its deadline
--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -16,14 +16,21 @@
 from quota_gateway.settings_reader import Fields, settings_from
 
 STATUS = {
-    200: api.Status.OK, 500: api.Status.ERROR, 503: api.Status.FULL, 504: api.Status.TIMEOUT,
-    502: api.Status.CONNECT_FAILED, 598: api.Status.RESET, 499: api.Status.CANCELLED,
+    200: api.Status.OK,
+    500: api.Status.ERROR,
+    503: api.Status.FULL,
+    504: api.Status.TIMEOUT,
+    502: api.Status.CONNECT_FAILED,
+    598: api.Status.RESET,
+    499: api.Status.CANCELLED,
     410: api.Status.NOT_SENT,
 }
 STATE = {"U": api.ServerState.READY, "L": api.ServerState.DRAINING, "D": api.ServerState.GONE}
 LIST_KIND = {
-    "Partial": api.ListKind.CHANGES, "Complete": api.ListKind.FULL,
-    "Persisted": api.ListKind.CACHED, "Error": api.ListKind.FAILED,
+    "Partial": api.ListKind.CHANGES,
+    "Complete": api.ListKind.FULL,
+    "Persisted": api.ListKind.CACHED,
+    "Error": api.ListKind.FAILED,
 }
 
 
@@ -33,8 +40,13 @@
 
 def _entry(row: Fields) -> api.ServerEntry:
     return api.ServerEntry(
-        server=row["server"], zone=row["locality"], kind=row["generation_hw"], cell=row["cluster"],
-        state=STATE[row["phase"]], size=row["size"], started_ms=row["since_ms"] or 0.0,
+        server=row["server"],
+        zone=row["locality"],
+        kind=row["generation_hw"],
+        cell=row["cluster"],
+        state=STATE[row["phase"]],
+        size=row["size"],
+        started_ms=row["since_ms"] or 0.0,
     )
 
 
@@ -44,15 +56,30 @@
 
 def _request(f: Fields) -> api.Request:
     return api.Request(
-        f["op_id"], f["priority"], f["plan"], f["member"], f["patience_left_ms"], f["units"],
-        f["width"], f["base"], bool(f["retry"]), bool(f["update"]),
+        f["op_id"],
+        f["priority"],
+        f["plan"],
+        f["member"],
+        f["patience_left_ms"],
+        f["units"],
+        f["width"],
+        f["base"],
+        bool(f["retry"]),
+        bool(f["update"]),
     )
 
 
 def _outcome(f: Fields) -> api.Outcome:
     return api.Outcome(
-        f["op_id"], f["seq_no"], f["server"], STATUS[f["code"]], f["delay_seen_ms"], bool(f["final"]),
-        f["metered"] - 1 if f["metered"] else None, f["final_units"] or None, _load(f["gauge"]),
+        f["op_id"],
+        f["seq_no"],
+        f["server"],
+        STATUS[f["code"]],
+        f["delay_seen_ms"],
+        bool(f["final"]),
+        f["metered"] - 1 if f["metered"] else None,
+        f["final_units"] or None,
+        _load(f["gauge"]),
     )
 
 
@@ -63,10 +90,12 @@
     "Vanished": lambda f: api.ClientGone(f["op_id"]),
     "Flowing": lambda f: api.StreamStarted(f["op_id"], f["seq_no"], f["server"], f["delay_seen_ms"]),
     "Sampled": lambda f: api.ProbeResult(
-        f["server"], STATUS[f["code"]], f["delay_seen_ms"], _load(f["gauge"])),
+        f["server"], STATUS[f["code"]], f["delay_seen_ms"], _load(f["gauge"])
+    ),
     "Memo": lambda f: api.PeerMessage(f["origin_peer"], bytes.fromhex(f["body"])),
     "Reckoned": lambda f: api.CounterReply(
-        f["counter_key"], STATUS[f["code"]], f["reading"] or 0.0, f["delay_seen_ms"]),
+        f["counter_key"], STATUS[f["code"]], f["reading"] or 0.0, f["delay_seen_ms"]
+    ),
 }
 
 ACTIONS: dict[type, Callable[[Any], tuple[str, Fields]]] = {
@@ -82,7 +111,9 @@
     api.CloseIdle: lambda a: ("DropConns", {"server": a.server}),
     api.TellPeer: lambda a: ("Share", {"dst": a.peer, "body": a.data.hex()}),
     api.CounterAdd: lambda a: (
-        "Add", {"counter_key": a.name, "add": a.amount, "expire_in_ms": a.lifetime_ms}),
+        "Add",
+        {"counter_key": a.name, "add": a.amount, "expire_in_ms": a.lifetime_ms},
+    ),
 }
 
 
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -9,5 +9,21 @@
 from quota_gateway.state.settings_epochs import Epochs
 from quota_gateway.state.views import Views
 
-__all__ = ["Context", "Customer", "Epochs", "Fleet", "Flight", "Group", "Hand", "Key", "Latencies", "Mark",
-           "Moment", "Reports", "Server", "Shares", "Tally", "Views"]
+__all__ = [
+    "Context",
+    "Customer",
+    "Epochs",
+    "Fleet",
+    "Flight",
+    "Group",
+    "Hand",
+    "Key",
+    "Latencies",
+    "Mark",
+    "Moment",
+    "Reports",
+    "Server",
+    "Shares",
+    "Tally",
+    "Views",
+]
--- a/quota_gateway/state/endpoints.py
+++ b/quota_gateway/state/endpoints.py
@@ -104,7 +104,7 @@
         """The ready servers of a group but for those tried. A group is made once for each list."""
         found = self._groups.get(key)
         if found is None:
-            servers = [s for s in self.ready if key == (s.zone, s.cell)[:len(key)]]
+            servers = [s for s in self.ready if key == (s.zone, s.cell)[: len(key)]]
             found = self._groups[key] = servers, {server.id: n for n, server in enumerate(servers)}
         servers, places = found
         return Others(servers, places, sorted(places[number] for number in tried if number in places))
@@ -114,9 +114,9 @@
         if width >= 1.0:
             return self.cold
         phases, high = self._phases, low + width
-        found = phases[bisect_left(phases, (low, -1)):bisect_left(phases, (high, -1))]
+        found = phases[bisect_left(phases, (low, -1)) : bisect_left(phases, (high, -1))]
         if high > 1.0:
-            found += phases[:bisect_left(phases, (high - 1.0, -1))]
+            found += phases[: bisect_left(phases, (high - 1.0, -1))]
         return [self.cold[place] for place in sorted(place for _, place in found)]
 
     def due(self, now: float) -> Server | None:
--- a/quota_gateway/state/rows.py
+++ b/quota_gateway/state/rows.py
@@ -24,9 +24,27 @@
 class Customer:
     """What this gateway knows of one customer."""
 
-    __slots__ = ("excess", "touched", "largest", "width", "used", "used_at", "out", "ceiling", "ceiling_at",
-                 "asked", "asked_at", "key", "held", "elsewhere", "span", "epoch", "strict", "strict_epoch",
-                 "older")
+    __slots__ = (
+        "excess",
+        "touched",
+        "largest",
+        "width",
+        "used",
+        "used_at",
+        "out",
+        "ceiling",
+        "ceiling_at",
+        "asked",
+        "asked_at",
+        "key",
+        "held",
+        "elsewhere",
+        "span",
+        "epoch",
+        "strict",
+        "strict_epoch",
+        "older",
+    )
 
     def __init__(self, key: Key, now: float, ceiling: float, epoch: int) -> None:
         self.key = key
@@ -51,8 +69,24 @@
 class Server:
     """What this gateway knows of one server."""
 
-    __slots__ = ("id", "zone", "cell", "ready", "started", "out", "ratio", "ratio_at", "queue", "queue_at",
-                 "marks", "phase", "listed", "back", "owed_at", "linked")
+    __slots__ = (
+        "id",
+        "zone",
+        "cell",
+        "ready",
+        "started",
+        "out",
+        "ratio",
+        "ratio_at",
+        "queue",
+        "queue_at",
+        "marks",
+        "phase",
+        "listed",
+        "back",
+        "owed_at",
+        "linked",
+    )
 
     def __init__(self, entry: ServerEntry, phase: float) -> None:
         self.id = entry.server
@@ -78,12 +112,34 @@
 class Flight:
     """A request in hand: held, parked or out, or answered with attempts still out."""
 
-    __slots__ = ("request", "kind", "plan", "customer", "arrived", "deadline", "sends", "out", "tried",
-                 "closed", "maybe_ran", "streaming", "waiting", "turn", "keys", "epoch")
+    __slots__ = (
+        "request",
+        "kind",
+        "plan",
+        "customer",
+        "arrived",
+        "deadline",
+        "sends",
+        "out",
+        "tried",
+        "closed",
+        "maybe_ran",
+        "streaming",
+        "waiting",
+        "turn",
+        "keys",
+        "epoch",
+    )
 
     def __init__(
-        self, request: Request, kind: RequestClass, plan: Plan, customer: Customer, now: float,
-        turn: float, epoch: int,
+        self,
+        request: Request,
+        kind: RequestClass,
+        plan: Plan,
+        customer: Customer,
+        now: float,
+        turn: float,
+        epoch: int,
     ) -> None:
         self.request, self.kind, self.plan, self.customer = request, kind, plan, customer
         self.arrived, self.deadline, self.epoch = now, now + request.patience_ms, epoch
--- a/quota_gateway/state/settings_epochs.py
+++ b/quota_gateway/state/settings_epochs.py
@@ -35,21 +35,26 @@
         return self.plans.get(name) or self.retired.get(name)
 
     def turn(
-        self, now: float, plans: dict[str, Plan], gateways: int, news_ms: float, keys: Iterable[Key],
+        self,
+        now: float,
+        plans: dict[str, Plan],
+        gateways: int,
+        news_ms: float,
+        keys: Iterable[Key],
     ) -> None:
         """Begin a new epoch. The customers with these keys lag behind from now on."""
         before = self.retired | self.plans
         self.past.append(Past(now, before, self.gateways, news_ms))
         self.epoch += 1
         self.retired = {name: plan for name, plan in before.items() if name not in plans}
-        for name in list(self.retired)[:-self.most_retired]:
+        for name in list(self.retired)[: -self.most_retired]:
             del self.retired[name]
         self.plans, self.gateways = plans, gateways
         self.lagging = list(keys)
 
     def behind(self, epoch: int) -> list[tuple[Past, int]]:
         """What held since an epoch, oldest first, each with the number of gateways that came after it."""
-        past = self.past[epoch - self.epoch:] if epoch < self.epoch else []
+        past = self.past[epoch - self.epoch :] if epoch < self.epoch else []
         after = [item.gateways for item in past[1:]] + [self.gateways]
         return list(zip(past, after, strict=False))
 
--- a/quota_gateway/state_document.py
+++ b/quota_gateway/state_document.py
@@ -19,8 +19,19 @@
 from quota_gateway.state.rows import Customer, Key, Mark, Moment, Server
 
 MOST_CUSTOMERS = 20_000  # of a document, the last touched: some 4 MB
-FIGURES = ("excess", "touched", "largest", "width", "used", "used_at", "ceiling", "ceiling_at", "asked",
-           "asked_at", "elsewhere")
+FIGURES = (
+    "excess",
+    "touched",
+    "largest",
+    "width",
+    "used",
+    "used_at",
+    "ceiling",
+    "ceiling_at",
+    "asked",
+    "asked_at",
+    "elsewhere",
+)
 Document = dict[str, Any]
 
 
@@ -32,8 +43,12 @@
     return {
         "customers": rows[::-1],
         "servers": {names[s.id]: _server(s) for s in gateway.servers.values() if s.id in names},
-        "latency": gateway.latency, "pool": gateway.pool, "retries": gateway.retries,
-        "sends": gateway.sends, "started_at": gateway.started_at, "marks": gateway.marks,
+        "latency": gateway.latency,
+        "pool": gateway.pool,
+        "retries": gateway.retries,
+        "sends": gateway.sends,
+        "started_at": gateway.started_at,
+        "marks": gateway.marks,
         "fresh": gateway.fresh,
         "quick": {kind: [names[n] for n in known if n in names] for kind, known in gateway.quick.items()},
     }
@@ -47,9 +62,17 @@
 
 
 def _server(server: Server) -> Document:
-    return {"ratio": server.ratio, "ratio_at": server.ratio_at, "queue": server.queue,
-            "queue_at": server.queue_at, "marks": server.marks, "phase": server.phase,
-            "back": server.back, "owed_at": server.owed_at, "started": server.started}
+    return {
+        "ratio": server.ratio,
+        "ratio_at": server.ratio_at,
+        "queue": server.queue,
+        "queue_at": server.queue_at,
+        "marks": server.marks,
+        "phase": server.phase,
+        "back": server.back,
+        "owed_at": server.owed_at,
+        "started": server.started,
+    }
 
 
 def load(gateway: Gateway, document: Document, numbers: Mapping[str, int]) -> None:
@@ -68,14 +91,21 @@
             made.ceiling = min(made.ceiling, gateway.plans[plan].ceiling_burst / made.width)
             customers[made.key] = made
     latency = {kind: _number(document["latency"].get(kind, mean)) for kind, mean in gateway.latency.items()}
-    servers = {numbers[name]: _read_server(row) for name, row in document["servers"].items()
-               if numbers.get(name) in gateway.servers}
+    servers = {
+        numbers[name]: _read_server(row)
+        for name, row in document["servers"].items()
+        if numbers.get(name) in gateway.servers
+    }
     marks = _marks(document["marks"])
     figures = [_number(document[name]) for name in ("pool", "retries", "sends", "started_at")]
-    quick = {kind: [numbers[name] for name in document["quick"].get(kind, ()) if name in numbers]
-             for kind in gateway.quick}
-    fresh = {str(name): (_number(level), _number(at))
-             for name, (level, at, *_) in document.get("fresh", {}).items()}
+    quick = {
+        kind: [numbers[name] for name in document["quick"].get(kind, ()) if name in numbers]
+        for kind in gateway.quick
+    }
+    fresh = {
+        str(name): (_number(level), _number(at))
+        for name, (level, at, *_) in document.get("fresh", {}).items()
+    }
     # All of it could be read: from here on nothing fails.
     gateway.fresh = fresh
     gateway.customers, gateway.latency, gateway.marks = customers, latency, marks
@@ -104,12 +134,16 @@
 
 
 def _marks(rows: Any) -> dict[str, Mark]:
-    return {str(key): (_number(bad), _number(seen), _moment(then))
-            for key, (bad, seen, then, *_) in rows.items()}
+    return {
+        str(key): (_number(bad), _number(seen), _moment(then)) for key, (bad, seen, then, *_) in rows.items()
+    }
 
 
 def _read_server(row: Document) -> Document:
     names = ("ratio", "queue", "phase", "back", "owed_at", "started")
     read: Document = {name: _number(row[name]) for name in names}
-    return read | {"ratio_at": _moment(row["ratio_at"]), "queue_at": _moment(row["queue_at"]),
-                   "marks": _marks(row["marks"])}
+    return read | {
+        "ratio_at": _moment(row["ratio_at"]),
+        "queue_at": _moment(row["queue_at"]),
+        "marks": _marks(row["marks"]),
+    }
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -46,10 +46,16 @@
     Plan("capped-wide", max_in_flight=60),
 )
 SETTINGS = Settings(
-    gateways=2, index=0, zone="a", classes=CLASSES, plans=PLANS,
+    gateways=2,
+    index=0,
+    zone="a",
+    classes=CLASSES,
+    plans=PLANS,
     limits=Limits(max_attempts=3, can_cancel=True),
     contract=Contract(8.0, 500.0, 0.2, 10_000.0, 3.0, 2000.0, 10_000.0),
-    meter_period_ms=1000.0, largest_units=4, tick_ms=2.0,
+    meter_period_ms=1000.0,
+    largest_units=4,
+    tick_ms=2.0,
 )
 
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -32,7 +32,9 @@
 
 LIMIT_S = 60.0  # generous: a test that takes so long hangs
 SETTINGS = Settings(
-    gateways=2, index=0, zone="a",
+    gateways=2,
+    index=0,
+    zone="a",
     classes=(
         RequestClass("read", 2000.0, 4000.0, Effect.SAFE),
         RequestClass("post", 2000.0, 4000.0, Effect.KEYED, key_scope=KeyScope.ZONE, key_memory_ms=6000.0),
@@ -41,7 +43,9 @@
     plans=(Plan("free"), Plan("tiny", rate=0.001, burst=2.0)),
     limits=Limits(max_attempts=3, can_cancel=True, connect_timeout_ms=2000.0),
     contract=Contract(8.0, 1000.0, 0.2, 10_000.0, 3.0, 2000.0, 10_000.0),
-    load_fields=("utilisation", "queue"), meter_period_ms=1000.0, tick_ms=2.0,
+    load_fields=("utilisation", "queue"),
+    meter_period_ms=1000.0,
+    tick_ms=2.0,
 )
 
 
@@ -64,8 +68,9 @@
 
 def array(value: bytes, used: bytes | None = None, load: bytes | None = None) -> bytes:
     """A good answer of a server."""
-    parts = [b"$-1\r\n" if part is None else b"$%d\r\n%b\r\n" % (len(part), part)
-             for part in (value, used, load)]
+    parts = [
+        b"$-1\r\n" if part is None else b"$%d\r\n%b\r\n" % (len(part), part) for part in (value, used, load)
+    ]
     return b"*3\r\n" + b"".join(parts)
 
 
@@ -224,8 +229,16 @@
 
 
 def row(name: str, port: int, state: str = "Ready", started: int = 0) -> dict[str, Any]:
-    return {"instanceId": name, "hostPort": f"127.0.0.1:{port}", "zone": "a", "machineType": "m", "cell": 0,
-            "lifecycle": state, "weight": 1.0, "startedAtMs": started}
+    return {
+        "instanceId": name,
+        "hostPort": f"127.0.0.1:{port}",
+        "zone": "a",
+        "machineType": "m",
+        "cell": 0,
+        "lifecycle": state,
+        "weight": 1.0,
+        "startedAtMs": started,
+    }
 
 
 class Raw:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -48,13 +48,25 @@
     return made
 
 
-@pytest.mark.parametrize("line, begins", [
-    (b"HEALTH\n", b"YES"), (b"HEALTH\r\n", b"YES"), (b" health \n", b"YES"), (b"OFFLINE s-1\n", b"YES"),
-    (b"OFFLINE s-2\n", b"NO nobody"), (b"OFFLINE\n", b"NO "), (b"OFFLINE s-1 s-1\n", b"NO "),
-    (b"HEALTH s-1\n", b"NO "), (b"\n", b"NO "), (b"NONSENSE\n", b"NO "), (b"\xff\x00\xfe\n", b"NO "),
-    (b"LEAVE\n", b"NO failed"), (b"OFFLINE " + b"x" * 300 + b"\n", b"NO the line"),
-    (b"x" * 300, b"NO the line"),
-])
+@pytest.mark.parametrize(
+    "line, begins",
+    [
+        (b"HEALTH\n", b"YES"),
+        (b"HEALTH\r\n", b"YES"),
+        (b" health \n", b"YES"),
+        (b"OFFLINE s-1\n", b"YES"),
+        (b"OFFLINE s-2\n", b"NO nobody"),
+        (b"OFFLINE\n", b"NO "),
+        (b"OFFLINE s-1 s-1\n", b"NO "),
+        (b"HEALTH s-1\n", b"NO "),
+        (b"\n", b"NO "),
+        (b"NONSENSE\n", b"NO "),
+        (b"\xff\x00\xfe\n", b"NO "),
+        (b"LEAVE\n", b"NO failed"),
+        (b"OFFLINE " + b"x" * 300 + b"\n", b"NO the line"),
+        (b"x" * 300, b"NO the line"),
+    ],
+)
 def test_one_line_in_one_line_out_and_then_it_closes(line, begins):
     async def test():
         door = await a_door()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -17,9 +17,13 @@
 from quota_gateway.settings_reader import settings_from
 
 GOOD = {
-    "name": "n0", "listen": "127.0.0.1:6379", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
+    "name": "n0",
+    "listen": "127.0.0.1:6379",
+    "discovery": "127.0.0.1:8500",
+    "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-    "known": {"generation": 1, "reset": True, "instances": []}, "settings": ENV,
+    "known": {"generation": 1, "reset": True, "instances": []},
+    "settings": ENV,
 }
 ABSENT = object()
 
@@ -58,53 +62,113 @@
         config.values["discovery"] = "x"
 
 
-@pytest.mark.parametrize("path, value, told", [
-    (("settings", "tariffs", 0, "refill"), -1,
-     "settings.tariffs[0].refill: -1, want a number of at least 0"),
-    (("settings", "tariffs", 0, "refill"), True, "settings.tariffs[0].refill: true, want a number"),
-    (("settings", "tariffs", 0, "refill"), "2", 'settings.tariffs[0].refill: "2", want a number'),
-    (("settings", "tariffs", 0, "refill"), None, "settings.tariffs[0].refill: null, want a number"),
-    (("settings", "tariffs", 0, "refill"), float("nan"), "settings.tariffs[0].refill: NaN, want a finite"),
-    (("settings", "tariffs", 0, "refill"), float("inf"), "settings.tariffs[0].refill: Infinity, want a fin"),
-    (("settings", "tariffs", 0, "refill"), 10**13, "settings.tariffs[0].refill: 10000000000000, want a numb"),
-    (("settings", "tariffs", 0, "most_at_once"), 0, "settings.tariffs[0].most_at_once: 0, want a number abo"),
-    (("settings", "tariffs", 0, "parallel"), 1.5, "settings.tariffs[0].parallel: 1.5, want a whole number"),
-    (("settings", "tariffs", 0), {**ENV["tariffs"][0], "cap_rate": 1.0, "cap_depth": 9.0},
-     "settings.tariffs[0].cap_rate: 1.0, want a ceiling not below the quota"),
-    (("settings", "tariffs", 0), {**ENV["tariffs"][0], "cap_rate": 9.0, "cap_depth": 1.0},
-     "settings.tariffs[0].cap_depth: 1.0, want a ceiling not below the quota"),
-    (("settings", "tariffs", 0), 7, "settings.tariffs[0]: 7, want a table"),
-    (("settings", "tariffs"), {}, "settings.tariffs: {}, want a list of 1 to 256 tables"),
-    (("settings", "tariffs"), [], "settings.tariffs: [], want a list"),
-    (("settings", "tariffs"), [ENV["tariffs"][0]] * 2, 'settings.tariffs[1].name: "basic", want a name that'),
-    (("settings", "tariffs"), [ENV["tariffs"][0]] * 300, "settings.tariffs: [{"),
-    (("settings", "services", 0, "effect"), "maybe", 'settings.services[0].effect: "maybe", want one of'),
-    (("settings", "services", 0, "effect"), ["safe"], 'settings.services[0].effect: ["safe"], want one of'),
-    (("settings", "services", 0, "slo_ms"), 0, "settings.services[0].slo_ms: 0, want a number above 0"),
-    (("settings", "services", 0, "stream"), 1, "settings.services[0].stream: 1, want true or false"),
-    (("settings", "services", 0, "name"), "", 'settings.services[0].name: "", want a printable text'),
-    (("settings", "services", 0, "name"), "a\nb", 'settings.services[0].name: "a\\nb", want a printable'),
-    (("settings", "services", 0, "name"), "x" * 300, 'settings.services[0].name: "xxx'),
-    (("settings", "services", 0, "name"), "\ud800", 'settings.services[0].name: "\\ud800", want a printable'),
-    (("settings", "slot_no"), 2, "settings.slot_no: 2, want a number below balancers"),
-    (("settings", "balancers"), 0, "settings.balancers: 0, want a number of at least 1"),
-    (("settings", "contract", "start_capacity"), 1.5, "settings.contract.start_capacity: 1.5, want a number"),
-    (("settings", "contract"), [], "settings.contract: [], want a table"),
-    (("settings", "contract"), ABSENT, "settings.contract: missing, want a table"),
-    (("settings", "limits", "attempts_cap"), 0, "settings.limits.attempts_cap: 0, want a number of at least"),
-    (("settings", "load_info", "names"), "busy", 'settings.load_info.names: "busy", want a list of texts'),
-    (("settings", "goal"), {"whole": float("-inf")}, "settings.goal.whole: -Infinity, want a finite number"),
-    (("settings",), ABSENT, "settings: missing, want a table"),
-    (("discovery",), "127.0.0.1", 'discovery: "127.0.0.1", want host:port'),
-    (("discovery",), "127.0.0.1:70000", 'discovery: "127.0.0.1:70000", want host:port'),
-    (("discovery",), ":8500", 'discovery: ":8500", want host:port'),
-    (("listen",), 6379, "listen: 6379, want host:port"),
-    (("admin",), "nowhere", 'admin: "nowhere", want host:port'),
-    (("name",), ABSENT, "name: missing, want a printable text"),
-    (("seed",), "0xg", 'seed: "0xg", want 1 to 64 hexadecimal digits'),
-    (("limits", "sockets"), 0, "limits.sockets: 0, want a number of at least 1"),
-    (("limits",), ABSENT, "limits: missing, want a table"),
-])
+@pytest.mark.parametrize(
+    "path, value, told",
+    [
+        (
+            ("settings", "tariffs", 0, "refill"),
+            -1,
+            "settings.tariffs[0].refill: -1, want a number of at least 0",
+        ),
+        (("settings", "tariffs", 0, "refill"), True, "settings.tariffs[0].refill: true, want a number"),
+        (("settings", "tariffs", 0, "refill"), "2", 'settings.tariffs[0].refill: "2", want a number'),
+        (("settings", "tariffs", 0, "refill"), None, "settings.tariffs[0].refill: null, want a number"),
+        (
+            ("settings", "tariffs", 0, "refill"),
+            float("nan"),
+            "settings.tariffs[0].refill: NaN, want a finite",
+        ),
+        (
+            ("settings", "tariffs", 0, "refill"),
+            float("inf"),
+            "settings.tariffs[0].refill: Infinity, want a fin",
+        ),
+        (
+            ("settings", "tariffs", 0, "refill"),
+            10**13,
+            "settings.tariffs[0].refill: 10000000000000, want a numb",
+        ),
+        (
+            ("settings", "tariffs", 0, "most_at_once"),
+            0,
+            "settings.tariffs[0].most_at_once: 0, want a number abo",
+        ),
+        (
+            ("settings", "tariffs", 0, "parallel"),
+            1.5,
+            "settings.tariffs[0].parallel: 1.5, want a whole number",
+        ),
+        (
+            ("settings", "tariffs", 0),
+            {**ENV["tariffs"][0], "cap_rate": 1.0, "cap_depth": 9.0},
+            "settings.tariffs[0].cap_rate: 1.0, want a ceiling not below the quota",
+        ),
+        (
+            ("settings", "tariffs", 0),
+            {**ENV["tariffs"][0], "cap_rate": 9.0, "cap_depth": 1.0},
+            "settings.tariffs[0].cap_depth: 1.0, want a ceiling not below the quota",
+        ),
+        (("settings", "tariffs", 0), 7, "settings.tariffs[0]: 7, want a table"),
+        (("settings", "tariffs"), {}, "settings.tariffs: {}, want a list of 1 to 256 tables"),
+        (("settings", "tariffs"), [], "settings.tariffs: [], want a list"),
+        (
+            ("settings", "tariffs"),
+            [ENV["tariffs"][0]] * 2,
+            'settings.tariffs[1].name: "basic", want a name that',
+        ),
+        (("settings", "tariffs"), [ENV["tariffs"][0]] * 300, "settings.tariffs: [{"),
+        (("settings", "services", 0, "effect"), "maybe", 'settings.services[0].effect: "maybe", want one of'),
+        (
+            ("settings", "services", 0, "effect"),
+            ["safe"],
+            'settings.services[0].effect: ["safe"], want one of',
+        ),
+        (("settings", "services", 0, "slo_ms"), 0, "settings.services[0].slo_ms: 0, want a number above 0"),
+        (("settings", "services", 0, "stream"), 1, "settings.services[0].stream: 1, want true or false"),
+        (("settings", "services", 0, "name"), "", 'settings.services[0].name: "", want a printable text'),
+        (("settings", "services", 0, "name"), "a\nb", 'settings.services[0].name: "a\\nb", want a printable'),
+        (("settings", "services", 0, "name"), "x" * 300, 'settings.services[0].name: "xxx'),
+        (
+            ("settings", "services", 0, "name"),
+            "\ud800",
+            'settings.services[0].name: "\\ud800", want a printable',
+        ),
+        (("settings", "slot_no"), 2, "settings.slot_no: 2, want a number below balancers"),
+        (("settings", "balancers"), 0, "settings.balancers: 0, want a number of at least 1"),
+        (
+            ("settings", "contract", "start_capacity"),
+            1.5,
+            "settings.contract.start_capacity: 1.5, want a number",
+        ),
+        (("settings", "contract"), [], "settings.contract: [], want a table"),
+        (("settings", "contract"), ABSENT, "settings.contract: missing, want a table"),
+        (
+            ("settings", "limits", "attempts_cap"),
+            0,
+            "settings.limits.attempts_cap: 0, want a number of at least",
+        ),
+        (
+            ("settings", "load_info", "names"),
+            "busy",
+            'settings.load_info.names: "busy", want a list of texts',
+        ),
+        (
+            ("settings", "goal"),
+            {"whole": float("-inf")},
+            "settings.goal.whole: -Infinity, want a finite number",
+        ),
+        (("settings",), ABSENT, "settings: missing, want a table"),
+        (("discovery",), "127.0.0.1", 'discovery: "127.0.0.1", want host:port'),
+        (("discovery",), "127.0.0.1:70000", 'discovery: "127.0.0.1:70000", want host:port'),
+        (("discovery",), ":8500", 'discovery: ":8500", want host:port'),
+        (("listen",), 6379, "listen: 6379, want host:port"),
+        (("admin",), "nowhere", 'admin: "nowhere", want host:port'),
+        (("name",), ABSENT, "name: missing, want a printable text"),
+        (("seed",), "0xg", 'seed: "0xg", want 1 to 64 hexadecimal digits'),
+        (("limits", "sockets"), 0, "limits.sockets: 0, want a number of at least 1"),
+        (("limits",), ABSENT, "limits: missing, want a table"),
+    ],
+)
 def test_fault_is_told_once_with_its_path_its_value_and_what_was_expected(path, value, told):
     (fault,) = faults(changed(path, value))
     assert fault.startswith(told) and ", want " in fault
@@ -114,25 +178,41 @@
     document = changed(("settings", "tariffs", 0, "refill"), -1)
     document = changed(("settings", "services", 0, "effect"), 3, changed(("discovery",), "", document))
     assert [fault.split(":")[0] for fault in faults(document)] == [
-        "discovery", "settings.services[0].effect", "settings.tariffs[0].refill"]
-
-
-@pytest.mark.parametrize("text, path", [
-    (b'{"name": "a", "name": "b"}', "name"), (b'{"settings": {"goal": {"x": 1, "x": 1}}}', "settings.goal.x"),
-    (b'{"settings": {"tariffs": [{"refill": 1, "refill": 2}]}}', "settings.tariffs[0].refill"),
-])
+        "discovery",
+        "settings.services[0].effect",
+        "settings.tariffs[0].refill",
+    ]
+
+
+@pytest.mark.parametrize(
+    "text, path",
+    [
+        (b'{"name": "a", "name": "b"}', "name"),
+        (b'{"settings": {"goal": {"x": 1, "x": 1}}}', "settings.goal.x"),
+        (b'{"settings": {"tariffs": [{"refill": 1, "refill": 2}]}}', "settings.tariffs[0].refill"),
+    ],
+)
 def test_name_that_stands_twice_is_a_fault(text, path):
-    assert any(fault.startswith(f"{path}: ") and fault.endswith("want each name once")
-               for fault in faults(text))
-
-
-@pytest.mark.parametrize("text, told, torn", [
-    (b"", "the file is empty", True), (b" \n", "the file is empty", True), (raw(GOOD)[:-9], "not JSON", True),
-    (b"\xff\xfe", "not JSON", True), (raw(GOOD) + b"}", "not JSON", True), (b"[" * 100_000, "nested", False),
-    (b"9" * 5000, "not JSON", True), (b"[]", "the document: []", False),
-    (b"null", "the document: null", False),
-    (b'{"a":' * 40 + b"1" + b"}" * 40, "a.a.a", False),
-])
+    assert any(
+        fault.startswith(f"{path}: ") and fault.endswith("want each name once") for fault in faults(text)
+    )
+
+
+@pytest.mark.parametrize(
+    "text, told, torn",
+    [
+        (b"", "the file is empty", True),
+        (b" \n", "the file is empty", True),
+        (raw(GOOD)[:-9], "not JSON", True),
+        (b"\xff\xfe", "not JSON", True),
+        (raw(GOOD) + b"}", "not JSON", True),
+        (b"[" * 100_000, "nested", False),
+        (b"9" * 5000, "not JSON", True),
+        (b"[]", "the document: []", False),
+        (b"null", "the document: null", False),
+        (b'{"a":' * 40 + b"1" + b"}" * 40, "a.a.a", False),
+    ],
+)
 def test_what_is_no_document_is_told_and_whether_it_may_be_whole_a_little_later(text, told, torn):
     with pytest.raises(ConfigError) as caught:
         read(text, {})
@@ -151,12 +231,20 @@
 
 
 def test_environment_fills_gaps_and_comes_first_but_for_discovery_on_a_reload():
-    environment = {"EDGE_NAME": "n7", "EDGE_LISTEN": "127.0.0.1:1", "EDGE_DISCOVERY": "127.0.0.1:2",
-                   "EDGE_ADMIN": "127.0.0.1:3"}
+    environment = {
+        "EDGE_NAME": "n7",
+        "EDGE_LISTEN": "127.0.0.1:1",
+        "EDGE_DISCOVERY": "127.0.0.1:2",
+        "EDGE_ADMIN": "127.0.0.1:3",
+    }
     for document in (GOOD, {k: v for k, v in GOOD.items() if k not in ("name", "listen", "discovery")}):
         config = read(raw(document), environment)
         assert (config.name, config.listen[1], config.discovery[1], config.admin) == (
-            "n7", 1, 2, ("127.0.0.1", 3))
+            "n7",
+            1,
+            2,
+            ("127.0.0.1", 3),
+        )
     assert read(raw(GOOD), environment, reload=True).discovery == ("127.0.0.1", 8500)
     assert faults(GOOD, EDGE_ADMIN="x") == ['EDGE_ADMIN: "x", want host:port']
 
@@ -165,7 +253,9 @@
     before = read(raw(GOOD), {})
     after = read(raw(changed(("settings", "tariffs", 0, "refill"), 3, changed(("discovery",), "h:9"))), {})
     assert after.changes(before) == [
-        'discovery "127.0.0.1:8500" -> "h:9"', "settings.tariffs[basic].refill 2.0 -> 3"]
+        'discovery "127.0.0.1:8500" -> "h:9"',
+        "settings.tariffs[basic].refill 2.0 -> 3",
+    ]
     assert not after.changes(after) and not after.unchangeable(before)
 
 
@@ -180,7 +270,8 @@
 VALUES = st.recursive(
     st.none() | st.booleans() | st.floats() | st.integers() | st.text(max_size=5),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=5), inner, max_size=3),
-    max_leaves=6)
+    max_leaves=6,
+)
 
 
 def paths(value: object, at: tuple = ()) -> list[tuple]:
@@ -202,6 +293,7 @@
 
 # ---- Files
 
+
 def test_files_that_are_none_are_told_and_do_not_hold_the_gateway(tmp_path):
     os.mkfifo(tmp_path / "pipe")  # opening it to read would wait for a writer
     (tmp_path / "large").write_bytes(b" " * 10 * 1024 * 1024)
--- a/tests/test_connection_news.py
+++ b/tests/test_connection_news.py
@@ -106,9 +106,13 @@
             peer, other = await gateway.peer(), await gateway.peer()
             for number in (2, 3, 4):
                 assert await peer.ask(call(number)) == b"v"
-            assert await calls["POOLS"]("") == (True, (
-                "1 open (1 idle, 0 opening) of 2 to 1 servers; 1 handshakes, 2 reuses, 0 evicted, "
-                "0 turned away for want of room since the last look"))
+            assert await calls["POOLS"]("") == (
+                True,
+                (
+                    "1 open (1 idle, 0 opening) of 2 to 1 servers; 1 handshakes, 2 reuses, 0 evicted, "
+                    "0 turned away for want of room since the last look"
+                ),
+            )
             peer.send(call(1), call(17))
             await server.until(lambda: len(server.commands) == 5)
             assert "-BUSY" in await other.ask(call(5))  # no room for a third
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -170,12 +170,12 @@
         async with node(fake) as gateway:
             raw, command = await used(gateway), call(1)
             served = len(fake.commands)
-            raw.send(command[:20 * parts])
+            raw.send(command[: 20 * parts])
             (client,) = gateway.clients.connections
             await until(lambda: client.lengths.within() == bool(parts))
             gateway.clients.stop_listening()
             assert await raw.rest() == (b"", "end")
-            raw.send(command[20 * parts:], call(2))  # it crosses the end that the gateway has sent
+            raw.send(command[20 * parts :], call(2))  # it crosses the end that the gateway has sent
             await until(lambda: client.thrown >= len(command) - 20 * parts)
             raw.sock.close()
             await until(lambda: not gateway.clients.lingering)
@@ -265,10 +265,14 @@
     run(test())
 
 
-@pytest.mark.parametrize("more", [
-    [call(number) for number in range(MOST_PIPELINED, 200)],
-    [call(number, "buy", body=bytes(60_000)) for number in range(MOST_PIPELINED, MOST_PIPELINED + 4)],
-], ids=["many", "long"])
+@pytest.mark.parametrize(
+    "more",
+    [
+        [call(number) for number in range(MOST_PIPELINED, 200)],
+        [call(number, "buy", body=bytes(60_000)) for number in range(MOST_PIPELINED, MOST_PIPELINED + 4)],
+    ],
+    ids=["many", "long"],
+)
 def test_client_that_leaves_with_as_many_in_hand_as_may_be_is_noticed(more):
     async def test():
         fake = FakeServer(lambda words: None)
@@ -318,8 +322,11 @@
         fake = FakeServer(lambda words: array(b"v") if int(words[2], 16) not in first else None)
         async with node(fake, classes=classes) as gateway:
             raw = Raw(port(gateway))
-            raw.send(*(call(number, wait=60_000) for number in first),
-                     call(1000, kind, wait=6000), call(1001, kind, wait=1000))
+            raw.send(
+                *(call(number, wait=60_000) for number in first),
+                call(1000, kind, wait=6000),
+                call(1001, kind, wait=1000),
+            )
             await fake.until(lambda: len(fake.commands) == MOST_PIPELINED)
             (client,) = gateway.clients.connections
             assert client.full  # both are read, and wait
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -90,8 +90,7 @@
 
 
 async def let_go(gate: Gate) -> None:
-    """No socket's object holds a descriptor that the loop has closed: it would close it again, as another's.
-    """
+    """No socket object keeps a descriptor that the loop has closed: it would close another's later."""
     for _ in range(100):
         await asyncio.sleep(0)
     assert [sock.fileno() for sock in gate.sockets] == [-1] * len(gate.sockets)
@@ -232,6 +231,7 @@
 
 # ---- Answers
 
+
 def test_second_answer_that_comes_behind_the_next_command_is_not_taken_for_its_answer(monkeypatch):
     monkeypatch.setattr(module, "REST_S", 3600.0, raising=False)
 
@@ -267,8 +267,12 @@
 
 
 # A value that is longer than it declares, and figures that are: no line's end where one has to be.
-RUN_ON = [b"*3\r\n$4\r\nabcdef$-1\r\n$-1\r\n", b"*3\r\n$4\r\nabcd\r$$-1\r\n$-1\r\n",
-          b"*3\r\n$0\r\nx\n$-1\r\n$-1\r\n", b"*3\r\n$1\r\nv\r\n$4\r\ncost=1$-1\r\n"]
+RUN_ON = [
+    b"*3\r\n$4\r\nabcdef$-1\r\n$-1\r\n",
+    b"*3\r\n$4\r\nabcd\r$$-1\r\n$-1\r\n",
+    b"*3\r\n$0\r\nx\n$-1\r\n$-1\r\n",
+    b"*3\r\n$1\r\nv\r\n$4\r\ncost=1$-1\r\n",
+]
 
 
 @pytest.mark.parametrize("cut", [None, *range(1, 24)])
@@ -287,8 +291,12 @@
             peer.send(call(1, "buy"))
             await fake.until(lambda: len(fake.commands) == 1)
             if cut:
-                await until(lambda: not gateway.driver.calls
-                            or any(one.unread or one.head for one in gateway.servers.connections))
+                await until(
+                    lambda: (
+                        not gateway.driver.calls
+                        or any(one.unread or one.head for one in gateway.servers.connections)
+                    )
+                )
                 fake.writers[0].write(run_on[cut:])
             assert await peer.reply() == "-ERR failed"  # it may have run
             assert await peer.ask(call(2, "buy")) == b"%016x" % 2 and fake.by == [0, 1]
@@ -296,10 +304,21 @@
     run(test())
 
 
-@pytest.mark.parametrize("broken", [
-    b"+OK\r\n", b"$1\r\nv\r\n", b"*0\r\n", b"*1\r\n:5\r\n", b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", array(b"v") * 2,
-    array(b"v") + b"*3\r\n$1", b"+half a li", b"*3\r\n$1\r\nv\r\n$", *RUN_ON,
-])
+@pytest.mark.parametrize(
+    "broken",
+    [
+        b"+OK\r\n",
+        b"$1\r\nv\r\n",
+        b"*0\r\n",
+        b"*1\r\n:5\r\n",
+        b"*3\r\n$-1\r\n$-1\r\n$-1\r\n",
+        array(b"v") * 2,
+        array(b"v") + b"*3\r\n$1",
+        b"+half a li",
+        b"*3\r\n$1\r\nv\r\n$",
+        *RUN_ON,
+    ],
+)
 def test_connection_of_a_broken_answer_is_never_used_again(monkeypatch, broken):
     monkeypatch.setattr(module, "REST_S", 0.0, raising=False)
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -41,8 +41,9 @@
 
 def test_without_a_mishap_all_is_answered_by_whoever_took_it():
     model, world = Model(deaths=0), Model(deaths=0).first()
-    while steps := [to for what, to in model.steps(world) if what.startswith("gateway 0")
-                    and "stopped" not in what]:
+    while steps := [
+        to for what, to in model.steps(world) if what.startswith("gateway 0") and "stopped" not in what
+    ]:
         world = steps[0]
     whole = tuple((request, part, 1) for request in range(len(UNSAFE)) for part in range(HALVES))
     assert world.stream == whole
@@ -68,7 +69,7 @@
     left = 1 << 60
 
     def __setitem__(self, place, value):
-        value = bytes(value)[:self.left]
+        value = bytes(value)[: self.left]
         super().__setitem__(slice(place.start, place.start + len(value)), value)
         self.left -= len(value)
         if self.left <= 0:
@@ -113,8 +114,9 @@
     for _ in range(8):
         file = os.memfd_create("work")
         Record.create(file, 8, 400).close()
-        with subprocess.Popen([sys.executable, "-c", WRITES, str(file)], pass_fds=(file,), cwd=ROOT,
-                              stdout=subprocess.PIPE) as writer:
+        with subprocess.Popen(
+            [sys.executable, "-c", WRITES, str(file)], pass_fds=(file,), cwd=ROOT, stdout=subprocess.PIPE
+        ) as writer:
             assert writer.stdout and writer.stdout.readline() == b"up\n"
             record = Record.open(file)
             try:
@@ -124,8 +126,11 @@
         bodies = Record.open(file).read()
         counts = [int(body[:8]) for body in bodies.values() if body != b"begin"]
         assert len(bodies) == 8 and (not counts or max(counts) - min(counts) <= 1)
-        assert all(body in (b"begin", body[:8] * (1 + int(body[:8]) % 40))
-                   for body in bodies.values() if body != b"begin")
+        assert all(
+            body in (b"begin", body[:8] * (1 + int(body[:8]) % 40))
+            for body in bodies.values()
+            if body != b"begin"
+        )
         assert record.claim() == 2 and record.holder() == (2, os.getpid()) and record.claim() == 0
         record.close()
         os.close(file)
@@ -145,8 +150,16 @@
     file = os.memfd_create("work")
     Record.create(file, 1, 8).close()
     for number in (1, 2, 3):
-        racers = [subprocess.Popen([sys.executable, "-c", CLAIMS, str(file)], pass_fds=(file,), cwd=ROOT,
-                                   stdin=subprocess.PIPE, stdout=subprocess.PIPE) for _ in range(4)]
+        racers = [
+            subprocess.Popen(
+                [sys.executable, "-c", CLAIMS, str(file)],
+                pass_fds=(file,),
+                cwd=ROOT,
+                stdin=subprocess.PIPE,
+                stdout=subprocess.PIPE,
+            )
+            for _ in range(4)
+        ]
         try:
             for racer in racers:
                 racer.stdin.write(b"go\n")
@@ -239,7 +252,8 @@
     python = f"exec {sys.executable}"
     (tmp_path / "keeper.toml").write_text(
         f'command = "{python} {tmp_path}/bound.py {tmp_path}/end"\nfolder = "{ROOT}"\n'
-        'socket = "$TMPDIR/keeper.sock"\n')
+        'socket = "$TMPDIR/keeper.sock"\n'
+    )
 
     async def test():
         world = msgspec.structs.replace(SCENARIO.world, gateways=1, seconds=seconds)
@@ -300,8 +314,13 @@
         assert await rest.ask(call_of(1)) == b"0000000000000001"
         before, member = await made.pid(), made.member
         second = subprocess.run(
-            [sys.executable, "-m", "quota_gateway.failover", "run", tmp_path / "keeper.toml"], cwd=ROOT,
-            env={**os.environ, "TMPDIR": str(member.tmp)}, capture_output=True, text=True, check=False)
+            [sys.executable, "-m", "quota_gateway.failover", "run", tmp_path / "keeper.toml"],
+            cwd=ROOT,
+            env={**os.environ, "TMPDIR": str(member.tmp)},
+            capture_output=True,
+            text=True,
+            check=False,
+        )
         assert second.returncode == 2 and "another keeper has" in second.stderr
         member.process.signal(signal.SIGKILL)
         await member.process.child.wait()
--- a/tests/test_fault_bench.py
+++ b/tests/test_fault_bench.py
@@ -45,17 +45,26 @@
 ROOT = Path(__file__).parent.parent
 FLEET = ROOT / "examples" / "fault_bench" / "fleet.toml"
 WORLD = World(
-    gateways=3, machines=Machines(4), seconds=2.0, zones=("a", "b"),
-    kinds=(Kind("read", 300.0, 1500.0, 5.0, weight=4.0),
-           Kind("order", 300.0, 1500.0, 5.0, effect="keyed", key_scope="zone", key_memory=3000.0),
-           Kind("pay", 300.0, 1500.0, 5.0, effect="unsafe")),
-    tariffs=(Tariff("basis", customers=20, rate=20.0, burst=40.0),
-             Tariff("hard", 1, 1.0, 1.0, ceiling_rate=1.0, ceiling_burst=1.0)))
+    gateways=3,
+    machines=Machines(4),
+    seconds=2.0,
+    zones=("a", "b"),
+    kinds=(
+        Kind("read", 300.0, 1500.0, 5.0, weight=4.0),
+        Kind("order", 300.0, 1500.0, 5.0, effect="keyed", key_scope="zone", key_memory=3000.0),
+        Kind("pay", 300.0, 1500.0, 5.0, effect="unsafe"),
+    ),
+    tariffs=(
+        Tariff("basis", customers=20, rate=20.0, burst=40.0),
+        Tariff("hard", 1, 1.0, 1.0, ceiling_rate=1.0, ceiling_burst=1.0),
+    ),
+)
 SCENARIO = Scenario(WORLD, rate=120.0)
 
 
 # ---- The referee
 
+
 def asked(kind="read", t=1000.0, plan="basis", name="r1"):
     return seen.Asked(t, name, "w", "g0", kind, plan, "c", t, t + 1500.0, "k")
 
@@ -93,19 +102,54 @@
     ("resends", [asked("order"), at(), left(), at("s-2", 1030.0), how()]),  # the other zone
     ("refusals", [asked("pay"), at(), left(), how("busy")]),
     ("lost", [asked(), at(), seen.Resent(1050.0, "r1"), how("busy")]),
-    ("lost", [seen.Process(900.0, "g0", 7, "ended", 0), asked("order"), at(),
-              seen.Resent(1050.0, "r1"), at("s-2", 1060.0), how()]),  # the one that ended had nothing of it
+    (
+        "lost",
+        [
+            seen.Process(900.0, "g0", 7, "ended", 0),
+            asked("order"),
+            at(),
+            seen.Resent(1050.0, "r1"),
+            at("s-2", 1060.0),
+            how(),
+        ],
+    ),  # the one that ended had nothing of it
     ("refusals", [asked("order"), seen.Resent(1005.0, "r1"), at(), how("busy")]),
-    ("resends", [asked("order"), at(), seen.Resent(1050.0, "r1"), at("s-3", 1060.0), at("s-2", 1070.0), how(),
-                 seen.Process(1150.0, "g0", 7, "ended", 0)]),  # twice by the one that lives
+    (
+        "resends",
+        [
+            asked("order"),
+            at(),
+            seen.Resent(1050.0, "r1"),
+            at("s-3", 1060.0),
+            at("s-2", 1070.0),
+            how(),
+            seen.Process(1150.0, "g0", 7, "ended", 0),
+        ],
+    ),  # twice by the one that lives
     ("drains", [*draining(), asked(), at(), how()]),
-    ("drains", [seen.ServerIs(0.0, "s-1", "b", "draining", 0.0, 1.0), asked(t=7000.0), at(t=7010.0),
-                how(t=7020.0)]),  # nobody was told, and it counts as told
-    ("cold servers", [seen.ServerIs(1000.0, "s-1", "b", "ready", 1000.0, 1.0),
-                      *(record for n in range(3000) for record in (
-                          asked(name=f"n{n}"), at(name=f"n{n}"), how(name=f"n{n}")))]),
-    ("ceilings", [record for n in range(4) for record in (
-        asked(plan="hard", name=f"n{n}"), at(name=f"n{n}"), how(name=f"n{n}"))]),
+    (
+        "drains",
+        [seen.ServerIs(0.0, "s-1", "b", "draining", 0.0, 1.0), asked(t=7000.0), at(t=7010.0), how(t=7020.0)],
+    ),  # nobody was told, and it counts as told
+    (
+        "cold servers",
+        [
+            seen.ServerIs(1000.0, "s-1", "b", "ready", 1000.0, 1.0),
+            *(
+                record
+                for n in range(3000)
+                for record in (asked(name=f"n{n}"), at(name=f"n{n}"), how(name=f"n{n}"))
+            ),
+        ],
+    ),
+    (
+        "ceilings",
+        [
+            record
+            for n in range(4)
+            for record in (asked(plan="hard", name=f"n{n}"), at(name=f"n{n}"), how(name=f"n{n}"))
+        ],
+    ),
     ("crash", [seen.Process(1000.0, "g0", 7, "ended", 1)]),
 ]
 FINE = [
@@ -117,8 +161,14 @@
     [*draining(600.0), asked(), at(), how()],  # within the grace
     [seen.Process(1000.0, "g0", 7, "ended", 0)],
     [asked("order"), at(), seen.Resent(1050.0, "r1"), how("busy"), seen.Process(1150.0, "g0", 7, "ended", 0)],
-    [asked("order"), at(), seen.Resent(1050.0, "r1"), at("s-2", 1060.0), how(),
-     seen.Process(1150.0, "g0", 7, "ended", 0)],
+    [
+        asked("order"),
+        at(),
+        seen.Resent(1050.0, "r1"),
+        at("s-2", 1060.0),
+        how(),
+        seen.Process(1150.0, "g0", 7, "ended", 0),
+    ],
     [asked("order"), seen.Resent(1005.0, "r1"), at(), how()],  # it had not been read
 ]
 
@@ -138,15 +188,26 @@
     assert verdict(*records).kept
 
 
-@pytest.mark.parametrize("records, excused", [
-    ([asked("pay"), at(), fault("kill"), how("cut")], True),
-    ([asked("pay"), at(), fault("reset", "clients>g0"), how("cut")], True),
-    ([asked("pay"), at(), fault("reset", "g0>s-1"), how("cut")], False),  # a gateway has to cope
-    ([asked("pay"), at(), fault("kill", "g1"), how("cut")], False),
-    ([asked("pay"), at(), fault("delay", "clients>g0"), how("cut")], False),  # a delay loses nothing
-    ([fault("stop", t=0.0), fault("stop", undone=True, t=100.0), asked(t=3000.0), at(t=3001.0),
-      how("none", t=5500.0)], False),  # long over
-])
+@pytest.mark.parametrize(
+    "records, excused",
+    [
+        ([asked("pay"), at(), fault("kill"), how("cut")], True),
+        ([asked("pay"), at(), fault("reset", "clients>g0"), how("cut")], True),
+        ([asked("pay"), at(), fault("reset", "g0>s-1"), how("cut")], False),  # a gateway has to cope
+        ([asked("pay"), at(), fault("kill", "g1"), how("cut")], False),
+        ([asked("pay"), at(), fault("delay", "clients>g0"), how("cut")], False),  # a delay loses nothing
+        (
+            [
+                fault("stop", t=0.0),
+                fault("stop", undone=True, t=100.0),
+                asked(t=3000.0),
+                at(t=3001.0),
+                how("none", t=5500.0),
+            ],
+            False,
+        ),  # long over
+    ],
+)
 def test_faults_excuse_what_they_spoil_and_nothing_else(records, excused):
     found = verdict(*records)
     assert found.kept == excused
@@ -170,31 +231,65 @@
 
 POSITIVE = st.floats(0.5, 1e6)
 NAMES = st.sampled_from(["a", "b", "read", "x1"])
-CLASSES = st.builds(RequestClass, NAMES, POSITIVE, POSITIVE, st.sampled_from(Effect), POSITIVE, POSITIVE,
-                    st.sampled_from(KeyScope), POSITIVE, st.booleans(), POSITIVE)
-
-
-@given(st.builds(
-    Settings, gateways=st.integers(3, 9), index=st.integers(0, 2), zone=NAMES,
-    classes=st.lists(CLASSES, min_size=1, max_size=3, unique_by=lambda kind: kind.name).map(tuple),
-    plans=st.tuples(st.builds(Plan, NAMES, st.just(2.0), POSITIVE, st.integers(0, 9), POSITIVE)),
-    limits=st.builds(Limits, st.integers(1, 5), st.booleans(), st.booleans(), connect_timeout_ms=POSITIVE,
-                     connection_idle_ms=POSITIVE),
-    contract=st.builds(Contract, POSITIVE, POSITIVE, st.just(0.5), POSITIVE), settles=st.booleans(),
-    discovery=st.sampled_from(DiscoveryMode), load_fields=st.just(("queue", "utilisation")),
-    meter_period_ms=POSITIVE, tick_ms=POSITIVE, handshake_price=POSITIVE, cross_zone_price=POSITIVE))
+CLASSES = st.builds(
+    RequestClass,
+    NAMES,
+    POSITIVE,
+    POSITIVE,
+    st.sampled_from(Effect),
+    POSITIVE,
+    POSITIVE,
+    st.sampled_from(KeyScope),
+    POSITIVE,
+    st.booleans(),
+    POSITIVE,
+)
+
+
+@given(
+    st.builds(
+        Settings,
+        gateways=st.integers(3, 9),
+        index=st.integers(0, 2),
+        zone=NAMES,
+        classes=st.lists(CLASSES, min_size=1, max_size=3, unique_by=lambda kind: kind.name).map(tuple),
+        plans=st.tuples(st.builds(Plan, NAMES, st.just(2.0), POSITIVE, st.integers(0, 9), POSITIVE)),
+        limits=st.builds(
+            Limits,
+            st.integers(1, 5),
+            st.booleans(),
+            st.booleans(),
+            connect_timeout_ms=POSITIVE,
+            connection_idle_ms=POSITIVE,
+        ),
+        contract=st.builds(Contract, POSITIVE, POSITIVE, st.just(0.5), POSITIVE),
+        settles=st.booleans(),
+        discovery=st.sampled_from(DiscoveryMode),
+        load_fields=st.just(("queue", "utilisation")),
+        meter_period_ms=POSITIVE,
+        tick_ms=POSITIVE,
+        handshake_price=POSITIVE,
+        cross_zone_price=POSITIVE,
+    )
+)
 @settings(max_examples=50, deadline=None)
 def test_settings_written_for_a_gateway_are_read_as_they_were(made):
     assert settings_from(json.loads(json.dumps(settings_document(made)))) == made
 
 
-@pytest.mark.parametrize("old, new, why", [
-    ("rate = 150.0", "rate = 0.0", "$.rate"), ('do = "kill"', 'do = "hit"', "$.steps[0].do"),
-    ('on = ["g1"]', 'on = ["g9"]', "$.steps[0]"), ("open g1 >= 1", "soon", "no such condition"),
-    ('["g0"], ["s-1", "s-2"]', '["g0"], ["s-99"]', "nobody is called s-99"),
-    ("gateways = 5", "gateways = 51", "at most 50"),
-    ('do = "failing"', 'do = "slow"', "needs an amount"), ("gateways = 5", "gateways = 5\nx = 1", "$.world"),
-])
+@pytest.mark.parametrize(
+    "old, new, why",
+    [
+        ("rate = 150.0", "rate = 0.0", "$.rate"),
+        ('do = "kill"', 'do = "hit"', "$.steps[0].do"),
+        ('on = ["g1"]', 'on = ["g9"]', "$.steps[0]"),
+        ("open g1 >= 1", "soon", "no such condition"),
+        ('["g0"], ["s-1", "s-2"]', '["g0"], ["s-99"]', "nobody is called s-99"),
+        ("gateways = 5", "gateways = 51", "at most 50"),
+        ('do = "failing"', 'do = "slow"', "needs an amount"),
+        ("gateways = 5", "gateways = 5\nx = 1", "$.world"),
+    ],
+)
 def test_file_that_is_no_scenario_is_refused_with_its_fault(tmp_path, old, new, why):
     text = FLEET.read_text()
     assert old in text
@@ -206,6 +301,7 @@
 
 # ---- Relays
 
+
 def test_relay_delays_holds_cuts_refuses_and_resets():
     async def test():
         server, host = await FakeServer(lambda words: array(words[1])).start(), own_host()
@@ -259,6 +355,7 @@
 
 # ---- Several processes
 
+
 async def through(rig: Rig):
     """Carry out the steps under load until all wishes have come to something; the verdict."""
     timeline = Timeline(rig)
@@ -281,15 +378,21 @@
 
 
 def test_fleet_under_faults_keeps_the_rules_and_every_request_is_accounted_for(tmp_path):
-    scenario = msgspec.structs.replace(SCENARIO, steps=(
-        Step("kill", ("g1",), when="open g1 >= 1", at_s=0.3, for_s=0.5),
-        Step("reset", ("g0>*",), when="open g0 >= 1", at_s=0.5),
-        Step("failing", ("s-2",), at_s=0.5, for_s=0.5),
-        Step("partition", groups=(("g2",), ("s-1", "s-2")), at_s=0.8, for_s=0.5),
-        Step("release", ("s-3",), at_s=0.2, for_s=0.8), Step("no-discovery", at_s=1.0, for_s=0.3),
-        Step("call", ("g0",), at_s=1.0, line="HEALTH"), Step("hup", ("g0",), at_s=0.6),
-        Step("stop", ("g2",), at_s=1.5, for_s=0.2), Step("delay", ("clients>g0",), amount=5.0, for_s=1.0),
-    ))
+    scenario = msgspec.structs.replace(
+        SCENARIO,
+        steps=(
+            Step("kill", ("g1",), when="open g1 >= 1", at_s=0.3, for_s=0.5),
+            Step("reset", ("g0>*",), when="open g0 >= 1", at_s=0.5),
+            Step("failing", ("s-2",), at_s=0.5, for_s=0.5),
+            Step("partition", groups=(("g2",), ("s-1", "s-2")), at_s=0.8, for_s=0.5),
+            Step("release", ("s-3",), at_s=0.2, for_s=0.8),
+            Step("no-discovery", at_s=1.0, for_s=0.3),
+            Step("call", ("g0",), at_s=1.0, line="HEALTH"),
+            Step("hup", ("g0",), at_s=0.6),
+            Step("stop", ("g2",), at_s=1.5, for_s=0.2),
+            Step("delay", ("clients>g0",), amount=5.0, for_s=1.0),
+        ),
+    )
     found, rig = play(tmp_path, scenario)
     assert found.kept, found.told
     assert found.asked > 100 and found.outcomes["ok"] > found.asked / 2
@@ -303,16 +406,21 @@
 
 
 def test_upgrades_of_all_gateways_under_load_lose_nothing(tmp_path):
-    found, rig = play(tmp_path, msgspec.structs.replace(
-        SCENARIO, steps=tuple(Step("upgrade", (f"g{n}",), at_s=0.3 * n + 0.1) for n in range(3))))
+    found, rig = play(
+        tmp_path,
+        msgspec.structs.replace(
+            SCENARIO, steps=tuple(Step("upgrade", (f"g{n}",), at_s=0.3 * n + 0.1) for n in range(3))
+        ),
+    )
     assert found.kept and not found.excused, found.told
     assert set(found.outcomes) <= {"ok", "busy"} and found.asked > 100
     assert all(len(member.processes) == 2 for member in rig.members.values())
 
 
 def test_step_whose_moment_never_comes_makes_the_play_count_for_nothing(tmp_path):
-    (tmp_path / "f.toml").write_text(FLEET.read_text().replace("open g1 >= 1", "open g1 >= 9999")
-                                     .replace("seconds = 8.0", "seconds = 1.0"))
+    (tmp_path / "f.toml").write_text(
+        FLEET.read_text().replace("open g1 >= 1", "open g1 >= 9999").replace("seconds = 8.0", "seconds = 1.0")
+    )
     command = [sys.executable, "-m", "quota_gateway.fault_bench", "run", str(tmp_path / "f.toml"), "--json"]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
     assert done.returncode == 2, done.stderr
@@ -338,7 +446,15 @@
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGINT])
 def test_no_process_outlives_the_rig_however_it_ends(tmp_path, number):
-    command = [sys.executable, "-m", "quota_gateway.fault_bench", "run", str(FLEET), "--folder", str(tmp_path / "rig")]
+    command = [
+        sys.executable,
+        "-m",
+        "quota_gateway.fault_bench",
+        "run",
+        str(FLEET),
+        "--folder",
+        str(tmp_path / "rig"),
+    ]
     with (tmp_path / "err").open("w") as sink:
         rig = subprocess.Popen(command, cwd=ROOT, stderr=sink, stdout=sink, start_new_session=True)
     try:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -22,6 +22,7 @@
 
 # ---- The decisions
 
+
 def next_rig(old: Rig) -> Rig:
     """The process that takes over: the same settings and list, other numbers for the servers."""
     old.do(HandOver())
@@ -108,11 +109,20 @@
     assert two.started == old.gateway.servers[2].started > 0.0
 
 
-@pytest.mark.parametrize("path, value", [
-    (("customers",), [["metered", "c", 1.0]]), (("customers",), 7), (("servers",), {"s-1": {}}),
-    (("pool",), "x"), (("pool",), float("nan")), (("marks",), {"a": [1]}), (("latency",), None),
-    (("quick",), []), (("customers",), [["metered", "c", *["x"] * len(state_document.FIGURES)]]),
-])
+@pytest.mark.parametrize(
+    "path, value",
+    [
+        (("customers",), [["metered", "c", 1.0]]),
+        (("customers",), 7),
+        (("servers",), {"s-1": {}}),
+        (("pool",), "x"),
+        (("pool",), float("nan")),
+        (("marks",), {"a": [1]}),
+        (("latency",), None),
+        (("quick",), []),
+        (("customers",), [["metered", "c", *["x"] * len(state_document.FIGURES)]]),
+    ],
+)
 def test_document_that_is_none_is_an_error_and_changes_nothing(path, value):
     old = Rig()
     old.servers(entry(1), entry(2))
@@ -130,6 +140,7 @@
 
 # ---- Two processes, as two gateways of one test
 
+
 @asynccontextmanager
 async def process(folder, *fakes: FakeServer, who=WHO, **more):
     """A process of the gateway; it has not yet tried to take over."""
@@ -142,8 +153,12 @@
             driver.post(listing)
 
         discovery = Discovery(("127.0.0.1", 1), news)
-        discovery.known({"generation": 3, "instances": [
-            row(f"s-{number}", fake.port) for number, fake in enumerate(fakes, 1)]})
+        discovery.known(
+            {
+                "generation": 3,
+                "instances": [row(f"s-{number}", fake.port) for number, fake in enumerate(fakes, 1)],
+            }
+        )
         gateway.handover = Handover(str(folder), who, driver, clients, servers, discovery)
         gateway.discovery = discovery
         try:
@@ -295,12 +310,24 @@
 HELLO = b"H" + json.dumps({"version": VERSION, **WHO}).encode()
 
 
-@pytest.mark.parametrize("messages, hang_up", [
-    ((), True), ((), False), ((b"H{}",), False), ((b"garbage",), False), ((HELLO,), True), ((HELLO,), False),
-    ((HELLO, b"Shalf of it"), True), ((HELLO, b"Sx", b'E{"bytes": 2, "crc": 1}'), False),
-    ((HELLO, b"S{}", b'E{"bytes": 2, "crc": 2745614147}'), False), ((HELLO, b"E[]"), False),
-    ((HELLO, b"Cnone"), False), ((b"Hnull",), False), ((HELLO, b'F{"plan": 1}'), False),
-])
+@pytest.mark.parametrize(
+    "messages, hang_up",
+    [
+        ((), True),
+        ((), False),
+        ((b"H{}",), False),
+        ((b"garbage",), False),
+        ((HELLO,), True),
+        ((HELLO,), False),
+        ((HELLO, b"Shalf of it"), True),
+        ((HELLO, b"Sx", b'E{"bytes": 2, "crc": 1}'), False),
+        ((HELLO, b"S{}", b'E{"bytes": 2, "crc": 2745614147}'), False),
+        ((HELLO, b"E[]"), False),
+        ((HELLO, b"Cnone"), False),
+        ((b"Hnull",), False),
+        ((HELLO, b'F{"plan": 1}'), False),
+    ],
+)
 def test_state_that_is_torn_foreign_or_missing_is_a_plain_start(tmp_path, monkeypatch, messages, hang_up):
     monkeypatch.setattr(module, "HELLO_S", 0.1)
     monkeypatch.setattr(module, "TAKE_S", 0.1)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,9 +8,24 @@
 
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-ORDER = ["quota_meter", "retry_policy", "slow_start", "outlier_detection", "concurrency_limit", "rate_ceiling",
-         "customers", "server_selection", "hot_restart", "responses", "attempts", "admission", "endpoint_list",
-         "graceful_shutdown", "settings_change", "gateway"]  # bottom to top
+ORDER = [
+    "quota_meter",
+    "retry_policy",
+    "slow_start",
+    "outlier_detection",
+    "concurrency_limit",
+    "rate_ceiling",
+    "customers",
+    "server_selection",
+    "hot_restart",
+    "responses",
+    "attempts",
+    "admission",
+    "endpoint_list",
+    "graceful_shutdown",
+    "settings_change",
+    "gateway",
+]  # bottom to top
 FILES = sorted((ROOT / "quota_gateway" / "policy").glob("*.py"))
 
 
@@ -47,14 +62,19 @@
 @pytest.mark.parametrize("file", FILES, ids=lambda file: file.stem)
 def test_no_decision_imports_another_that_stands_above_it_or_a_socket(file):
     assert sorted(ORDER) == sorted(f.stem for f in FILES if f.stem != "__init__")
-    below = ORDER[:ORDER.index(file.stem)] if file.stem in ORDER else []
+    below = ORDER[: ORDER.index(file.stem)] if file.stem in ORDER else []
     allowed = {"quota_gateway.api", *(f"quota_gateway.policy.{name}" for name in below)}
     for name in imported(file):
-        assert name in allowed or name == "quota_gateway.state" \
-            or (name == "quota_gateway" and file.stem == "gateway"), name
+        assert (
+            name in allowed
+            or name == "quota_gateway.state"
+            or (name == "quota_gateway" and file.stem == "gateway")
+        ), name
 
 
 @pytest.mark.parametrize("part", ["api", "state"])
 def test_what_stands_below_the_decisions_imports_none_of_them(part):
     for file in (ROOT / "quota_gateway" / part).glob("*.py"):
-        assert not any(name.startswith(("quota_gateway.policy", "quota_gateway.net")) for name in imported(file))
+        assert not any(
+            name.startswith(("quota_gateway.policy", "quota_gateway.net")) for name in imported(file)
+        )
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -25,18 +25,34 @@
 
 def writer(server: FakeServer, number: int) -> asyncio.StreamWriter:
     """Of the connection that request came on."""
-    return next(server.writers[n] for n, words in zip(server.by, server.commands, strict=True)
-                if words[2] == b"%016x" % number)
-
-
-@pytest.mark.parametrize("head, found", [
-    (b"", None), (b"*", None), (b"*3", None), (b"*3\r\n$100000", None), (b"*3\r\n$100000\r", None),
-    (b"*3\r\n$100000\r\nabc", (3, 100_000, 13)), (b"*3\r\n$100\r\nabc", (0, 0, 0)), (b"-BUSY\r\n", (0, 0, 0)),
-    (b"*0\r\n", (0, 0, 0)), (b"*-1\r\n", (0, 0, 0)), (b"*3\r\n$-1\r\n", (0, 0, 0)),
-    (b"*99\r\n$100000\r\n", (0, 0, 0)),
-    (b"*3\r\n$%d\r\n" % LONG, (0, 0, 0)), (b"*1\r\n$%d\r\n" % LONGEST_VALUE, (1, LONGEST_VALUE, 14)),
-    (b"*3\r\n$%d\r\n" % (LONGEST_VALUE + 1), (0, 0, 0)), (b"*3\r\n$99999999", (0, 0, 0)),
-])
+    return next(
+        server.writers[n]
+        for n, words in zip(server.by, server.commands, strict=True)
+        if words[2] == b"%016x" % number
+    )
+
+
+@pytest.mark.parametrize(
+    "head, found",
+    [
+        (b"", None),
+        (b"*", None),
+        (b"*3", None),
+        (b"*3\r\n$100000", None),
+        (b"*3\r\n$100000\r", None),
+        (b"*3\r\n$100000\r\nabc", (3, 100_000, 13)),
+        (b"*3\r\n$100\r\nabc", (0, 0, 0)),
+        (b"-BUSY\r\n", (0, 0, 0)),
+        (b"*0\r\n", (0, 0, 0)),
+        (b"*-1\r\n", (0, 0, 0)),
+        (b"*3\r\n$-1\r\n", (0, 0, 0)),
+        (b"*99\r\n$100000\r\n", (0, 0, 0)),
+        (b"*3\r\n$%d\r\n" % LONG, (0, 0, 0)),
+        (b"*1\r\n$%d\r\n" % LONGEST_VALUE, (1, LONGEST_VALUE, 14)),
+        (b"*3\r\n$%d\r\n" % (LONGEST_VALUE + 1), (0, 0, 0)),
+        (b"*3\r\n$99999999", (0, 0, 0)),
+    ],
+)
 def test_head_of_a_long_value_is_told_apart_as_soon_as_it_can_be(head, found):
     assert long_value(head) == found
 
@@ -52,9 +68,9 @@
             await server.until(lambda: len(server.commands) == 1)
             answer = HEAD + VALUE + TAIL
             for at in range(0, min(len(answer), 40 * piece), piece):  # then the rest at once
-                server.writers[0].write(answer[at:at + piece])
+                server.writers[0].write(answer[at : at + piece])
                 await server.writers[0].drain()
-            server.writers[0].write(answer[40 * piece:])
+            server.writers[0].write(answer[40 * piece :])
             assert await peer.reply() == VALUE
             assert await peer.ask(call(2)) == b"v"
             assert len(server.writers) == 1 and not gateway.driver.calls and not gateway.servers.passing
@@ -224,8 +240,11 @@
 
     async def test():
         body = b"x" * 60_000
-        server = FakeServer(lambda words: None if words[2].endswith(b"0") else
-                            b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(body), body))
+        server = FakeServer(
+            lambda words: (
+                None if words[2].endswith(b"0") else b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(body), body)
+            )
+        )
         async with node(server) as gateway:
             peers = [await gateway.peer() for _ in range(4)]
             for at, peer in enumerate(peers):  # the first of each is never answered: the rest wait behind it
@@ -249,7 +268,7 @@
             head.send(call(5)[:20])
             for at in range(32, 0, -4):  # 0.8 s in all: longer than a head may take
                 await asyncio.sleep(0.1)
-                peer.send(command[-at:len(command) - at + 4])
+                peer.send(command[-at : len(command) - at + 4])
             assert await peer.reply() == b"0000000000000004"
             assert (await head.reply()).startswith("-ERR no whole command") and await head.reply() is None
 
@@ -258,6 +277,7 @@
 
 # ---- The decisions
 
+
 def test_answer_that_has_begun_has_no_deadline_and_no_second_copy():
     rig = Rig(rig_with(limits=Limits(max_attempts=3, may_duplicate=True, can_cancel=True)).settings)
     rig.servers(entry(1), entry(2))
