--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -22,11 +22,21 @@
             assert await peer.ask(call(1, "post", body=b"\x00\r\nx")) == b"val\r\nue"
             name, customer, request_id, fields, body = server.commands[0]
             assert (name, customer, request_id, body) == (
-                b"CALL.POST", WHO.encode(), b"0000000000000001", b"\x00\r\nx")
+                b"CALL.POST",
+                WHO.encode(),
+                b"0000000000000001",
+                b"\x00\r\nx",
+            )
             sent = dict(part.split(b"=") for part in fields.split(b","))
             assert 0 < int(sent.pop(b"d")) < 4000
-            assert sent == {b"c": b"post", b"t": b"free", b"k": b"5c0f", b"units": b"1", b"spread": b"2",
-                            b"first": b"0"}
+            assert sent == {
+                b"c": b"post",
+                b"t": b"free",
+                b"k": b"5c0f",
+                b"units": b"1",
+                b"spread": b"2",
+                b"first": b"0",
+            }
 
     run(test())
 
@@ -53,8 +63,9 @@
             peer = await gateway.peer()
             peer.send(call(1), call(2), resp("PING"))
             await server.until(lambda: len(server.commands) == 2)
-            first = next(n for n, words in zip(server.by, server.commands, strict=True)
-                         if words[2].endswith(b"1"))
+            first = next(
+                n for n, words in zip(server.by, server.commands, strict=True) if words[2].endswith(b"1")
+            )
             # The second is answered first: it waits for its turn.
             await until(lambda: len(gateway.driver.calls) == 1)
             server.writers[first].write(array(b"late"))
@@ -65,23 +76,37 @@
     run(test())
 
 
-@pytest.mark.parametrize("words", [
-    ["NONSENSE"], ["HELLO", "3"], ["CALL.GET"], ["CALL.GET", WHO, ID], ["CALL.GET", WHO, ID, GOOD, "body"],
-    ["CALL.POST", WHO, ID, GOOD.replace("read", "buy")],
-    ["CALL.GET", "zz", ID, GOOD], ["CALL.GET", "00000003b4d65521", ID, GOOD],
-    ["CALL.GET", WHO, "", GOOD], ["CALL.GET", WHO, "a" * 65, GOOD], ["CALL.GET", WHO, b"\xff\x00", GOOD],
-    ["CALL.GET", WHO, ID, ""], ["CALL.GET", WHO, ID, "c"], ["CALL.GET", WHO, ID, GOOD + ",c=read"],
-    ["CALL.GET", WHO, ID, GOOD.replace("read", "none")],
-    ["CALL.GET", WHO, ID, GOOD.replace("free", "none")],
-    ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=x")],
-    ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=nan")],
-    ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=-1")], ["CALL.GET", WHO, ID, GOOD.replace("d=4000,", "")],
-    ["CALL.GET", WHO, ID, GOOD.replace("units=1", "units=inf")],
-    ["CALL.GET", WHO, ID, GOOD.replace("spread=2", "spread=0")],
-    ["CALL.GET", WHO, ID, GOOD.replace("read", "buy")], ["CALL.POST", WHO, ID, GOOD, "body"],
-    ["CALL.POST", WHO, ID, GOOD.replace("read", "post"), "body"],
-    ["CALL.GET", WHO, ID, b"\xff" + GOOD.encode() + b"\xff=\xff"],
-])
+@pytest.mark.parametrize(
+    "words",
+    [
+        ["NONSENSE"],
+        ["HELLO", "3"],
+        ["CALL.GET"],
+        ["CALL.GET", WHO, ID],
+        ["CALL.GET", WHO, ID, GOOD, "body"],
+        ["CALL.POST", WHO, ID, GOOD.replace("read", "buy")],
+        ["CALL.GET", "zz", ID, GOOD],
+        ["CALL.GET", "00000003b4d65521", ID, GOOD],
+        ["CALL.GET", WHO, "", GOOD],
+        ["CALL.GET", WHO, "a" * 65, GOOD],
+        ["CALL.GET", WHO, b"\xff\x00", GOOD],
+        ["CALL.GET", WHO, ID, ""],
+        ["CALL.GET", WHO, ID, "c"],
+        ["CALL.GET", WHO, ID, GOOD + ",c=read"],
+        ["CALL.GET", WHO, ID, GOOD.replace("read", "none")],
+        ["CALL.GET", WHO, ID, GOOD.replace("free", "none")],
+        ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=x")],
+        ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=nan")],
+        ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=-1")],
+        ["CALL.GET", WHO, ID, GOOD.replace("d=4000,", "")],
+        ["CALL.GET", WHO, ID, GOOD.replace("units=1", "units=inf")],
+        ["CALL.GET", WHO, ID, GOOD.replace("spread=2", "spread=0")],
+        ["CALL.GET", WHO, ID, GOOD.replace("read", "buy")],
+        ["CALL.POST", WHO, ID, GOOD, "body"],
+        ["CALL.POST", WHO, ID, GOOD.replace("read", "post"), "body"],
+        ["CALL.GET", WHO, ID, b"\xff" + GOOD.encode() + b"\xff=\xff"],
+    ],
+)
 def test_bad_command_gets_an_error_and_the_connection_lives(words):
     async def test():
         server = FakeServer()
@@ -95,10 +120,21 @@
     run(test())
 
 
-@pytest.mark.parametrize("junk", [
-    b"GET / HTTP/1.1\r\n\r\n", b"*1\r\n$x\r\n", b"*0\r\n", b"*1\r\n:5\r\n", b"+OK\r\n", b"-ERR\r\n",
-    b"*-1\r\n", b"*4000000000\r\n", b"\x00\xff\r\n", b"*1\r\n*1\r\n$4\r\nPING\r\n",
-])
+@pytest.mark.parametrize(
+    "junk",
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"*1\r\n$x\r\n",
+        b"*0\r\n",
+        b"*1\r\n:5\r\n",
+        b"+OK\r\n",
+        b"-ERR\r\n",
+        b"*-1\r\n",
+        b"*4000000000\r\n",
+        b"\x00\xff\r\n",
+        b"*1\r\n*1\r\n$4\r\nPING\r\n",
+    ],
+)
 def test_broken_resp_gets_an_error_and_a_close_after_what_was_taken(junk):
     async def test():
         server = FakeServer(lambda words: None)
@@ -115,10 +151,17 @@
     run(test())
 
 
-@pytest.mark.parametrize("junk", [  # each ends with the first byte that shows what it is
-    b"*100000000\r\n", b"*65\r\n", b"*2\r\n$4\r\nPING\r\n*", b"*1\r\n$65537\r\n",
-    b"*4\r\n$500000000\r\n", b"*000000000000000",
-])
+@pytest.mark.parametrize(
+    "junk",
+    [  # each ends with the first byte that shows what it is
+        b"*100000000\r\n",
+        b"*65\r\n",
+        b"*2\r\n$4\r\nPING\r\n*",
+        b"*1\r\n$65537\r\n",
+        b"*4\r\n$500000000\r\n",
+        b"*000000000000000",
+    ],
+)
 @pytest.mark.parametrize("cut", [1, 7, 100])
 def test_lengths_out_of_bounds_never_reach_the_parser(junk, cut):
     async def test():
@@ -126,7 +169,7 @@
             peer = await gateway.peer()
             sent = resp("PING") + junk
             for at in range(0, len(sent), cut):
-                peer.send(sent[at:at + cut])
+                peer.send(sent[at : at + cut])
                 await asyncio.sleep(0)
             assert await peer.reply() == b"PONG"
             assert (await peer.reply()).startswith("-ERR ")  # though the command is not whole
@@ -139,7 +182,7 @@
 def test_lengths_within_bounds_all_reach_the_parser(cut):
     lengths = Lengths(LONGEST_WORD)
     stream = call(1, "post", body=b"*9\r\n$9\r\n" * 9) + resp("PING") + resp("A", "", "c")
-    pieces = [stream[at:at + cut] for at in range(0, len(stream), cut)]
+    pieces = [stream[at : at + cut] for at in range(0, len(stream), cut)]
     assert [lengths.good(piece) for piece in pieces] == [len(piece) for piece in pieces]
     assert not lengths.words and not lengths.skip and not lengths.header
 
@@ -151,7 +194,7 @@
     lengths, passed = Lengths(LONGEST_WORD, answers), b""
     stream = b"*2\r\n$4\r\nPING\r\n$3\r\nabc" + end + b"*1\r\n$4\r\nPING\r\n"
     for at in range(0, len(stream), cut):
-        piece = stream[at:at + cut]
+        piece = stream[at : at + cut]
         good = lengths.good(piece)
         passed += piece[:good]
         if good < len(piece):
@@ -292,9 +335,16 @@
     run(test())
 
 
-@pytest.mark.parametrize("sent", [
-    b"", b"*", b"*4\r\n$8\r\nCALL", resp("PING"), resp("PING") + b"*4\r\n$8\r\nCALL.GET\r\n$",
-])
+@pytest.mark.parametrize(
+    "sent",
+    [
+        b"",
+        b"*",
+        b"*4\r\n$8\r\nCALL",
+        resp("PING"),
+        resp("PING") + b"*4\r\n$8\r\nCALL.GET\r\n$",
+    ],
+)
 def test_peer_without_a_whole_request_gets_a_close_and_for_half_a_command_an_error(monkeypatch, sent):
     monkeypatch.setattr(module, "WHOLE_S", 0.5)
 
@@ -341,8 +391,9 @@
             peer.send(*(call(number) for number in range(MOST_PIPELINED + more)))
             await server.until(lambda: len(held) == MOST_PIPELINED)
             gateway.clients.stop_listening()
-            first = next(n for n, words in zip(server.by, server.commands, strict=True)
-                         if int(words[2], 16) == 0)
+            first = next(
+                n for n, words in zip(server.by, server.commands, strict=True) if int(words[2], 16) == 0
+            )
             for number, writer in enumerate(server.writers):
                 if number != first:
                     writer.write(array(b"v"))
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -41,7 +41,9 @@
             told, addresses = await news.get()
             assert told.kind is ListKind.CHANGES and told.version == 43
             assert [(e.server, e.state, e.started_ms) for e in told.entries] == [
-                (2, ServerState.DRAINING, 0.0), (3, ServerState.READY, 9.0)]
+                (2, ServerState.DRAINING, 0.0),
+                (3, ServerState.READY, 9.0),
+            ]
             watch.close()
             target, watch = await fake.watch()
             assert target == "/discovery/hosts?watch=1&from=43"
@@ -52,17 +54,43 @@
     run(test())
 
 
-@pytest.mark.parametrize("line", [
-    b"{not json\n", b"[]\n", b"7\n", b'{"generation":2,"reset":false}\n', b"\xff\xfe\n",
-    listing(2, {**row("s-2", 2), "hostPort": None}), listing(2, {**row("s-2", 2), "lifecycle": "Odd"}),
-    listing(2, {**row("s-2", 2), "hostPort": "nowhere"}),
-    *(listing(2, {**row("s-2", 2), **bad}) for bad in (
-        {"hostPort": "127.0.0.1:65536"}, {"hostPort": "127.0.0.1:0"}, {"hostPort": "127.0.0.1:-1"},
-        {"hostPort": "a.name:80"}, {"hostPort": ":80"}, {"hostPort": "127.0.0.1\0:80"}, {"zone": 7},
-        {"zone": ["a"]}, {"weight": float("nan")}, {"weight": -1.0}, {"weight": "x"}, {"weight": [1]},
-        {"startedAtMs": float("inf")}, {"startedAtMs": "x"}, {"cell": "x"}, {"machineType": 7},
-        {"instanceId": 7}, {"instanceId": ["s-2"]}, {"lifecycle": []})),
-])
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"{not json\n",
+        b"[]\n",
+        b"7\n",
+        b'{"generation":2,"reset":false}\n',
+        b"\xff\xfe\n",
+        listing(2, {**row("s-2", 2), "hostPort": None}),
+        listing(2, {**row("s-2", 2), "lifecycle": "Odd"}),
+        listing(2, {**row("s-2", 2), "hostPort": "nowhere"}),
+        *(
+            listing(2, {**row("s-2", 2), **bad})
+            for bad in (
+                {"hostPort": "127.0.0.1:65536"},
+                {"hostPort": "127.0.0.1:0"},
+                {"hostPort": "127.0.0.1:-1"},
+                {"hostPort": "a.name:80"},
+                {"hostPort": ":80"},
+                {"hostPort": "127.0.0.1\0:80"},
+                {"zone": 7},
+                {"zone": ["a"]},
+                {"weight": float("nan")},
+                {"weight": -1.0},
+                {"weight": "x"},
+                {"weight": [1]},
+                {"startedAtMs": float("inf")},
+                {"startedAtMs": "x"},
+                {"cell": "x"},
+                {"machineType": 7},
+                {"instanceId": 7},
+                {"instanceId": ["s-2"]},
+                {"lifecycle": []},
+            )
+        ),
+    ],
+)
 def test_malformed_line_is_not_fatal_and_all_is_asked_for_again(line):
     async def test():
         async with watched() as (_, fake, news):
@@ -191,10 +219,14 @@
     run(test())
 
 
-@pytest.mark.parametrize("answer", [
-    b"HTTP/1.1 500 Odd\r\nContent-Length: 2\r\n\r\n{}", b"junk\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
-])
+@pytest.mark.parametrize(
+    "answer",
+    [
+        b"HTTP/1.1 500 Odd\r\nContent-Length: 2\r\n\r\n{}",
+        b"junk\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+    ],
+)
 def test_answer_that_is_no_watch_is_asked_for_again(answer):
     async def test():
         asked = asyncio.Queue()
@@ -344,7 +376,7 @@
             data = indented(1, row("s-1", 1), row("s-2", 2), indent=indent) + b"\n"
             data += indented(2, indent=indent) + listing(3, row("s-3", 3)) + indented(4, row("s-4", 4))
             for at in range(0, len(data), size):
-                watch.write(chunk(data[at:at + size]))
+                watch.write(chunk(data[at : at + size]))
             told = [(await news.get())[0] for _ in range(4)]
             assert [one.version for one in told] == [1, 2, 3, 4]
             assert [len(one.entries) for one in told] == [2, 0, 1, 1]
@@ -388,14 +420,19 @@
 LIST = listing(1, row("s-1", 1), reset=True)
 
 
-@pytest.mark.parametrize("answer, ends, taken", [
-    (HEAD + b"\r\n" + LIST, "reset", True), (HEAD + b"\r\n" + LIST.rstrip(), "end", True),
-    (HEAD + b"\r\n" + LIST[:40], "reset", False), (HEAD + b"\r\n" + LIST[:40], "end", False),
-    (HEAD + b"\r\n" + indented(1, row("s-1", 1))[:60], "reset", False),
-    (HEAD + b"\r\n" + indented(1, row("s-1", 1)), "reset", True),
-    (HEAD + b"Content-Length: %d\r\n\r\n" % len(LIST.rstrip()) + LIST.rstrip(), "stay", True),
-    (HEAD + b"Content-Length: %d\r\n\r\n" % len(LIST) + LIST[:-9], "end", False),
-])
+@pytest.mark.parametrize(
+    "answer, ends, taken",
+    [
+        (HEAD + b"\r\n" + LIST, "reset", True),
+        (HEAD + b"\r\n" + LIST.rstrip(), "end", True),
+        (HEAD + b"\r\n" + LIST[:40], "reset", False),
+        (HEAD + b"\r\n" + LIST[:40], "end", False),
+        (HEAD + b"\r\n" + indented(1, row("s-1", 1))[:60], "reset", False),
+        (HEAD + b"\r\n" + indented(1, row("s-1", 1)), "reset", True),
+        (HEAD + b"Content-Length: %d\r\n\r\n" % len(LIST.rstrip()) + LIST.rstrip(), "stay", True),
+        (HEAD + b"Content-Length: %d\r\n\r\n" % len(LIST) + LIST[:-9], "end", False),
+    ],
+)
 def test_list_without_chunks_is_taken_if_it_is_whole_and_a_reset_is_no_end(answer, ends, taken):
     async def test():
         news, asked = asyncio.Queue(), 0
@@ -409,8 +446,17 @@
             if ends == "end":
                 writer.close()
             elif ends == "reset":
-                await until(lambda: bool(discovery.watch and (
-                    discovery.watch.text or discovery.watch.line or discovery.watch.why or not news.empty())))
+                await until(
+                    lambda: bool(
+                        discovery.watch
+                        and (
+                            discovery.watch.text
+                            or discovery.watch.line
+                            or discovery.watch.why
+                            or not news.empty()
+                        )
+                    )
+                )
                 writer.transport.abort()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
--- a/tests/test_net_driver.py
+++ b/tests/test_net_driver.py
@@ -54,13 +54,15 @@
     async def test():
         async with node() as gateway:
             sends = []
-            script = Script(Request=lambda e: [Send("r", 9), Send("r", 9), Log("after both")],
-                            Outcome=lambda e: sends.append(gateway.driver.calls["r"].sends) or (
-                                [Refuse("r")] if e.attempt == 1 else []))
+            script = Script(
+                Request=lambda e: [Send("r", 9), Send("r", 9), Log("after both")],
+                Outcome=lambda e: (
+                    sends.append(gateway.driver.calls["r"].sends) or ([Refuse("r")] if e.attempt == 1 else [])
+                ),
+            )
             answers = scripted(gateway, script)
             assert sends == [2, 2]
-            assert script.outcomes() == [
-                (0, Status.CONNECT_FAILED, False), (1, Status.CONNECT_FAILED, False)]
+            assert script.outcomes() == [(0, Status.CONNECT_FAILED, False), (1, Status.CONNECT_FAILED, False)]
             assert answers == [b"-BUSY\r\n"] and not gateway.driver.calls
 
     run(test())
@@ -80,11 +82,14 @@
     async def test():
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
-            script = Script(Request=lambda e: [
-                Send("r", 1), Fail("r"), Refuse("r"), Send("r", 1), Cancel("r", 0)])
+            script = Script(
+                Request=lambda e: [Send("r", 1), Fail("r"), Refuse("r"), Send("r", 1), Cancel("r", 0)]
+            )
             assert scripted(gateway, script) == [b"-ERR failed\r\n"]
             assert sorted(script.outcomes(), key=lambda outcome: outcome[0]) == [
-                (0, Status.CONNECT_FAILED, True), (1, Status.NOT_SENT, True)]
+                (0, Status.CONNECT_FAILED, True),
+                (1, Status.NOT_SENT, True),
+            ]
             assert not server.commands and not gateway.driver.calls
 
     run(test())
@@ -94,8 +99,9 @@
     async def test():
         server, other = FakeServer(lambda words: None), FakeServer(lambda words: None)
         async with node(server, other) as gateway:
-            script = Script(Request=lambda e: [Send("r", 1)],
-                            Outcome=lambda e: [Send("r", 2)] if e.attempt == 0 else [])
+            script = Script(
+                Request=lambda e: [Send("r", 1)], Outcome=lambda e: [Send("r", 2)] if e.attempt == 0 else []
+            )
             scripted(gateway, script)
             await server.until(lambda: len(server.commands) == 1)
             gateway.driver._perform(Cancel("r", 0))
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -88,8 +88,15 @@
         return await asyncio.create_subprocess_shell(command(), cwd=ROOT, env=env)
     launch = "import os, sys; os.dup2(int(sys.argv[1]), 3); os.execv('/bin/sh', ['sh', '-c', sys.argv[2]])"
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-c", launch, str(passed.fileno()), command(), cwd=ROOT,
-        env={**env, "EDGE_PASSED_SOCKET": "3"}, pass_fds=[passed.fileno()])
+        sys.executable,
+        "-c",
+        launch,
+        str(passed.fileno()),
+        command(),
+        cwd=ROOT,
+        env={**env, "EDGE_PASSED_SOCKET": "3"},
+        pass_fds=[passed.fileno()],
+    )
 
 
 async def tell(port: int, line: str) -> str:
@@ -113,14 +120,28 @@
     discovery = await FakeDiscovery().start()
     port = passed.getsockname()[1] if passed else free_port()
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({
-        "name": "n0", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery.port}",
-        "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"generation": 1, "reset": True, "instances": [row("s-1", server.port)]},
-        "settings": SETTINGS,
-    }))
-    env = {**os.environ, "EDGE_CONFIG": str(path), "EDGE_NAME": "n0", "EDGE_LISTEN": f"127.0.0.1:{port}",
-           "EDGE_DISCOVERY": f"127.0.0.1:{discovery.port}", "TMPDIR": str(tmp_path), **more}
+    path.write_text(
+        json.dumps(
+            {
+                "name": "n0",
+                "listen": f"127.0.0.1:{port}",
+                "discovery": f"127.0.0.1:{discovery.port}",
+                "seed": "8c1f30d27a5be964",
+                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+                "known": {"generation": 1, "reset": True, "instances": [row("s-1", server.port)]},
+                "settings": SETTINGS,
+            }
+        )
+    )
+    env = {
+        **os.environ,
+        "EDGE_CONFIG": str(path),
+        "EDGE_NAME": "n0",
+        "EDGE_LISTEN": f"127.0.0.1:{port}",
+        "EDGE_DISCOVERY": f"127.0.0.1:{discovery.port}",
+        "TMPDIR": str(tmp_path),
+        **more,
+    }
     process = await start(path, env, passed)
     try:
         yield process, port, discovery
@@ -135,13 +156,20 @@
 
 
 @asynccontextmanager
-async def next_process(tmp_path, port: int, discovery: FakeDiscovery, passed: socket.socket | None = None,
-                       name: str = "n0"):
+async def next_process(
+    tmp_path, port: int, discovery: FakeDiscovery, passed: socket.socket | None = None, name: str = "n0"
+):
     """A second process of the same gateway, and its own door."""
     door = free_port()
-    env = {**os.environ, "EDGE_CONFIG": str(tmp_path / "config.json"), "EDGE_NAME": name, "EDGE_LISTEN":
-           f"127.0.0.1:{port}", "EDGE_DISCOVERY": f"127.0.0.1:{discovery.port}", "TMPDIR": str(tmp_path),
-           "EDGE_ADMIN": f"127.0.0.1:{door}"}
+    env = {
+        **os.environ,
+        "EDGE_CONFIG": str(tmp_path / "config.json"),
+        "EDGE_NAME": name,
+        "EDGE_LISTEN": f"127.0.0.1:{port}",
+        "EDGE_DISCOVERY": f"127.0.0.1:{discovery.port}",
+        "TMPDIR": str(tmp_path),
+        "EDGE_ADMIN": f"127.0.0.1:{door}",
+    }
     process = await start(tmp_path / "config.json", env, passed)
     try:
         yield process, door
@@ -176,8 +204,11 @@
             await server.until(lambda: len(server.commands) == 3)
             process.send_signal(signal.SIGTERM)
             assert await idle.reply() is None
-            number = next(n for n, words in zip(server.by, server.commands, strict=True)
-                          if words[2] == b"0000000000000001")
+            number = next(
+                n
+                for n, words in zip(server.by, server.commands, strict=True)
+                if words[2] == b"0000000000000001"
+            )
             server.writers[number].write(array(b"late"))
             assert await busy.reply() == b"late" and await busy.reply() is None
             # The server stays silent on this one, whose client would wait for a minute: refused in time.
@@ -236,7 +267,8 @@
         async with node(FakeServer()) as gateway:
             old, clock = await gateway.peer(), asyncio.get_running_loop().time
             leaving = asyncio.ensure_future(
-                program_module._leave(FAKE_SETTINGS, gateway.driver, gateway.clients))
+                program_module._leave(FAKE_SETTINGS, gateway.driver, gateway.clients)
+            )
             ends = clock() + 0.5  # well before it takes no more, well after the front has been told
             while clock() < ends:
                 await asyncio.sleep(0.01)
@@ -428,8 +460,9 @@
             assert (await tell(door, "LEAVE")).startswith("YES")
             moved = await FakeDiscovery().start()
             path = tmp_path / "config.json"
-            path.write_text(json.dumps({
-                **json.loads(path.read_text()), "discovery": f"127.0.0.1:{moved.port}"}))
+            path.write_text(
+                json.dumps({**json.loads(path.read_text()), "discovery": f"127.0.0.1:{moved.port}"})
+            )
             process.send_signal(signal.SIGHUP)
             await moved.watch()
             assert "drained" in await tell(door, "HEALTH")
@@ -455,7 +488,8 @@
             raw.send(call(1, kind))
             await server.until(lambda: len(server.commands) == 1)
             leaving = asyncio.ensure_future(
-                program_module._leave(FAKE_SETTINGS, gateway.driver, gateway.clients))
+                program_module._leave(FAKE_SETTINGS, gateway.driver, gateway.clients)
+            )
             await until(lambda: gateway.driver.gateway.answers.ends_at < inf)
             began = clock()
             gateway.driver.clock = lambda: began + (clock() - began) / 2.0  # all timers come late
--- a/tests/test_net_servers.py
+++ b/tests/test_net_servers.py
@@ -51,15 +51,28 @@
     run(test())
 
 
-@pytest.mark.parametrize("answer, status", [
-    (array(b"v"), Status.OK), (b"-BUSY\r\n", Status.FULL), (b"-ERR failed\r\n", Status.ERROR),
-    (b"", Status.RESET), (b"$1\r\nv\r\n", Status.ERROR), (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", Status.ERROR),
-    (b"*0\r\n", Status.ERROR), (b"*-1\r\n", Status.ERROR), (b"+OK\r\n", Status.ERROR),
-    (b"HTTP/1.1 200 OK\r\n\r\n", Status.ERROR), (b"$500000000\r\n" + b"x" * 3_000_000, Status.ERROR),
-    (b"*4000000000\r\n", Status.ERROR), (b"*1\r\n:5\r\n", Status.ERROR),
-    (b"*100000000\r\n", Status.ERROR), (b"*3\r\n$1\r\nv\r\n*100000000\r\n", Status.ERROR),
-    (array(b"v") + b"*100000000\r\n", Status.OK), (b"*3\r\n$1\r\nv\r\n:5\r\n+x\r\n", Status.OK),
-])
+@pytest.mark.parametrize(
+    "answer, status",
+    [
+        (array(b"v"), Status.OK),
+        (b"-BUSY\r\n", Status.FULL),
+        (b"-ERR failed\r\n", Status.ERROR),
+        (b"", Status.RESET),
+        (b"$1\r\nv\r\n", Status.ERROR),
+        (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", Status.ERROR),
+        (b"*0\r\n", Status.ERROR),
+        (b"*-1\r\n", Status.ERROR),
+        (b"+OK\r\n", Status.ERROR),
+        (b"HTTP/1.1 200 OK\r\n\r\n", Status.ERROR),
+        (b"$500000000\r\n" + b"x" * 3_000_000, Status.ERROR),
+        (b"*4000000000\r\n", Status.ERROR),
+        (b"*1\r\n:5\r\n", Status.ERROR),
+        (b"*100000000\r\n", Status.ERROR),
+        (b"*3\r\n$1\r\nv\r\n*100000000\r\n", Status.ERROR),
+        (array(b"v") + b"*100000000\r\n", Status.OK),
+        (b"*3\r\n$1\r\nv\r\n:5\r\n+x\r\n", Status.OK),
+    ],
+)
 def test_outcome_by_the_table_and_one_only(answer, status):
     async def test():
         server = FakeServer(lambda words: answer)
@@ -77,7 +90,7 @@
 def test_lengths_of_good_answers_all_reach_the_parser(cut):
     lengths = Lengths(module.LONGEST_ANSWER, answers=True)
     stream = array(b"*9\r\n$9\r\n" * 9, b"used=1") + b"-ERR failed used=3\r\n-BUSY\r\n$2\r\nab\r\n"
-    pieces = [stream[at:at + cut] for at in range(0, len(stream), cut)]
+    pieces = [stream[at : at + cut] for at in range(0, len(stream), cut)]
     assert [lengths.good(piece) for piece in pieces] == [len(piece) for piece in pieces]
     assert not lengths.words and not lengths.skip and not lengths.header and not lengths.in_line
 
@@ -85,10 +98,12 @@
 def test_figures_on_use_and_load_in_answers_and_error_lines():
     read = Readings(("utilisation", "queue")).reply
     assert read([b"v", b"used=37,cost=4", b"inflight=7,queue=2,util=0.61"]) == Reply(
-        Status.OK, b"v", 37.0, 4.0, (0.61, 2.0))
+        Status.OK, b"v", 37.0, 4.0, (0.61, 2.0)
+    )
     assert read([b"v", None, None]) == Reply(Status.OK, b"v")
     assert read(module.ServerError("ERR failed used=120 util=0.5,queue=3")) == Reply(
-        Status.ERROR, None, 120.0, None, (0.5, 3.0))
+        Status.ERROR, None, 120.0, None, (0.5, 3.0)
+    )
     assert read(module.ServerError("BUSY used=9")) == Reply(Status.FULL, None, 9.0)
     assert read([b"v", b"used=x,,=,nan", b"util=0.5"]) == Reply(Status.OK, b"v")
     for figure in (b"nan", b"inf", b"-1", b"1e999"):
@@ -270,8 +285,10 @@
     async def test():
         server = FakeServer()
         async with node(server) as gateway:
+
             def none_left(*_):
                 raise OSError(errno.EMFILE, "too many open files")
+
             ends = Ends()
             with monkeypatch.context() as patch:
                 patch.setattr(module.socket, "socket", none_left)
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -48,6 +48,7 @@
 
 # ---- Each decision without the others
 
+
 def test_the_meter_holds_then_refuses_and_drains():
     meter, customer = Meter(context()), Customer(("metered", "c"), 0.0, 0.0, 0)
     customer.width, customer.largest = 2, 1.0
@@ -97,12 +98,19 @@
     assert pressure.size == pytest.approx(9.735) and not pressure.latencies.quick[kind.name]
 
 
-@pytest.mark.parametrize("effect, scope, age, first, wanted, told", [
-    (Effect.SAFE, "all", 9e9, True, (), True), (Effect.UNSAFE, "all", 0.0, True, None, False),
-    (Effect.UNSAFE, "all", 0.0, False, (), True), (Effect.KEYED, "all", 100.0, True, (), True),
-    (Effect.KEYED, "zone", 100.0, True, ("b",), False), (Effect.KEYED, "cell", 100.0, True, ("b", 7), False),
-    (Effect.KEYED, "zone", 3000.0, True, None, False), (Effect.KEYED, "cell", 3000.0, False, (), True),
-])
+@pytest.mark.parametrize(
+    "effect, scope, age, first, wanted, told",
+    [
+        (Effect.SAFE, "all", 9e9, True, (), True),
+        (Effect.UNSAFE, "all", 0.0, True, None, False),
+        (Effect.UNSAFE, "all", 0.0, False, (), True),
+        (Effect.KEYED, "all", 100.0, True, (), True),
+        (Effect.KEYED, "zone", 100.0, True, ("b",), False),
+        (Effect.KEYED, "cell", 100.0, True, ("b", 7), False),
+        (Effect.KEYED, "zone", 3000.0, True, None, False),
+        (Effect.KEYED, "cell", 3000.0, False, (), True),
+    ],
+)
 def test_where_a_request_may_go_again_and_what_its_client_is_told(effect, scope, age, first, wanted, told):
     scopes = {item.key_scope.value: item.key_scope for item in SETTINGS.classes}
     kind = RequestClass("k", 1000.0, 4000.0, effect, key_scope=scopes[scope], key_memory_ms=3000.0)
@@ -113,6 +121,7 @@
 
 # ---- The tables choose as a plain loop over the whole list would
 
+
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 60), st.integers(0, 2**32), st.floats(0.0, 1.0, exclude_max=True))
 def test_the_fleets_tables_find_what_a_loop_finds(size, seed, turn):
@@ -120,14 +129,26 @@
     made.begin(5000.0)
     fleet, cold = Fleet(made.random), Cold(made)
     states = (ServerState.READY, ServerState.DRAINING)
-    fleet.update(ServerList(ListKind.FULL, tuple(
-        entry(n, "ab"[n % 2], cell=n % 3, started_ms=made.random.choice((0.0, 4000.0)),
-              state=made.random.choice(states)) for n in range(size))))
+    fleet.update(
+        ServerList(
+            ListKind.FULL,
+            tuple(
+                entry(
+                    n,
+                    "ab"[n % 2],
+                    cell=n % 3,
+                    started_ms=made.random.choice((0.0, 4000.0)),
+                    state=made.random.choice(states),
+                )
+                for n in range(size)
+            ),
+        )
+    )
     fleet.relist(lambda server: cold.warmth(server) < 1.0)
     asked, ready = flight(SETTINGS.classes[0], turn=turn), [s for s in fleet.servers.values() if s.ready]
     tried = {n for n in range(size) if made.random.random() < 0.1}
     for key in [(), ("a",), ("b", 1), ("c",)]:
-        wanted = [s for s in ready if s.id not in tried and key == (s.zone, s.cell)[:len(key)]]
+        wanted = [s for s in ready if s.id not in tried and key == (s.zone, s.cell)[: len(key)]]
         found = fleet.others(key, tried)
         assert list(found) == wanted and len(found) == len(wanted)
         assert [s for s in fleet.servers.values() if s in found] == wanted
@@ -157,8 +178,12 @@
     seen = []
     for size in (200, 20_000):
         rig = Rig(replace(SETTINGS, gateways=1))
-        rig.servers(*(entry(n, "abc"[n % 3], cell=n % 50, started_ms=500.0 if cold and n % cold else 0.0)
-                      for n in range(size)))
+        rig.servers(
+            *(
+                entry(n, "abc"[n % 3], cell=n % 50, started_ms=500.0 if cold and n % cold else 0.0)
+                for n in range(size)
+            )
+        )
         fleet = rig.gateway.fleet
         rig.finish(rig.ask(), Status.RESET)  # a group is made once for each list
         Counted.seen = 0
@@ -174,6 +199,7 @@
 
 # ---- Hard cases
 
+
 def test_a_customer_with_a_request_in_hand_is_not_forgotten():
     # its row holds the cap: forgotten while a request waits, a second row would count from nought
     rig = Rig(replace(SETTINGS, plans=(CAPPED, Plan("free")), gateways=1, meter_period_ms=100.0))
@@ -203,8 +229,15 @@
     rig.servers(entry(1, "a"), entry(2, "a"), entry(3, "b"))
     name = rig.ask("only-cap", kind.name, width=1)
     zone = "b" if rig.sent[name] == [3] else "a"
-    rig.do(NewSettings(replace(rig.gateway.settings, classes=SETTINGS.classes[:1],
-                               plans=(replace(CAPPED, max_in_flight=9), Plan("free")))))
+    rig.do(
+        NewSettings(
+            replace(
+                rig.gateway.settings,
+                classes=SETTINGS.classes[:1],
+                plans=(replace(CAPPED, max_in_flight=9), Plan("free")),
+            )
+        )
+    )
     rig.finish(name, Status.RESET)  # resent under its own class, which is gone: within its zone, by its key
     assert len(rig.sent[name]) == 2 and (rig.sent[name][1] == 3) == (zone == "b")
     (mine,) = (c for c in rig.gateway.customers.values() if c.key[0] == "only-cap")
@@ -224,8 +257,9 @@
     columns = ("excess", "touched", "largest", "width", "used", "used_at", "asked", "asked_at", "elsewhere")
     kept = [state_document.FIGURES.index(name) + 2 for name in columns]
     rows = {tuple(row[:2]): [row[place] for place in kept] for row in document["customers"]}
-    assert {key: [getattr(one, name) for name in columns]
-            for key, one in rig.gateway.customers.items()} == rows
+    assert {
+        key: [getattr(one, name) for name in columns] for key, one in rig.gateway.customers.items()
+    } == rows
     assert list(rig.gateway.customers) == [tuple(row[:2]) for row in document["customers"]]
     assert rig.gateway.pool == document["pool"] and rig.gateway.latency == document["latency"]
     again = json.loads(json.dumps(state_document.save(rig.gateway, {n: name for name, n in names.items()})))
@@ -241,7 +275,9 @@
     for rig in (old, new):
         rig.servers(*(entry(number, started_ms=900.0) for number in names), kind=ListKind.CACHED)
     old.do(HandOver())
-    state_document.load(new.gateway, state_document.save(old.gateway, names), {name: number for number, name in names.items()})
+    state_document.load(
+        new.gateway, state_document.save(old.gateway, names), {name: number for number, name in names.items()}
+    )
     cold, fleet = new.gateway.warming, new.gateway.fleet
     for turn in (number / 500 for number in range(500)):
         asked = flight(SETTINGS.classes[0], turn=turn)
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -21,6 +21,7 @@
 
 def beside(tmp_path, case, seconds=4.0, steps=()):
     """One gateway under load; the case plays with its processes."""
+
     async def test():
         world = msgspec.structs.replace(SCENARIO.world, gateways=1, seconds=seconds)
         scenario = msgspec.structs.replace(SCENARIO, world=world, rate=80.0, steps=steps)
@@ -91,13 +92,15 @@
 
 def test_busy_machine_makes_nobody_hung(tmp_path):
     """Both share one core with processes that spin: slow, and left alone."""
+
     async def case(rig, member):
         verdict = await through(rig)
         assert verdict.kept, verdict.told
         assert "hangs" not in member.log() and sum(process.alive for process in member.processes) >= 1
 
-    beside(tmp_path, case, steps=(
-        Step("busy", ("g0",), at_s=0.2, for_s=3.5), Step("upgrade", ("g0",), at_s=0.5)))
+    beside(
+        tmp_path, case, steps=(Step("busy", ("g0",), at_s=0.2, for_s=3.5), Step("upgrade", ("g0",), at_s=0.5))
+    )
 
 
 def test_connection_that_the_next_process_closes_ends_for_its_client(tmp_path):
@@ -127,7 +130,7 @@
     assert numbers == [1, 2, 0]
     pairs[1][0].sendall(b"all")
     assert pairs[1][1].recv(3) == b"all" and consumed(pairs[1][1].fileno()) == 3
-    (sock, asked), = kept.take_back()
+    ((sock, asked),) = kept.take_back()
     assert asked and sock.recv(4) == b"half"
     for one in (sock, *(end for pair in pairs for end in pair)):
         one.close()
@@ -144,7 +147,10 @@
         seen, counted = json.loads(text), rig.clients.count
         assert seen["asked"] == counted["asked"] > 100 and seen["in_hand"] == 0
         assert (seen["served"], seen["refused"], seen["failed"]) == (
-            counted["ok"], counted["busy"], counted["error"])
+            counted["ok"],
+            counted["busy"],
+            counted["error"],
+        )
         assert sum(seen["latency"].values()) == seen["served"] and seen["attempts"] >= seen["served"]
         assert sum(seen["reasons"].values()) >= seen["refused"] and seen["pid"] == member.process.pid
         assert seen["revision"] in await rig.door("g0", "CONFIG")
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -11,8 +11,13 @@
 NAMES = [item.name for item in SETTINGS.classes]
 MAYBE = {Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED}
 STEPS = st.one_of(
-    st.tuples(st.just("ask"), st.sampled_from([p.name for p in SETTINGS.plans]), st.sampled_from(NAMES),
-              st.floats(20.0, 4000.0), st.integers(1, 4)),
+    st.tuples(
+        st.just("ask"),
+        st.sampled_from([p.name for p in SETTINGS.plans]),
+        st.sampled_from(NAMES),
+        st.floats(20.0, 4000.0),
+        st.integers(1, 4),
+    ),
     st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from([s for s in Status if s is not Status.OK])),
     st.tuples(st.just("end"), st.integers(0, 50), st.just(Status.OK)),
     st.tuples(st.just("wait"), st.floats(0.0, 900.0)),
@@ -20,9 +25,12 @@
     st.tuples(st.just("leave"), st.integers(0, 50)),
 )
 CHANGES = st.tuples(
-    st.just("change"), st.integers(2, 6), st.sampled_from([0.5, 1.0, 2.0]),
+    st.just("change"),
+    st.integers(2, 6),
+    st.sampled_from([0.5, 1.0, 2.0]),
     st.sets(st.sampled_from([p.name for p in SETTINGS.plans if p.name != "ceiling"]), max_size=2),
-    st.sets(st.sampled_from(NAMES[1:]), max_size=2))
+    st.sets(st.sampled_from(NAMES[1:]), max_size=2),
+)
 
 
 class Checker(Rig):
@@ -77,11 +85,20 @@
         self.refill()
         ceiling = next(plan for plan in SETTINGS.plans if plan.name == "ceiling")
         rate, burst = ceiling.ceiling_rate * factor, ceiling.ceiling_burst * factor
-        self.do(NewSettings(replace(
-            SETTINGS, gateways=gateways,
-            plans=tuple(replace(p, ceiling_rate=rate, ceiling_burst=burst) if p is ceiling else p
-                        for p in SETTINGS.plans if p.name not in plans),
-            classes=tuple(c for c in SETTINGS.classes if c.name not in classes))))
+        self.do(
+            NewSettings(
+                replace(
+                    SETTINGS,
+                    gateways=gateways,
+                    plans=tuple(
+                        replace(p, ceiling_rate=rate, ceiling_burst=burst) if p is ceiling else p
+                        for p in SETTINGS.plans
+                        if p.name not in plans
+                    ),
+                    classes=tuple(c for c in SETTINGS.classes if c.name not in classes),
+                )
+            )
+        )
         self.rate, self.share = rate / 2.0, burst / 2.0  # requests name a width of two
         self.store = min(self.store, self.share)
 
--- a/tests/test_quota_meter.py
+++ b/tests/test_quota_meter.py
@@ -163,6 +163,7 @@
 
 # Thin slices: rate 10, burst 8 over 60 gateways hold 0.13 of a request of one unit and drain it in 6 s
 
+
 def thin_rig(width: int = 60, settings=SETTINGS) -> Rig:
     rig = Rig(replace(settings, gateways=60))
     rig.servers(entry(1), entry(2))
@@ -230,8 +231,11 @@
     assert passed <= 60 * (1 + 20 * 10 / 60 + 1)
 
 
-CAPS = (Plan("cap", max_in_flight=2, over_cost=1.0), Plan("free-beyond", max_in_flight=2),
-        Plan("both", rate=1e6, burst=1e6, max_in_flight=2, over_cost=1.0))
+CAPS = (
+    Plan("cap", max_in_flight=2, over_cost=1.0),
+    Plan("free-beyond", max_in_flight=2),
+    Plan("both", rate=1e6, burst=1e6, max_in_flight=2, over_cost=1.0),
+)
 
 
 def let_out(plan: str, used: float | None, width: int = 60, age_ms: float = 0.0) -> int:
@@ -277,10 +281,12 @@
     assert refusal.retry_after_ms == SETTINGS.meter_period_ms
 
 
-@pytest.mark.parametrize("over_cost, sent", [
-    (0.0, [True, False, True, True]), (1.0, [True, False, False, False])])
+@pytest.mark.parametrize(
+    "over_cost, sent", [(0.0, [True, False, True, True]), (1.0, [True, False, False, False])]
+)
 def test_small_requests_do_not_pass_in_the_room_of_a_large_one_where_all_gateways_together_go_beyond(
-        over_cost, sent):
+    over_cost, sent
+):
     plan = Plan("thin", rate=1.0, burst=4.0, over_cost=over_cost)  # of 60 gateways
     rig = rig_with(plans=(plan,), gateways=60)
     rig.servers(entry(1), entry(2))
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -42,30 +42,36 @@
 def test_a_recording_cut_off_is_compared_as_far_as_it_goes(kept, events):
     lines = recorded(seed=3, gateways=1, steps=100)
     last = lines[31]
-    played = play(iter([*lines[:31], last[:int(len(last) * kept)]]))
+    played = play(iter([*lines[:31], last[: int(len(last) * kept)]]))
     assert played.events == events and not played.difference and not played.whole and not played.same
 
 
-@pytest.mark.parametrize("lines, error", [
-    ([], "line 1: not the head"),
-    ([b"{}\n"], "line 1: not the head"),
-    ([HEAD + b"\n", b'["event"\n', b"[]\n"], "line 2: DecodeError"),
-    ([HEAD + b"\n", b'["event","g",1,"Drain",{"active":true},[]]\n'], "line 2: KeyError: 'g'"),
-    ([HEAD + b"\n", b'["open","g",1,{"gateways":0}]\n'], "line 2: ValidationError"),
-    ([HEAD + b"\n", b'["end",3]\n'], "line 2: ValueError: 0 events, the end says 3"),
-    ([HEAD + b"\n", b"7\n"], "line 2: ValueError: 7 is no line"),
-])
+@pytest.mark.parametrize(
+    "lines, error",
+    [
+        ([], "line 1: not the head"),
+        ([b"{}\n"], "line 1: not the head"),
+        ([HEAD + b"\n", b'["event"\n', b"[]\n"], "line 2: DecodeError"),
+        ([HEAD + b"\n", b'["event","g",1,"Drain",{"active":true},[]]\n'], "line 2: KeyError: 'g'"),
+        ([HEAD + b"\n", b'["open","g",1,{"gateways":0}]\n'], "line 2: ValidationError"),
+        ([HEAD + b"\n", b'["end",3]\n'], "line 2: ValueError: 0 events, the end says 3"),
+        ([HEAD + b"\n", b"7\n"], "line 2: ValueError: 7 is no line"),
+    ],
+)
 def test_what_is_no_recording_is_told_by_its_line(lines, error):
     with pytest.raises(RecordingError, match="^" + error):
         play(iter(lines))
 
 
-@pytest.mark.parametrize("damage, code, said", [
-    (lambda data: data, 0, "the same"),
-    (lambda data: data[:-40], 1, "cut off after"),
-    (lambda data: data.replace(b'"delay_ms":', b'"delay_ms":1', 1), 1, "NOT the same"),
-    (lambda data: b"x" + data, 2, "not the head"),
-])
+@pytest.mark.parametrize(
+    "damage, code, said",
+    [
+        (lambda data: data, 0, "the same"),
+        (lambda data: data[:-40], 1, "cut off after"),
+        (lambda data: data.replace(b'"delay_ms":', b'"delay_ms":1', 1), 1, "NOT the same"),
+        (lambda data: b"x" + data, 2, "not the head"),
+    ],
+)
 def test_the_command_says_how_it_went(tmp_path, monkeypatch, capsys, damage, code, said):
     file = tmp_path / "r.jsonl"
     monkeypatch.setattr(sys, "argv", ["recording", "drive", str(file), "--gateways", "1", "--steps", "200"])
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -38,8 +38,16 @@
         self.discovery = Discovery(config.discovery, lambda *_: None)
         self.handover = SimpleNamespace(handed=False)
         self.door = admin.Door({})
-        self.reload = Reload(config, environment, gateway.driver, gateway.servers, gateway.clients,
-                             self.discovery, self.door, self.handover)
+        self.reload = Reload(
+            config,
+            environment,
+            gateway.driver,
+            gateway.servers,
+            gateway.clients,
+            self.discovery,
+            self.door,
+            self.handover,
+        )
         self.door.calls.update(self.reload.calls())
         self.reload.up.set()
 
@@ -58,12 +66,28 @@
     def state(self):
         """All that a refused file must leave as it was."""
         decisions, clients, servers = self.driver.gateway, self.gateway.clients, self.gateway.servers
-        return (decisions.settings, decisions.plans, decisions.classes, decisions.gateways, decisions.pool,
-                decisions.epochs.epoch, {k: (c.excess, c.touched) for k, c in decisions.customers.items()},
-                clients.commands, clients.most_connections, servers.readings, servers.most_connections,
-                servers.connect_timeout_s, servers.idle_limit_s, self.discovery.address,
-                self.discovery.longest_s, self.door.server, self.reload.config, self.reload.revision,
-                self.reload.before, self.reload.trial)
+        return (
+            decisions.settings,
+            decisions.plans,
+            decisions.classes,
+            decisions.gateways,
+            decisions.pool,
+            decisions.epochs.epoch,
+            {k: (c.excess, c.touched) for k, c in decisions.customers.items()},
+            clients.commands,
+            clients.most_connections,
+            servers.readings,
+            servers.most_connections,
+            servers.connect_timeout_s,
+            servers.idle_limit_s,
+            self.discovery.address,
+            self.discovery.longest_s,
+            self.door.server,
+            self.reload.config,
+            self.reload.revision,
+            self.reload.before,
+            self.reload.trial,
+        )
 
 
 @asynccontextmanager
@@ -116,10 +140,13 @@
     run(test())
 
 
-@pytest.mark.parametrize("change, told", [
-    ({"tick_ms": True}, "settings.tick_ms: true, want a number"),
-    ({"tariffs": []}, "settings.tariffs: [], want a list"),
-])
+@pytest.mark.parametrize(
+    "change, told",
+    [
+        ({"tick_ms": True}, "settings.tick_ms: true, want a number"),
+        ({"tariffs": []}, "settings.tariffs: [], want a list"),
+    ],
+)
 def test_refused_file_changes_nothing_and_is_remembered(tmp_path, change, told):
     async def test():
         async with configured(tmp_path, FakeServer()) as made:
@@ -206,9 +233,12 @@
             await server.until(lambda: len(server.commands) == 6)
             server.writers[0].write(array(b"v"))
             server.writers[1].write(array(b"v"))
-            first = [peer for number, peer in enumerate(peers[:6])
-                     if server.commands[server.by.index(0)][2].endswith(b"%x" % (number + 1))
-                     or server.commands[server.by.index(1)][2].endswith(b"%x" % (number + 1))]
+            first = [
+                peer
+                for number, peer in enumerate(peers[:6])
+                if server.commands[server.by.index(0)][2].endswith(b"%x" % (number + 1))
+                or server.commands[server.by.index(1)][2].endswith(b"%x" % (number + 1))
+            ]
             for peer in first:
                 assert await peer.reply() == b"v"
             await until(lambda: sum(len(host.idle) for host in servers.hosts.values()) == 2)
@@ -230,6 +260,7 @@
 
 # ---- The way back
 
+
 def test_door_tells_what_is_in_force_and_goes_back_one_step(tmp_path):
     async def test():
         async with configured(tmp_path) as made:
@@ -303,9 +334,20 @@
     run(test())
 
 
-@pytest.mark.parametrize("line", ["RELOAD CONFIRM", "RELOAD CONFIRM x", "RELOAD CONFIRM 0", "RELOAD SOON 5",
-                                  "RELOAD CONFIRM 9999999999999", "RELOAD CONFIRM -1", "CONFIG x",
-                                  "RELOAD CONFIRM 5 5", "ROLLBACK 2"])
+@pytest.mark.parametrize(
+    "line",
+    [
+        "RELOAD CONFIRM",
+        "RELOAD CONFIRM x",
+        "RELOAD CONFIRM 0",
+        "RELOAD SOON 5",
+        "RELOAD CONFIRM 9999999999999",
+        "RELOAD CONFIRM -1",
+        "CONFIG x",
+        "RELOAD CONFIRM 5 5",
+        "ROLLBACK 2",
+    ],
+)
 def test_calls_that_are_none_are_told_no_and_change_nothing(tmp_path, line):
     async def test():
         async with configured(tmp_path) as made:
@@ -376,6 +418,7 @@
 
 # ---- SIGHUP
 
+
 def count_readings(monkeypatch) -> list[str]:
     readings = []
 
@@ -506,6 +549,7 @@
 
 def test_sighup_that_crosses_the_handover_is_carried_out_before_it_or_not_at_all(tmp_path):
     """The state is written in one step of the loop, which comes in each of the turns that a reload takes."""
+
     async def test():
         seen = set()
         for turns in range(8):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -49,17 +49,20 @@
     return Figures(**{"asked": 100, "served": 100, "attempts": 100, "latency": {8: 90, 12: 10}, **more})
 
 
-@pytest.mark.parametrize("changed, others, word, why", [
-    (window(), window(), Word.FINE, "nothing worse"),
-    (window(served=70, refused=30), window(), Word.WORSE, "refused"),
-    (window(served=70, failed=30), window(), Word.WORSE, "failed"),
-    (window(late=30), window(), Word.WORSE, "late"),
-    (window(attempts=140), window(), Word.WORSE, "resent"),
-    (window(latency={8: 50, 16: 50}), window(), Word.WORSE, "slow"),
-    (window(served=70, refused=30), window(served=70, refused=30), Word.TROUBLE, "refused"),
-    (window(), window(served=70, refused=30), Word.TROUBLE, "refused"),  # the others', not the change's
-    (window(asked=1, served=1, attempts=1, latency={8: 1}), window(), Word.WAIT, "20 requests, want 200"),
-])
+@pytest.mark.parametrize(
+    "changed, others, word, why",
+    [
+        (window(), window(), Word.FINE, "nothing worse"),
+        (window(served=70, refused=30), window(), Word.WORSE, "refused"),
+        (window(served=70, failed=30), window(), Word.WORSE, "failed"),
+        (window(late=30), window(), Word.WORSE, "late"),
+        (window(attempts=140), window(), Word.WORSE, "resent"),
+        (window(latency={8: 50, 16: 50}), window(), Word.WORSE, "slow"),
+        (window(served=70, refused=30), window(served=70, refused=30), Word.TROUBLE, "refused"),
+        (window(), window(served=70, refused=30), Word.TROUBLE, "refused"),  # the others', not the change's
+        (window(asked=1, served=1, attempts=1, latency={8: 1}), window(), Word.WAIT, "20 requests, want 200"),
+    ],
+)
 def test_a_measure_is_blamed_on_the_change_only_where_others_do_not_share_it(changed, others, word, why):
     before = {name: [window()] * 20 for name in ("a", "b", "c")}
     judge = Judge({"a"}, measure_before({"a"}, before), Worse(), 1, 200)
@@ -75,11 +78,17 @@
 MEMBERS = st.lists(st.sampled_from("abc"), min_size=2, max_size=40)
 
 
-@given(MEMBERS, st.integers(1, 10), st.integers(2, 4), st.sampled_from(["share", "zone"]),
-       st.randoms(use_true_random=False))
+@given(
+    MEMBERS,
+    st.integers(1, 10),
+    st.integers(2, 4),
+    st.sampled_from(["share", "zone"]),
+    st.randoms(use_true_random=False),
+)
 @settings(max_examples=150, deadline=None)
 def test_no_schedule_takes_more_out_at_once_than_is_stated_and_all_get_their_turn(
-        zones, at_once, spread, by, random):
+    zones, at_once, spread, by, random
+):
     names = [f"g{n}" for n in range(len(zones))]
     members = tuple(Member(name, "h:1", "c", zone) for name, zone in zip(names, zones, strict=True))
     plan = Plan("p", "j", members, "s", at_once=at_once, spread=spread, by=by)
@@ -113,17 +122,22 @@
 PROGRAM = 'program = { before = { folder = "a" }, after = { folder = "b" } }'
 
 
-@pytest.mark.parametrize("old, new, why", [
-    ('name = "quota"', "", "name"), ('"h:1"', '"h:2"', "two members have door 'h:2'"),
-    ('"h:1"', '"h"', "no door"), ("new-{name}", "new-{zone}", "only {name}"),
-    ('journal = "j"', 'journal = "j"\nstages = [1, 0.5]', "the last stage is not all"),
-    ('journal = "j"', 'journal = "j"\ntrial_s = 20', "has to outlast"),
-    ('journal = "j"', 'journal = "j"\nx = 1', "unknown field `x`"),
-    ('config = "b" }', 'config = "b" ', "line"),
-    ('settings = "new-{name}.json"', "", "either settings or program"),
-    ('settings = "new-{name}.json"', PROGRAM, "g0 needs next_door and folder"),
-    ('"h:2"', '"h:2", next_door = "h:1"', "two members have door 'h:1'"),
-])
+@pytest.mark.parametrize(
+    "old, new, why",
+    [
+        ('name = "quota"', "", "name"),
+        ('"h:1"', '"h:2"', "two members have door 'h:2'"),
+        ('"h:1"', '"h"', "no door"),
+        ("new-{name}", "new-{zone}", "only {name}"),
+        ('journal = "j"', 'journal = "j"\nstages = [1, 0.5]', "the last stage is not all"),
+        ('journal = "j"', 'journal = "j"\ntrial_s = 20', "has to outlast"),
+        ('journal = "j"', 'journal = "j"\nx = 1', "unknown field `x`"),
+        ('config = "b" }', 'config = "b" ', "line"),
+        ('settings = "new-{name}.json"', "", "either settings or program"),
+        ('settings = "new-{name}.json"', PROGRAM, "g0 needs next_door and folder"),
+        ('"h:2"', '"h:2", next_door = "h:1"', "two members have door 'h:1'"),
+    ],
+)
 def test_file_that_is_no_plan_is_refused_with_its_fault(tmp_path, old, new, why):
     assert old in PLAN
     (tmp_path / "p.toml").write_text(PLAN)
@@ -138,6 +152,7 @@
 
 # ---- The journal
 
+
 def test_journal_cut_or_flipped_anywhere_is_read_up_to_its_last_whole_record(tmp_path):
     path = tmp_path / "j"
     journal = told.Journal(path, lambda: 5.0)
@@ -152,7 +167,7 @@
     for at in range(len(raw)):
         whole = max(n for n, end in enumerate(ends) if end <= at)
         assert len(list(told.records(raw[:at]))) == whole
-        flipped = raw[:at] + bytes([raw[at] ^ 4]) + raw[at + 1:]
+        flipped = raw[:at] + bytes([raw[at] ^ 4]) + raw[at + 1 :]
         assert len(list(told.records(flipped))) == whole
     path.write_bytes(raw[:-3])
     again = told.Journal(path, lambda: 1.0)  # a clock that went back does not lower the token
@@ -182,8 +197,15 @@
 """
 
 
-FAST = {"stages": [1, 1.0], "watch_s": 0.6, "longest_watch_s": 20.0, "look_s": 0.1, "member_s": 10.0,
-        "least_requests": 20, "trial_s": 60}
+FAST = {
+    "stages": [1, 1.0],
+    "watch_s": 0.6,
+    "longest_watch_s": 20.0,
+    "look_s": 0.1,
+    "member_s": 10.0,
+    "least_requests": 20,
+    "trial_s": 60,
+}
 WORSE = {"scale": 0.1, "tolerance": 0.3}
 
 
@@ -207,8 +229,9 @@
         self.new = self.settings(name, changes, {**FAST, "worse": {**WORSE, "measures": measures}, **more})
         return self.plans[name]
 
-    def upgrade(self, after: Program, before: Program | None = None, name: str = "p",
-                measures=("failed",), **more) -> Path:
+    def upgrade(
+        self, after: Program, before: Program | None = None, name: str = "p", measures=("failed",), **more
+    ) -> Path:
         fields = {**FAST, "worse": {**WORSE, "measures": measures}, **more}
         self.program(name, after, before or version(ROOT), fields)
         return self.plans[name]
@@ -221,13 +244,16 @@
 
     async def seen(self, plan: Path, kind, member: str = "") -> None:
         """Wait until the journal has such a record."""
+
         def there() -> bool:
             try:
                 history = told.read(plan.with_suffix(".journal")).history
             except OSError:
                 return False
-            return any(isinstance(record, kind) and getattr(record, "member", member) == member
-                       for record in history)
+            return any(
+                isinstance(record, kind) and getattr(record, "member", member) == member for record in history
+            )
+
         await self.rig.until(there)
 
     async def goes_by(self, files) -> bool:
@@ -291,8 +317,11 @@
     async def case(made: Fleet):
         settings, lives = isinstance(what, float), 0
         new = next_version(tmp_path / "next", "fine" if settings else what)
-        plan = made.plan(what) if settings else made.upgrade(
-            new, measures=["refused" if end else "failed"], watch_s=1.0, settle_s=0.5)
+        plan = (
+            made.plan(what)
+            if settings
+            else made.upgrade(new, measures=["refused" if end else "failed"], watch_s=1.0, settle_s=0.5)
+        )
         while (code := await made.to_end(plan, dies_after=2)) == 9:  # its token, and one record more
             lives += 1
             assert lives < 40, made.log()
@@ -375,8 +404,15 @@
 def test_pause_holds_resume_goes_on_and_back_gives_up_who_is_away_by_name(tmp_path):
     async def case(made: Fleet):
         plan = made.plan(21.0, watch_s=1.0, longest_watch_s=2.0, member_s=2.0)
-        assert subprocess.run([sys.executable, "-m", "quota_gateway.rollout", "pause", plan], cwd=ROOT,
-                              capture_output=True, check=False).returncode == 2  # not begun
+        assert (
+            subprocess.run(
+                [sys.executable, "-m", "quota_gateway.rollout", "pause", plan],
+                cwd=ROOT,
+                capture_output=True,
+                check=False,
+            ).returncode
+            == 2
+        )  # not begun
         running = await made.start(plan)
         await made.seen(plan, told.Changed, "g0")
         assert await (await made.start(plan, call="pause")).wait() == 0
@@ -399,16 +435,18 @@
 def test_gateway_loads_nothing_of_the_extras():
     packages = ("recording", "rollout", "fault_bench", "simulation", "simulator_adapter", "failover")
     extras = tuple(f"quota_gateway.{name}" for name in packages)
-    code = ("import sys, quota_gateway.__main__; "
-            f"print([n for n in sys.modules if n.startswith({extras!r})"
-            " or n in ('msgspec', 'numpy', 'click', 'rich', 'hdrh')])")
+    code = (
+        "import sys, quota_gateway.__main__; "
+        f"print([n for n in sys.modules if n.startswith({extras!r})"
+        " or n in ('msgspec', 'numpy', 'click', 'rich', 'hdrh')])"
+    )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
 
 
 # ---- Another version of the program
 
-NEXT = '''
+NEXT = """
 import os, sys, threading, time
 sys.path.insert(0, os.getcwd())
 fault = sys.argv.pop(1)
@@ -462,7 +500,7 @@
     return document
 hot_restart.state_document.save = saved
 sys.exit(program.main(sys.argv[1:]))
-'''
+"""
 
 
 def next_version(folder: Path, fault: str = "fine") -> Program:
@@ -508,20 +546,27 @@
 ENDED = "its next process has ended"  # found by either look, before or behind its judgement as ready
 
 
-@pytest.mark.parametrize("fault, why, breaks", [
-    ("start", "does not start: it ended with 1: no such table", {"crash"}),
-    ("late", ENDED, CRASHES),
-    ("load", ENDED, CRASHES),
-    ("busy", ENDED, CRASHES),
-    ("health", "does not serve", ()),
-    ("alone", "does not serve", {"crash"}),  # it waits for its address, and has to be killed
-    ("leaks", "KiB more", ()),
-    ("refuses", "refused", ()),
-])
+@pytest.mark.parametrize(
+    "fault, why, breaks",
+    [
+        ("start", "does not start: it ended with 1: no such table", {"crash"}),
+        ("late", ENDED, CRASHES),
+        ("load", ENDED, CRASHES),
+        ("busy", ENDED, CRASHES),
+        ("health", "does not serve", ()),
+        ("alone", "does not serve", {"crash"}),  # it waits for its address, and has to be killed
+        ("leaks", "KiB more", ()),
+        ("refuses", "refused", ()),
+    ],
+)
 def test_next_version_that_fails_goes_back_and_no_other_is_touched(tmp_path, fault, why, breaks):
     async def case(made: Fleet):
-        plan = made.upgrade(next_version(tmp_path / "next", fault), watch_s=3.0, member_s=4.0, measures=[
-            "refused" if fault == "refuses" else "failed"])
+        plan = made.upgrade(
+            next_version(tmp_path / "next", fault),
+            watch_s=3.0,
+            member_s=4.0,
+            measures=["refused" if fault == "refuses" else "failed"],
+        )
         assert await made.to_end(plan) == 1, made.log()
         state = told.read(plan.with_suffix(".journal"))
         assert state.outcome == "back" and state.touched == ["g0"] and why in state.turned, state.turned
@@ -530,8 +575,10 @@
     fleet(tmp_path, case, may_break=breaks)
 
 
-@pytest.mark.parametrize("lost, why, wish, end", [
-    (("g0",), "can't be reached", "back", 1), (("g0", "g1"), "g1 went, too, unchanged", "resume", 0)])
+@pytest.mark.parametrize(
+    "lost, why, wish, end",
+    [(("g0",), "can't be reached", "back", 1), (("g0", "g1"), "g1 went, too, unchanged", "resume", 0)],
+)
 def test_machines_that_go_in_the_middle_of_a_stage_are_not_the_changes_fault(tmp_path, lost, why, wish, end):
     async def case(made: Fleet):
         new = next_version(tmp_path / "next")
@@ -556,14 +603,15 @@
 def earlier(folder: Path) -> Program:
     """The commit before versions could be told apart, in a folder and an environment of its own."""
     commit = "79ab08c"
-    tree = subprocess.run(["git", "archive", commit, "brackenloft"], cwd=ROOT, capture_output=True,
-                          check=False)
+    tree = subprocess.run(
+        ["git", "archive", commit, "brackenloft"], cwd=ROOT, capture_output=True, check=False
+    )
     if tree.returncode:
         pytest.skip(f"{commit} is not in this clone")
     folder.mkdir()
     subprocess.run(["tar", "x"], cwd=folder, input=tree.stdout, check=True)
     venv.create(folder / ".venv")
-    library, = (folder / ".venv" / "lib").glob("python*/site-packages")
+    (library,) = (folder / ".venv" / "lib").glob("python*/site-packages")
     (library / "libraries.pth").write_text(sysconfig.get_path("purelib"))
     return Program(folder, "exec .venv/bin/python -m brackenloft")
 
@@ -585,11 +633,16 @@
     fleet(tmp_path, case, program=earlier_version)
 
 
-@pytest.mark.parametrize("fault, why", [
-    ("apart", "versions too far apart: handover 1 and 2"),
-    ("config", "the next version refuses its configuration"), ("beside", "want one process that serves"),
-    ("other", "is run from"), ("nowhere", "no folder"),
-])
+@pytest.mark.parametrize(
+    "fault, why",
+    [
+        ("apart", "versions too far apart: handover 1 and 2"),
+        ("config", "the next version refuses its configuration"),
+        ("beside", "want one process that serves"),
+        ("other", "is run from"),
+        ("nowhere", "no folder"),
+    ],
+)
 def test_program_that_can_not_be_rolled_out_is_refused_with_nothing_touched(tmp_path, fault, why):
     async def case(made: Fleet):
         new, before, member = next_version(tmp_path / "next", fault), None, made.rig.members["g1"]
@@ -610,10 +663,15 @@
 def test_launcher_starts_one_process_a_door_ends_it_and_obeys_no_older_token(tmp_path):
     made = SCENARIO.world.settings(0)
     host, door = own_host(), "20001"
-    document = {"name": "g0", "listen": f"{host}:20000", "discovery": f"{host}:20002", "seed": "1",
-                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-                "known": {"generation": 1, "reset": True, "instances": []},
-                "settings": settings_document(made)}
+    document = {
+        "name": "g0",
+        "listen": f"{host}:20000",
+        "discovery": f"{host}:20002",
+        "seed": "1",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+        "known": {"generation": 1, "reset": True, "instances": []},
+        "settings": settings_document(made),
+    }
     config = tmp_path / "config.json"
     config.write_text(json.dumps(document))
 
@@ -621,8 +679,13 @@
         words = ["--door", f"{host}:{door}", "--tmp", tmp_path, "--token", str(token)]
         if call == "start":
             words += ["--name", "g0", "--folder", ROOT, "--command", command, "--config", config]
-        done = subprocess.run([sys.executable, "-m", "quota_gateway.rollout.launcher", call, *words], cwd=ROOT,
-                              capture_output=True, text=True, check=False)
+        done = subprocess.run(
+            [sys.executable, "-m", "quota_gateway.rollout.launcher", call, *words],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            check=False,
+        )
         return done.stdout.strip() if done.returncode == 0 else done.stderr.strip()
 
     assert "it ended with 7" in launch("start", 5, "exit 7")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -13,6 +13,7 @@
 
 # 1. One final answer
 
+
 @pytest.mark.parametrize("class_name, answer", [("safe", "Refuse"), ("keyed", "Fail"), ("unsafe", "Fail")])
 def test_silent_attempt_is_answered_before_the_client_leaves(rig, class_name, answer):
     name = rig.ask(class_name=class_name, patience=300.0)
@@ -46,6 +47,7 @@
 
 # 2. No effect twice
 
+
 @pytest.mark.parametrize("status", RAN_NOT)
 @pytest.mark.parametrize("class_name", ["safe", "keyed", "unsafe"])
 def test_an_attempt_proven_not_to_have_run_is_sent_elsewhere(rig, class_name, status):
@@ -77,8 +79,9 @@
     assert rig.answers[name] == "Fail"
 
 
-@pytest.mark.parametrize("class_name, group", [
-    ("keyed", {1, 2}), ("keyed-cell", {1, 2}), ("keyed-all", {1, 2, 3, 4})])
+@pytest.mark.parametrize(
+    "class_name, group", [("keyed", {1, 2}), ("keyed-cell", {1, 2}), ("keyed-all", {1, 2, 3, 4})]
+)
 def test_keyed_goes_again_only_in_its_group(class_name, group):
     for seed in range(10):
         rig = Rig(seed=seed)
@@ -113,6 +116,7 @@
 
 # 3. Drains
 
+
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
 def test_nothing_goes_to_a_draining_server(rig, state):
     rig.servers(entry(1, state=state), kind=ListKind.CHANGES)
@@ -135,6 +139,7 @@
 
 # 4. Cold servers
 
+
 def test_cold_server_gets_little_work_in_a_burst():
     rig = Rig()
     rig.servers(entry(1), entry(2), entry(3, started_ms=1000.0))
@@ -174,6 +179,7 @@
 
 # 5. Ceilings
 
+
 def test_ceiling_starts_empty_and_fills_at_its_share(rig):
     names = [rig.ask("ceiling") for _ in range(3)]
     assert not any(name in rig.sent for name in names)
@@ -228,6 +234,7 @@
 
 # Beyond the rules: pressure
 
+
 def test_pool_parks_and_sheds_the_least_worth(rig):
     rig.gateway.pool = 6.0
     names = [rig.ask() for _ in range(6)]
@@ -277,6 +284,7 @@
 
 # Beyond the rules: pressure over all servers, at any number of gateways
 
+
 def test_all_gateways_together_keep_few_out_before_anything_is_known():
     out = 0
     for index in range(100):  # six a server over all gateways: 0.6 each with ten servers
@@ -317,6 +325,7 @@
 
 # Beyond the rules: servers that fail a part of what they get
 
+
 def fleet(size: int = 4) -> Rig:
     rig = Rig()
     rig.servers(*(entry(n) for n in range(size)))
@@ -391,7 +400,8 @@
     rig, compared = fleet(300), []
     cost = rig.gateway.choice.cost
     rig.gateway.choice.cost = lambda flight, server, priors: (
-        compared.append(server) or cost(flight, server, priors))
+        compared.append(server) or cost(flight, server, priors)
+    )
     for _ in range(50):
         rig.finish(rig.ask())
     assert 50 * 10 <= len(compared) <= 50 * 20
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -38,6 +38,7 @@
 
 # ---- What a customer has used
 
+
 def test_excess_drains_at_the_old_rate_up_to_the_change_and_at_the_new_one_after_it():
     rig = a_rig(QUOTA)
     sent(rig, 4, plan="q")
@@ -113,6 +114,7 @@
 
 # ---- What is in hand
 
+
 def test_plan_removed_while_its_customer_has_requests_held_parked_and_out():
     rig = a_rig(replace(QUOTA, rate=4.0, burst=2.0, max_in_flight=2), Plan("other"))
     names = [rig.ask("q") for _ in range(2)]
@@ -137,8 +139,10 @@
 def test_class_removed_or_of_another_effect_leaves_what_is_in_hand_as_it_was_taken():
     rig = a_rig()
     one, two = rig.ask(class_name="unsafe"), rig.ask(class_name="brief")
-    tell(rig, classes=tuple(replace(item, effect=CLASSES[0].effect) for item in CLASSES
-                            if item.name != "brief"))
+    tell(
+        rig,
+        classes=tuple(replace(item, effect=CLASSES[0].effect) for item in CLASSES if item.name != "brief"),
+    )
     assert rig.answers[rig.ask(class_name="brief")] == "Refuse"
     rig.finish(one, Status.RESET)
     assert rig.answers[one] == "Fail" and len(rig.sent[one]) == 1  # still one that must not be repeated
@@ -196,6 +200,7 @@
 
 # ---- The number of gateways
 
+
 def test_more_gateways_shrink_shares_at_once_and_fewer_let_them_grow_when_the_others_have_heard():
     rig = a_rig(QUOTA, gateways=4)
     assert len(sent(rig, 20, plan="q", width=8)) == 2
@@ -222,8 +227,12 @@
 
 
 @settings(max_examples=25, deadline=None, derandomize=True)
-@given(st.integers(2, 6), st.integers(1, 5), st.lists(st.floats(0.0, 3900.0), min_size=6, max_size=6),
-       st.integers(200, 500))
+@given(
+    st.integers(2, 6),
+    st.integers(1, 5),
+    st.lists(st.floats(0.0, 3900.0), min_size=6, max_size=6),
+    st.integers(200, 500),
+)
 def test_gateways_that_become_fewer_never_draw_more_than_the_ceiling_together(before, after, told_at, every):
     """Each hears of it at its own moment within the platform's 4 s; those that leave draw on until then."""
     plan = Plan("q", rate=1000.0, burst=1000.0, ceiling_rate=12.0, ceiling_burst=24.0)
@@ -254,6 +263,7 @@
 
 # ---- Whole or not at all, and the next process
 
+
 def test_settings_that_the_decisions_can_not_take_leave_them_as_they_were(monkeypatch):
     rig = a_rig()
     sent(rig, 3, plan="metered")
@@ -292,7 +302,9 @@
     new = Rig(old.settings, seed=2)
     new.now = old.now
     new.servers(entry(1), entry(2))
-    state_document.load(new.gateway, state_document.save(old.gateway, {1: "s-1", 2: "s-2"}), {"s-1": 1, "s-2": 2})
+    state_document.load(
+        new.gateway, state_document.save(old.gateway, {1: "s-1", 2: "s-2"}), {"s-1": 1, "s-2": 2}
+    )
     tell(new, plans=(replace(QUOTA, rate=8.0),))
     tell(new, plans=(QUOTA,))
     assert customer(new).excess == 4000.0
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -66,12 +66,19 @@
 HEAVY = Tariff("basis", customers=30, rate=40.0, burst=80.0)
 
 
-@pytest.mark.parametrize("make, made, rule", [
-    (Twice, world(), "answers"), (Mute, world(), "answers"), (Again, world(troubles=(FAIL,)), "resends"),
-    (Shrugs, world(troubles=(FAIL,)), "refusals"), (Deaf, world(troubles=(RELEASE,)), "drains"),
-    (Eager, world(troubles=(RELEASE,), tariffs=(HEAVY,)), "cold servers"),
-    (AllIn, world(tariffs=(CEILING,)), "ceilings"),
-], ids=lambda value: getattr(value, "__name__", ""))
+@pytest.mark.parametrize(
+    "make, made, rule",
+    [
+        (Twice, world(), "answers"),
+        (Mute, world(), "answers"),
+        (Again, world(troubles=(FAIL,)), "resends"),
+        (Shrugs, world(troubles=(FAIL,)), "refusals"),
+        (Deaf, world(troubles=(RELEASE,)), "drains"),
+        (Eager, world(troubles=(RELEASE,), tariffs=(HEAVY,)), "cold servers"),
+        (AllIn, world(tariffs=(CEILING,)), "ceilings"),
+    ],
+    ids=lambda value: getattr(value, "__name__", ""),
+)
 def test_a_policy_that_breaks_a_rule_is_caught_by_it_and_the_gateway_is_not(make, made, rule):
     result = Day(made, 1, make).run()
     assert set(result.broken) == {rule} and result.told[0].startswith(f"{rule}: ")
@@ -81,14 +88,27 @@
 
 @settings(max_examples=12, deadline=None, derandomize=True, phases=[Phase.explicit, Phase.generate])
 @example([Trouble("kill", 0.0, 1.0, 1.0)] * 2, 0, 1, False)  # killed while it is down
-@given(st.lists(st.builds(
-    Trouble, st.sampled_from(["kill", "release", "slow", "fail", "silent", "burst"]), st.floats(0.0, 2.0),
-    st.floats(0.1, 2.0), st.floats(0.0, 1.0), st.floats(0.5, 4.0)), max_size=4),
-    st.integers(0, 1000), st.sampled_from([1, 3, 8]), st.booleans())
+@given(
+    st.lists(
+        st.builds(
+            Trouble,
+            st.sampled_from(["kill", "release", "slow", "fail", "silent", "burst"]),
+            st.floats(0.0, 2.0),
+            st.floats(0.1, 2.0),
+            st.floats(0.0, 1.0),
+            st.floats(0.5, 4.0),
+        ),
+        max_size=4,
+    ),
+    st.integers(0, 1000),
+    st.sampled_from([1, 3, 8]),
+    st.booleans(),
+)
 def test_the_ledger_adds_up_and_no_rule_is_broken_whatever_goes_wrong(troubles, seed, gateways, far):
     zones = ("a", "b") if far else ("a",)
-    made = world(troubles=tuple(troubles), gateways=gateways, zones=zones, seconds=3.0,
-                 tariffs=(PLAN, CEILING))
+    made = world(
+        troubles=tuple(troubles), gateways=gateways, zones=zones, seconds=3.0, tariffs=(PLAN, CEILING)
+    )
     result = Day(made, seed).run()
     assert sum(result.ledger.values()) == result.offered and not result.broken
     assert all(amount >= 0 for amount in result.ledger.values())
@@ -113,16 +133,24 @@
 
 
 def test_two_choices_serve_more_than_one_where_servers_are_uneven():
-    made = world(machines=Machines(6, cores=1, slowest=0.3, fastest=2.0), gateways=1, kinds=(SAFE,),
-                 tariffs=(Tariff("basis", customers=15, rate=20.0, burst=40.0),))
+    made = world(
+        machines=Machines(6, cores=1, slowest=0.3, fastest=2.0),
+        gateways=1,
+        kinds=(SAFE,),
+        tariffs=(Tariff("basis", customers=15, rate=20.0, burst=40.0),),
+    )
     one, two = (sum(Day(made, seed, make).run().served for seed in range(3)) for make in (AllIn, TwoChoices))
     assert two > one
 
 
 def test_a_day_is_the_same_in_every_process_and_for_every_hash_seed(tmp_path):
     file, made = tmp_path / "world.toml", []
-    file.write_text((EXAMPLES / "release.toml").read_text().replace("seconds = 45.0", "seconds = 12.0")
-                    .replace("customers = 60", "customers = 10"))
+    file.write_text(
+        (EXAMPLES / "release.toml")
+        .read_text()
+        .replace("seconds = 45.0", "seconds = 12.0")
+        .replace("customers = 60", "customers = 10")
+    )
     for number in ("1", "2"):
         sink = tmp_path / number
         call = [sys.executable, "-m", "quota_gateway.simulation", "run", str(file), "--json", str(sink)]
@@ -132,13 +160,18 @@
     assert made[0][0] == made[1][0] and made[1][1] != made[0][0] and len(made[1]) == 2
 
 
-@pytest.mark.parametrize("old, new, told", [
-    ("gateways = 8", "gateways = 0", "`$.gateways`"), ("aim = 400.0", "aim = -1.0", "`$.kinds[0].aim`"),
-    ("gateways = 8", "gateways = 8\nsize = 3", "unknown field `size`"),
-    ("seconds = 45.0", "seconds =", "line 2"),
-    ('name = "order"', 'name = "read"', "kinds read: named twice"), ("burst = 24.0", "", "`burst`"),
-    ('kind = "burst", at_s', 'kind = "slow", zone = "z", at_s', "`$.troubles[0].zone`"),
-])
+@pytest.mark.parametrize(
+    "old, new, told",
+    [
+        ("gateways = 8", "gateways = 0", "`$.gateways`"),
+        ("aim = 400.0", "aim = -1.0", "`$.kinds[0].aim`"),
+        ("gateways = 8", "gateways = 8\nsize = 3", "unknown field `size`"),
+        ("seconds = 45.0", "seconds =", "line 2"),
+        ('name = "order"', 'name = "read"', "kinds read: named twice"),
+        ("burst = 24.0", "", "`burst`"),
+        ('kind = "burst", at_s', 'kind = "slow", zone = "z", at_s', "`$.troubles[0].zone`"),
+    ],
+)
 def test_a_file_that_is_no_world_is_told_by_its_path(tmp_path, old, new, told):
     file = tmp_path / "world.toml"
     file.write_text((EXAMPLES / "calm.toml").read_text().replace(old, new, 1))
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -13,24 +13,82 @@
 SIM = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["sim"]
 
 ENV = {
-    "balancers": 2, "slot_no": 0, "locality": "a", "discovery": "automatic", "tick_ms": 2.0,
-    "services": [{"name": "read", "slo_ms": 500.0, "hard_limit_ms": 2000.0, "effect": "safe", "value": 1.0,
-                  "late_share": 0.0, "key_scope": "all", "memory_span_ms": 5000.0, "stream": False}],
-    "tariffs": [{"name": "basic", "refill": 2.0, "most_at_once": 4.0, "parallel": 0, "value_factor": 1.0,
-                 "excess_worth": 0.0, "overrun_cost": 1.0, "cap_rate": 0.0, "cap_depth": 0.0,
-                 "hard_slack": 0.0}],
-    "limits": {"attempts_cap": 3, "may_duplicate": False, "cancelling": True, "probes": False, "peers": False,
-               "retry_after": False, "open_cap": 1000, "connect_timeout_ms": 250.0,
-               "max_retry_after_ms": 0.0},
-    "contract": {"answer_slack_ms": 8.0, "drain_grace_ms": 1000.0, "start_capacity": 0.2,
-                 "warm_up_ms": 10000.0, "tip_multiple": 3.0, "fall_ms": 2000.0, "must_ask_in_ms": 10000.0},
+    "balancers": 2,
+    "slot_no": 0,
+    "locality": "a",
+    "discovery": "automatic",
+    "tick_ms": 2.0,
+    "services": [
+        {
+            "name": "read",
+            "slo_ms": 500.0,
+            "hard_limit_ms": 2000.0,
+            "effect": "safe",
+            "value": 1.0,
+            "late_share": 0.0,
+            "key_scope": "all",
+            "memory_span_ms": 5000.0,
+            "stream": False,
+        }
+    ],
+    "tariffs": [
+        {
+            "name": "basic",
+            "refill": 2.0,
+            "most_at_once": 4.0,
+            "parallel": 0,
+            "value_factor": 1.0,
+            "excess_worth": 0.0,
+            "overrun_cost": 1.0,
+            "cap_rate": 0.0,
+            "cap_depth": 0.0,
+            "hard_slack": 0.0,
+        }
+    ],
+    "limits": {
+        "attempts_cap": 3,
+        "may_duplicate": False,
+        "cancelling": True,
+        "probes": False,
+        "peers": False,
+        "retry_after": False,
+        "open_cap": 1000,
+        "connect_timeout_ms": 250.0,
+        "max_retry_after_ms": 0.0,
+    },
+    "contract": {
+        "answer_slack_ms": 8.0,
+        "drain_grace_ms": 1000.0,
+        "start_capacity": 0.2,
+        "warm_up_ms": 10000.0,
+        "tip_multiple": 3.0,
+        "fall_ms": 2000.0,
+        "must_ask_in_ms": 10000.0,
+    },
     "load_info": {"how": "answers", "names": ["busy", "q"]},
-    "family_info": {"meter_ms": 1000.0, "largest": 1, "settles": False, "has_counter": False,
-                    "count_limit_ms": 0.0},
-    "deductions": {"cross_zone": 0.01}, "a_new_key": [1, 2],
+    "family_info": {
+        "meter_ms": 1000.0,
+        "largest": 1,
+        "settles": False,
+        "has_counter": False,
+        "count_limit_ms": 0.0,
+    },
+    "deductions": {"cross_zone": 0.01},
+    "a_new_key": [1, 2],
+}
+KNOCK = {
+    "i": "gateway-1",
+    "op_id": "aa",
+    "priority": "read",
+    "plan": "basic",
+    "member": "m",
+    "patience_left_ms": 900.0,
+    "units": 1,
+    "width": 2,
+    "base": 0,
+    "retry": False,
+    "update": None,
 }
-KNOCK = {"i": "gateway-1", "op_id": "aa", "priority": "read", "plan": "basic", "member": "m",
-         "patience_left_ms": 900.0, "units": 1, "width": 2, "base": 0, "retry": False, "update": None}
 
 
 def command() -> list[str]:
@@ -44,7 +102,8 @@
     text = "\n".join(m if isinstance(m, str) else json.dumps(m) for m in messages) + "\n"
     env = {**os.environ, "PYTHONHASHSEED": seed}
     return subprocess.run(
-        command(), cwd=ROOT, input=text, capture_output=True, text=True, timeout=60, env=env, check=False)
+        command(), cwd=ROOT, input=text, capture_output=True, text=True, timeout=60, env=env, check=False
+    )
 
 
 def batch(turn, t, *events):
@@ -52,8 +111,19 @@
 
 
 def roster(ref, *servers):
-    rows = [{"server": s, "locality": "a", "generation_hw": "std", "cluster": 0, "phase": "U", "size": 1,
-             "since_ms": None, "new_field": 3} for s in servers]
+    rows = [
+        {
+            "server": s,
+            "locality": "a",
+            "generation_hw": "std",
+            "cluster": 0,
+            "phase": "U",
+            "size": 1,
+            "since_ms": None,
+            "new_field": 3,
+        }
+        for s in servers
+    ]
     return {"Roster": {"ref": ref, "members_list": rows}}
 
 
@@ -75,12 +145,27 @@
 
 
 def test_a_conversation_from_opening_to_answer():
-    outcome = {"Outcome": {"i": "gateway-1", "op_id": "aa", "seq_no": 0, "server": 7, "code": 200,
-                           "delay_seen_ms": 20.0, "final": True, "metered": 31, "final_units": None,
-                           "gauge": [0.5, 1]}}
-    done = talk(*batch(1, 0.0), *batch(2, 1.0, opening(), roster(0, 7), listing("gateway-1", 0)),
-                *batch(3, 2.0, {"Knock": {**KNOCK, "extra": 1}}), *batch(4, 22.0, outcome),
-                *batch(5, 30.0, {"Vanished": {"i": "gateway-1", "op_id": "aa"}}))
+    outcome = {
+        "Outcome": {
+            "i": "gateway-1",
+            "op_id": "aa",
+            "seq_no": 0,
+            "server": 7,
+            "code": 200,
+            "delay_seen_ms": 20.0,
+            "final": True,
+            "metered": 31,
+            "final_units": None,
+            "gauge": [0.5, 1],
+        }
+    }
+    done = talk(
+        *batch(1, 0.0),
+        *batch(2, 1.0, opening(), roster(0, 7), listing("gateway-1", 0)),
+        *batch(3, 2.0, {"Knock": {**KNOCK, "extra": 1}}),
+        *batch(4, 22.0, outcome),
+        *batch(5, 30.0, {"Vanished": {"i": "gateway-1", "op_id": "aa"}}),
+    )
     rows = replies(done)
     assert [row["turn"] for row in only(rows, "Ack")] == [1, 2, 3, 4, 5]
     assert [(row["op_id"], row["server"]) for row in only(rows, "Try")] == [("aa", 7)]
@@ -88,16 +173,39 @@
 
 
 def test_a_list_number_recycled_in_one_batch_is_resolved_in_order():
-    rows = replies(talk(*batch(1, 0.0, opening("gateway-1"), roster(3, 7), listing("gateway-1", 3),
-                               opening("gateway-2"), roster(3, 8), listing("gateway-2", 3)),
-                        *batch(2, 1.0, {"Knock": KNOCK}, {"Knock": {**KNOCK, "i": "gateway-2"}})))
+    rows = replies(
+        talk(
+            *batch(
+                1,
+                0.0,
+                opening("gateway-1"),
+                roster(3, 7),
+                listing("gateway-1", 3),
+                opening("gateway-2"),
+                roster(3, 8),
+                listing("gateway-2", 3),
+            ),
+            *batch(2, 1.0, {"Knock": KNOCK}, {"Knock": {**KNOCK, "i": "gateway-2"}}),
+        )
+    )
     assert [(row["i"], row["server"]) for row in only(rows, "Try")] == [("gateway-1", 7), ("gateway-2", 8)]
 
 
 def test_destroy_then_open_in_one_batch_starts_anew():
-    rows = replies(talk(*batch(1, 0.0, opening(), roster(0, 7), listing("gateway-1", 0)),
-                        *batch(2, 1.0, {"Destroy": {"i": "gateway-1"}}, opening(), roster(0, 9),
-                               listing("gateway-1", 0), {"Knock": KNOCK})))
+    rows = replies(
+        talk(
+            *batch(1, 0.0, opening(), roster(0, 7), listing("gateway-1", 0)),
+            *batch(
+                2,
+                1.0,
+                {"Destroy": {"i": "gateway-1"}},
+                opening(),
+                roster(0, 9),
+                listing("gateway-1", 0),
+                {"Knock": KNOCK},
+            ),
+        )
+    )
     assert [row["server"] for row in only(rows, "Try")] == [9]
 
 
@@ -112,12 +220,19 @@
     assert alone == beside and len(alone) >= 2
 
 
-@pytest.mark.parametrize("bad, word", [
-    ("{not json", "JSON"), ("[1]", "single key"), ({"Nonsense": {"i": "gateway-1"}}, "Nonsense"),
-    ({"Knock": {"i": "gateway-1"}}, "op_id"), ({"Batch": {"turn": 1}}, "t_ms"),
-    ({"Alarm": {"i": "gateway-9", "mark": 1}}, "gateway-9"), ({"Alarm": 3}, "Alarm"),
-    ({"OpenInstance": {"i": "x", "rng_seed": 1, "env": {**ENV, "balancers": 0}}}, "balancers: 0, want"),
-])
+@pytest.mark.parametrize(
+    "bad, word",
+    [
+        ("{not json", "JSON"),
+        ("[1]", "single key"),
+        ({"Nonsense": {"i": "gateway-1"}}, "Nonsense"),
+        ({"Knock": {"i": "gateway-1"}}, "op_id"),
+        ({"Batch": {"turn": 1}}, "t_ms"),
+        ({"Alarm": {"i": "gateway-9", "mark": 1}}, "gateway-9"),
+        ({"Alarm": 3}, "Alarm"),
+        ({"OpenInstance": {"i": "x", "rng_seed": 1, "env": {**ENV, "balancers": 0}}}, "balancers: 0, want"),
+    ],
+)
 def test_bad_input_gets_a_plain_message_and_a_failing_exit(bad, word):
     done = talk(*batch(1, 0.0, opening(), roster(0, 7), listing("gateway-1", 0)), bad)
     assert done.returncode == 1 and word in done.stderr
@@ -125,6 +240,10 @@
 
 
 def test_a_fault_of_the_module_is_told_as_bail_out():
-    rows = replies(talk(*batch(1, 9.0, opening(), {"Alarm": {"i": "gateway-1", "mark": 1}}),
-                        *batch(2, 3.0, {"Alarm": {"i": "gateway-1", "mark": 1}})))
+    rows = replies(
+        talk(
+            *batch(1, 9.0, opening(), {"Alarm": {"i": "gateway-1", "mark": 1}}),
+            *batch(2, 3.0, {"Alarm": {"i": "gateway-1", "mark": 1}}),
+        )
+    )
     assert "now_ms" in only(rows, "BailOut")[0]["what"]
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -31,8 +31,10 @@
 
 
 def test_refusal_over_quota_tells_when_the_bucket_has_drained_so_that_coming_back_then_is_sent_at_once():
-    rig = rig_with(limits=Limits(can_advise_retry=True, max_retry_after_ms=60_000.0),
-                   plans=(Plan("metered", rate=2.0, burst=4.0),))
+    rig = rig_with(
+        limits=Limits(can_advise_retry=True, max_retry_after_ms=60_000.0),
+        plans=(Plan("metered", rate=2.0, burst=4.0),),
+    )
     rig.servers(entry(1), entry(2))
     refusal = first_refusal(rig)
     assert 0.0 < refusal.retry_after_ms < 60_000.0
