--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -51,15 +51,21 @@
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         super().__init__()
-        self.clock, self.second, self.lines, self.kept_back = clock, -1, 0, 0
+        self.clock = clock
+        self.second = -1
+        self.lines = 0
+        self.kept_back = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Whether the line is written."""
         second = int(self.clock())
         if second != self.second:
             if self.kept_back:
-                record.msg, record.args = f"{record.getMessage()} ({self.kept_back} lines left out)", ()
-            self.second, self.lines, self.kept_back = second, 0, 0
+                record.msg = f"{record.getMessage()} ({self.kept_back} lines left out)"
+                record.args = ()
+            self.second = second
+            self.lines = 0
+            self.kept_back = 0
         self.lines += 1
         if self.lines > LINES_PER_S:
             self.kept_back += 1
--- a/quota_gateway/config.py
+++ b/quota_gateway/config.py
@@ -95,7 +95,8 @@
     EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_ADMIN come first, as they say the same or are meant to
     override; but on a reload the file's discovery does, as EDGE_DISCOVERY is of the start.
     """
-    document, found = parse(raw), Found()
+    document = parse(raw)
+    found = Found()
     # Discovery's list never stops a gateway, and is of use at the start only: it is checked where it is used.
     listed = document.pop("known", None)
     known = "null" if reload else json.dumps(listed)
@@ -104,9 +105,11 @@
         if environment.get(variable) and document.get(name) is None:
             document[name] = environment[variable]
     top = Node(found, "", "", document)
-    name, seed = top.text("name"), top.text("seed")
+    name = top.text("name")
+    seed = top.text("seed")
     top.must(bool(HEX.fullmatch(seed)), "seed", "1 to 64 hexadecimal digits")
-    listen, discovery = top.address("listen"), top.address("discovery")
+    listen = top.address("listen")
+    discovery = top.address("discovery")
     door = None if document.get("admin") is None else top.address("admin")
     limits = top.table("limits")
     limits.knows("cores", "memory_mb")
--- a/quota_gateway/config_reader.py
+++ b/quota_gateway/config_reader.py
@@ -106,7 +106,9 @@
     """One table of a document. ``key`` is its path with rows by name, ``path`` with rows by number."""
 
     def __init__(self, found: Found, path: str, key: str, value: object) -> None:
-        self.found, self.path, self.key = found, path, key
+        self.found = found
+        self.path = path
+        self.key = key
         self.whole_table = isinstance(value, dict)
         self.fields: Mapping[str, Any] = value if isinstance(value, dict) else {}
         self.names: set[str] = set()
@@ -230,7 +232,8 @@
         if not isinstance(value, list) or not 0 < len(value) <= most:
             self.wrong(name, value, f"a list of 1 to {most} tables")
             return []
-        path, key = join(self.path, name), join(self.key, name)
+        path = join(self.path, name)
+        key = join(self.key, name)
         taken: set[str] = set()
         rows: list[Node] = []
         for number, row in enumerate(value):
--- a/quota_gateway/failover/__main__.py
+++ b/quota_gateway/failover/__main__.py
@@ -17,7 +17,9 @@
 from quota_gateway.failover.model import FAULTS, explore
 from quota_gateway.failover.supervisor import Job, Keeper
 
-HOLDS, BROKEN, NO_JOB = 0, 1, 2
+HOLDS = 0
+BROKEN = 1
+NO_JOB = 2
 
 
 @click.group()
@@ -35,7 +37,8 @@
     Exit code 0: all holds, and each fault is found; 1: not.
     """
     table = Table("fault", "states", "depth", "s", "finds", title=f"{deaths} deaths, {standbys} standbys")
-    good, out = True, Console()
+    good = True
+    out = Console()
     for fault in ("", *FAULTS):
         begun = time.monotonic()
         result = explore(fault, deaths, standbys)
--- a/quota_gateway/failover/connection_record.py
+++ b/quota_gateway/failover/connection_record.py
@@ -20,12 +20,16 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-MAGIC, VERSION = b"blwork\0\0", 1
+MAGIC = b"blwork\0\0"
+VERSION = 1
 HEAD = struct.Struct("<8sIII")  # magic, version, rows, bytes of a row's half
 HALF = struct.Struct("<QII")  # number, length, checksum of both and of what follows
 CLAIM = struct.Struct("<QQQ")  # number, process, when that process started
-CLAIM_AT, ROWS_AT = 64, 256  # where the claim's two halves and the rows begin
-MOST_ROWS, MOST_ROOM = 65_536, 1024 * 1024
+# where the claim's two halves and the rows begin
+CLAIM_AT = 64
+ROWS_AT = 256
+MOST_ROWS = 65_536
+MOST_ROOM = 1024 * 1024
 
 
 class RecordError(Exception):
@@ -38,7 +42,9 @@
     __slots__ = ("memory", "at", "room", "number")
 
     def __init__(self, memory: mmap.mmap, at: int, room: int) -> None:
-        self.memory, self.at, self.room = memory, at, room
+        self.memory = memory
+        self.at = at
+        self.room = room
         self.number = max((number for number, _ in self._whole()), default=0)
 
     def _place(self, number: int) -> int:
@@ -75,7 +81,8 @@
     """Rows in a file of memory, by its descriptor, which stays the caller's."""
 
     def __init__(self, file: int, memory: mmap.mmap) -> None:
-        self.file, self.memory = file, memory
+        self.file = file
+        self.memory = memory
         magic, version, rows, room = HEAD.unpack_from(memory, 0)
         if magic != MAGIC or version != VERSION:
             raise RecordError("no record of this version's")
--- a/quota_gateway/failover/gateway.py
+++ b/quota_gateway/failover/gateway.py
@@ -66,7 +66,8 @@
     """Tells the keeper of each connection, and waits for this process's turn."""
 
     def __init__(self, path: str, clients: Clients) -> None:
-        self.path, self.clients = path, clients
+        self.path = path
+        self.clients = clients
         self.loop = asyncio.get_running_loop()
         self.file = os.memfd_create("work")
         self.record = Record.create(self.file, clients.most_connections, ROW.size)
@@ -106,7 +107,8 @@
             log.error("the keeper has ended: this process %s", "serves on" if self.serving else "stands by")
 
     def _message(self, link: Link, data: bytes, descriptors: list[int]) -> None:
-        letter, rest = data[:1], data[1:]
+        letter = data[:1]
+        rest = data[1:]
         if letter == b"C" and len(descriptors) == 1:
             self.followed.connections[int(rest)] = descriptors.pop()
         elif letter == b"L" and len(descriptors) == 1:
@@ -125,7 +127,8 @@
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
-        self.clients.on_opened, self.clients.on_closed = self._opened, self._closed
+        self.clients.on_opened = self._opened
+        self.clients.on_closed = self._closed
         self.clients.on_rest = self._rest
         return not stop.is_set()
 
@@ -139,7 +142,8 @@
     async def serve(self) -> None:
         """From now on this process serves: it goes on with the connections that were at rest."""
         self.serving = True
-        followed, kept = self.followed, 0
+        followed = self.followed
+        kept = 0
         for number, descriptor in sorted(followed.connections.items()):
             sock = socket.socket(fileno=descriptor)
             if followed.at_rest(number):
@@ -174,7 +178,8 @@
         descriptor = client.transport.get_extra_info("socket").fileno()
         self.numbers += 1
         try:
-            came, went = consumed(descriptor), written(descriptor)
+            came = consumed(descriptor)
+            went = written(descriptor)
         except OSError:
             return
         row = self.record.take(ROW.pack(self.numbers, came, went, client.asked))
--- a/quota_gateway/failover/model.py
+++ b/quota_gateway/failover/model.py
@@ -85,7 +85,9 @@
     """The steps of everybody, with one fault or none."""
 
     def __init__(self, fault: Fault = "", deaths: int = 2, standbys: int = 2) -> None:
-        self.fault, self.deaths, self.standbys = fault, deaths, standbys
+        self.fault = fault
+        self.deaths = deaths
+        self.standbys = standbys
 
     def first(self) -> World:
         """Before anything has happened: the gateway holds its work, under the number 0."""
@@ -274,7 +276,9 @@
     model = Model(fault, deaths, standbys)
     first = model.first()
     came: dict[World, tuple[World, str] | None] = {first: None}
-    queue, depth, levels = deque([first]), 0, {first: 0}
+    queue = deque([first])
+    depth = 0
+    levels = {first: 0}
     while queue:
         world = queue.popleft()
         depth = levels[world]
@@ -286,7 +290,8 @@
             return Result(len(came), depth, Broken(rule, _way(came, world)))
         for what, to in following:
             if to not in came:
-                came[to], levels[to] = (world, what), depth + 1
+                came[to] = (world, what)
+                levels[to] = depth + 1
                 queue.append(to)
     return Result(len(came), depth, None)
 
--- a/quota_gateway/failover/supervisor.py
+++ b/quota_gateway/failover/supervisor.py
@@ -30,7 +30,9 @@
 
 log = logging.getLogger("quota_gateway.failover")
 
-OFTEN, OFTEN_S = 5, 60.0  # so many deaths in such a time are no accident
+# so many deaths in such a time are no accident
+OFTEN = 5
+OFTEN_S = 60.0
 BACKOFF_S = 5.0  # before another start then
 LEFT_S = 2.0  # for a next process to take what was left: it starts in a fraction, and clients wait no longer
 COME_S = 1.5  # for gateways to come to a keeper that follows another
@@ -52,7 +54,9 @@
     """A gateway's process, and copies of what it has."""
 
     def __init__(self, link: Link, record: int, serving: bool) -> None:
-        self.link, self.record, self.serving = link, record, serving
+        self.link = link
+        self.record = record
+        self.serving = serving
         self.listener = -1
         self.connections: dict[int, int] = {}
         self.beats: Beats | None = None
@@ -79,7 +83,8 @@
     """Runs until SIGTERM."""
 
     def __init__(self, job: Job) -> None:
-        self.job, self.socket = job, os.path.expandvars(job.socket)
+        self.job = job
+        self.socket = os.path.expandvars(job.socket)
         self.loop = asyncio.get_running_loop()
         self.peers: dict[Link, Peer] = {}
         self.left: Peer | None = None  # of the one that served and died, until another has it
@@ -161,7 +166,8 @@
             Link(sock, self._message, self._broken)
 
     def _message(self, link: Link, data: bytes, descriptors: list[int]) -> None:
-        letter, rest = data[:1], data[1:]
+        letter = data[:1]
+        rest = data[1:]
         peer = self.peers.get(link)
         if peer and peer.beats:
             peer.beats.heard()
--- a/quota_gateway/fault_bench/__main__.py
+++ b/quota_gateway/fault_bench/__main__.py
@@ -24,7 +24,9 @@
 from quota_gateway.rollout.journal import State
 from quota_gateway.simulation.world import WorldError
 
-KEPT, BROKEN, NO_RIG = 0, 1, 2
+KEPT = 0
+BROKEN = 1
+NO_RIG = 2
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
 
 
@@ -85,7 +87,8 @@
 
 def table(result: Result, scenario: Scenario) -> Table:
     """One row a figure."""
-    world, verdict = scenario.world, result.verdict
+    world = scenario.world
+    verdict = result.verdict
     made = Table(title=f"{world.gateways} gateways, {world.machines.count} servers, {world.seconds:g} s")
     for name in ("figure", "value"):
         made.add_column(name, justify="left" if name == "figure" else "right")
@@ -136,7 +139,8 @@
     as_json: bool,
 ) -> None:
     """Play a scenario. Exit code 0: all rules kept; 1: one was broken; 2: no rig, or not the play."""
-    console, result = Console(stderr=True), None
+    console = Console(stderr=True)
+    result = None
     try:
         scenario = load(file, gateways)
         if folder and folder.exists():
--- a/quota_gateway/fault_bench/bench.py
+++ b/quota_gateway/fault_bench/bench.py
@@ -51,7 +51,9 @@
         seed: int = 1,
         program: Program | None = None,
     ) -> None:
-        self.scenario, self.folder, self.seed = scenario, folder, seed
+        self.scenario = scenario
+        self.folder = folder
+        self.seed = seed
         self.program = program or Program.of(Path.cwd())
         self.host = own_host()
         self.ports = count(20_000)
@@ -87,7 +89,8 @@
 
     async def _stand_ins(self) -> None:
         world = self.scenario.world
-        meters, speeds = Meters(world, self.clock), self._draw(3)
+        meters = Meters(world, self.clock)
+        speeds = self._draw(3)
         self.discovery = Discovery(
             self.clock,
             self.history,
@@ -120,7 +123,8 @@
     def tell(self, server: StandIn) -> None:
         """The history and discovery, of a server as it is now."""
         model = server.model
-        state, started = model.entry.state.value, model.started
+        state = model.entry.state.value
+        started = model.started
         self.history.add(
             seen.ServerIs(self.clock.now, server.name, model.entry.zone, state, started, model.speed)
         )
@@ -136,7 +140,8 @@
     async def _gateways(self) -> None:
         places: dict[str, list[Link]] = {}
         for number, name in enumerate(self.scenario.gateways()):
-            listen, doors = self._port(), [self._port(), self._port()]
+            listen = self._port()
+            doors = [self._port(), self._port()]
             await self._link(f"clients>{name}", listen)
             link = await self._link(f"doors>{name}", doors[0])
             places[name] = [
--- a/quota_gateway/fault_bench/document.py
+++ b/quota_gateway/fault_bench/document.py
@@ -13,7 +13,8 @@
 
 def settings_document(settings: api.Settings) -> dict[str, Any]:
     """The settings as the configuration has them: the reverse of ``settings_from``."""
-    limits, contract = settings.limits, settings.contract
+    limits = settings.limits
+    contract = settings.contract
     return {
         "balancers": settings.gateways,
         "slot_no": settings.index,
--- a/quota_gateway/fault_bench/load.py
+++ b/quota_gateway/fault_bench/load.py
@@ -48,7 +48,9 @@
         self.reader = hiredis.Reader(replyError=Line)
         self.transport: asyncio.Transport | None = None
         self.answer: asyncio.Future[Any] | None = None
-        self.on_extra, self.answers, self.open = on_extra, 0, True
+        self.on_extra = on_extra
+        self.answers = 0
+        self.open = True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -62,7 +64,8 @@
             self.close()
 
     def _reply(self, reply: Any) -> None:
-        answer, self.answer = self.answer, None
+        answer = self.answer
+        self.answer = None
         if answer is None or answer.done():
             self.on_extra()
             self.close()
@@ -100,7 +103,8 @@
     """Asks every gateway whether it takes clients, ten times a second."""
 
     def __init__(self, links: dict[str, Link], clock: Clock) -> None:
-        self.links, self.clock = links, clock
+        self.links = links
+        self.clock = clock
         self.heard = dict.fromkeys(links, -10.0 * DOWN_MS)
         self.tasks = [asyncio.get_running_loop().create_task(self._follow(name)) for name in links]
 
@@ -140,7 +144,9 @@
 
     def __init__(self, number: int, tariff: Tariff, first: int, weight: float) -> None:
         self.name = f"{number:016x}"
-        self.tariff, self.first, self.weight = tariff, first, weight
+        self.tariff = tariff
+        self.first = first
+        self.weight = weight
 
 
 class Clients:
@@ -155,8 +161,12 @@
         history: seen.History,
         seed: int,
     ) -> None:
-        self.scenario, self.links, self.front, self.clock = scenario, links, front, clock
-        self.history, self.world = history, scenario.world
+        self.scenario = scenario
+        self.links = links
+        self.front = front
+        self.clock = clock
+        self.history = history
+        self.world = scenario.world
         arrivals, self.chance = (np.random.default_rng([seed, stream]) for stream in (1, 2))
         self.draw = arrivals
         self.idle: dict[str, list[Wire]] = {name: [] for name in links}
@@ -185,7 +195,8 @@
 
     async def run(self) -> None:
         """Ask for the world's seconds, by the clock; what is late is asked at once."""
-        begin, at = self.clock.now, 0.0
+        begin = self.clock.now
+        at = 0.0
         while True:
             at += 1000.0 * float(self.draw.exponential(1.0 / self.scenario.rate))
             if at >= 1000.0 * self.world.seconds or self.stopped:
@@ -277,7 +288,8 @@
         )
         self.count["asked"] += 1
         self.open[gateway] += 1
-        how, advice_ms = "none", 0.0
+        how = "none"
+        advice_ms = 0.0
         try:
             async with asyncio.timeout((kind.deadline + LATE_MS) / 1000.0):
                 how, advice_ms = await self._exchange(gateway, command, request, kind)
--- a/quota_gateway/fault_bench/platform_client.py
+++ b/quota_gateway/fault_bench/platform_client.py
@@ -28,7 +28,8 @@
     try:
         yes, text = ask(arguments[0], arguments[1:])
     except (OSError, ValueError, IndexError) as error:
-        yes, text = False, f"no platform: {error!r}"
+        yes = False
+        text = f"no platform: {error!r}"
     print(text)
     return 0 if yes else 1
 
--- a/quota_gateway/fault_bench/processes.py
+++ b/quota_gateway/fault_bench/processes.py
@@ -50,7 +50,8 @@
     """One process of a gateway, with a door of its own."""
 
     def __init__(self, child: asyncio.subprocess.Process, door: Address) -> None:
-        self.child, self.door = child, door
+        self.child = child
+        self.door = door
 
     @property
     def pid(self) -> int:
@@ -102,9 +103,14 @@
         history: seen.History,
         program: Program,
     ) -> None:
-        self.name, self.folder, self.document, self.doors = name, folder, document, doors
+        self.name = name
+        self.folder = folder
+        self.document = document
+        self.doors = doors
         self.link = link  # of the operators' door, to whichever process is the newest
-        self.clock, self.history, self.program = clock, history, program
+        self.clock = clock
+        self.history = history
+        self.program = program
         self.processes: list[Process] = []
         self.started = 0
         self.tmp = folder / "tmp"
@@ -249,4 +255,5 @@
         for pid in self.pinned:
             with suppress(ProcessLookupError):
                 os.sched_setaffinity(pid, os.sched_getaffinity(0))
-        self.children, self.pinned = [], []
+        self.children = []
+        self.pinned = []
--- a/quota_gateway/fault_bench/referee.py
+++ b/quota_gateway/fault_bench/referee.py
@@ -21,7 +21,8 @@
 
 SOCKETS_MS = 50.0  # every time limit is so much longer on sockets
 TOLD_MS = 6000.0  # what discovery has to tell counts as told by then, whether it arrived or not
-LOST, LATE = "lost", "late"
+LOST = "lost"
+LATE = "late"
 EXCUSES: dict[str, frozenset[str]] = {  # on the gateway, or on its clients' link
     "kill": frozenset((LOST, LATE)),
     "stop": frozenset((LOST, LATE)),
@@ -81,7 +82,9 @@
     """Takes records in their order; ``verdict`` at the end."""
 
     def __init__(self, world: World) -> None:
-        self.world, self.referee, self.clock = world, Referee(world), Moment()
+        self.world = world
+        self.referee = Referee(world)
+        self.clock = Moment()
         settings = world.settings(0)
         self.kinds = {kind.name: kind for kind in settings.classes}
         self.tariffs = {plan.name: plan for plan in world.tariffs}
@@ -96,7 +99,8 @@
         self.cut_short: list[tuple[Request, float]] = []  # sent on as their connection ended, and when
         self.late: list[tuple[float, float]] = []
         self.excused: Counter[str] = Counter()
-        self.attempts, self.beyond = 0, 0.0
+        self.attempts = 0
+        self.beyond = 0.0
         self.takes: dict[type, Callable[[Any], None]] = {
             seen.Asked: self._asked,
             seen.Answered: self._answered,
@@ -207,7 +211,8 @@
             self.referee.ended(request.one, number, api.Status(record.status))
 
     def _charge(self, request: Request) -> None:
-        asked, tariff = request.asked, self.tariffs[request.asked.plan]
+        asked = request.asked
+        tariff = self.tariffs[request.asked.plan]
         quota = self.quotas.setdefault(asked.customer, Store(tariff.rate, tariff.burst))
         if not quota.take(asked.units, self.clock.now):
             self.beyond += asked.units
@@ -217,8 +222,10 @@
             self.referee.drawn(request.one, store, slack, self.clock.now)
 
     def _answered(self, record: seen.Answered) -> None:
-        request, how = self.requests[record.id], record.how
-        request.how, one = how, request.one
+        request = self.requests[record.id]
+        how = record.how
+        request.how = how
+        one = request.one
         if how == "foreign":
             self.referee.breach("answers", f"{one.name}: another's value")
         if how in ("cut", "none"):
--- a/quota_gateway/fault_bench/relay.py
+++ b/quota_gateway/fault_bench/relay.py
@@ -18,7 +18,9 @@
 Address = tuple[str, int]
 RESET_AT_ONCE = struct.pack("ii", 1, 0)  # SO_LINGER: a close sends a reset
 MOST_DELAYED = 1024 * 1024  # bytes on their way, one way of a connection
-UP, DOWN = "up", "down"  # from who connects, and back
+# from who connects, and back
+UP = "up"
+DOWN = "down"
 
 
 class Weather:
@@ -34,7 +36,10 @@
     """All connections from one party to another, through one listener."""
 
     def __init__(self, name: str, at: Address, target: Address, random: Random) -> None:
-        self.name, self.at, self.target, self.random = name, at, target, random
+        self.name = name
+        self.at = at
+        self.target = target
+        self.random = random
         self.ways = {UP: Weather(), DOWN: Weather()}
         self.pairs: set[Pair] = set()
         self.refusing = 0
@@ -83,7 +88,8 @@
     """One socket of a connection; ``way`` is that of the bytes it reads."""
 
     def __init__(self, pair: Pair, way: str) -> None:
-        self.pair, self.way = pair, way
+        self.pair = pair
+        self.way = way
         self.weather = pair.link.ways[way]
         self.transport: asyncio.Transport | None = None
         self.reading = True
@@ -135,7 +141,8 @@
             other.transport.write(data)
 
     def _end(self) -> None:
-        other, self.said_all = self.pair.other(self), True
+        other = self.pair.other(self)
+        self.said_all = True
         if other.said_all:
             self.pair.close()
         elif other.transport and not other.transport.is_closing():
@@ -169,7 +176,8 @@
 
     def __init__(self, link: Link) -> None:
         self.link = link
-        self.near, self.far = Side(self, UP), Side(self, DOWN)
+        self.near = Side(self, UP)
+        self.far = Side(self, DOWN)
         self.task: asyncio.Task[None] | None = None
         self.source: Address | None = None  # of the far half, as the target sees it
         self.waiting: list[Callable[[], None]] = []  # until the way down is clear
@@ -207,7 +215,8 @@
         self.near.look()
         self.far.look()
         if not self.link.ways[DOWN].silent:
-            waiting, self.waiting = self.waiting, []
+            waiting = self.waiting
+            self.waiting = []
             for call in waiting:
                 call()
 
--- a/quota_gateway/fault_bench/rollouts.py
+++ b/quota_gateway/fault_bench/rollouts.py
@@ -54,7 +54,8 @@
     """Plans by name, each in a file beside its journal; the controllers that run them."""
 
     def __init__(self, rig: Rig, folder: Path) -> None:
-        self.rig, self.folder = rig, folder
+        self.rig = rig
+        self.folder = folder
         self.plans: dict[str, Path] = {}
         self.controllers: list[asyncio.subprocess.Process] = []
         folder.mkdir(parents=True, exist_ok=True)
@@ -67,7 +68,8 @@
 
     def settings(self, name: str, changes: Fields, fields: Fields) -> dict[str, bytes]:
         """A plan that changes all members' settings; their new files' contents."""
-        members, files = [], {}
+        members = []
+        files = {}
         for gateway, member in self.rig.members.items():
             files[gateway] = json.dumps(changed(member.document, changes)).encode()
             (self.folder / f"{name}-{gateway}").write_bytes(files[gateway])
--- a/quota_gateway/fault_bench/stand_ins.py
+++ b/quota_gateway/fault_bench/stand_ins.py
@@ -55,7 +55,8 @@
     """Each customer's use over all gateways: one meter, whichever server is asked."""
 
     def __init__(self, world: World, clock: Clock) -> None:
-        self.world, self.clock = world, clock
+        self.world = world
+        self.clock = clock
         self.tariffs = {plan.name: plan for plan in world.tariffs}
         self.of: dict[str, Meter] = {}
         self.counted: set[str] = set()  # ids: a request's first attempt takes its units
@@ -78,7 +79,11 @@
     def __init__(
         self, name: str, model: Server, meters: Meters, history: seen.History, draw: np.random.Generator
     ) -> None:
-        self.name, self.model, self.meters, self.history, self.draw = name, model, meters, history, draw
+        self.name = name
+        self.model = model
+        self.meters = meters
+        self.history = history
+        self.draw = draw
         self.kinds = {kind.name: kind for kind in meters.world.kinds}
         self.attempts: dict[str, int] = {}  # numbers given, by request
         self.connections: set[Wire] = set()
@@ -93,14 +98,18 @@
         """A command has come whole; None where it is none."""
         try:
             fields = dict(part.split("=", 1) for part in words[3].decode().split(","))
-            request, customer, kind = words[2].decode(), words[1].decode(), self.kinds[fields["c"]]
-            units, plan = float(fields["units"]), fields["t"]
+            request = words[2].decode()
+            customer = words[1].decode()
+            kind = self.kinds[fields["c"]]
+            units = float(fields["units"])
+            plan = fields["t"]
         except (IndexError, ValueError, KeyError):
             answer(b"-SYNTAX\r\n")
             return None
         number = self.attempts[request] = self.attempts.get(request, 0) + 1
         work = kind.work * float(self.draw.exponential())
-        clock, pair = self.model.clock, pair_of(wire.transport) if wire.transport else None
+        clock = self.model.clock
+        pair = pair_of(wire.transport) if wire.transport else None
         gateway = pair.link.name.partition(">")[0] if pair else ""
         self.history.add(seen.Arrived(clock.now, request, number, self.name, gateway, work))
         used = self.meters.count(request, plan, customer, units)
@@ -133,7 +142,8 @@
     """A connection to a server; answers go out in the order of the commands."""
 
     def __init__(self, server: StandIn) -> None:
-        self.server, self.reader = server, hiredis.Reader()
+        self.server = server
+        self.reader = hiredis.Reader()
         self.transport: asyncio.Transport | None = None
         self.slots: deque[list[bytes]] = deque()
         self.jobs: set[Job] = set()
@@ -190,10 +200,14 @@
         random: np.random.Generator,
         addresses: Callable[[str, str], Address],
     ) -> None:
-        self.clock, self.history, self.late_ms, self.random = clock, history, late_ms, random
+        self.clock = clock
+        self.history = history
+        self.late_ms = late_ms
+        self.random = random
         self.addresses = addresses  # of a server, for a gateway
         self.entries: dict[str, tuple[api.ServerEntry, float]] = {}  # by name, with the last start
-        self.generation, self.calls = 1, 0
+        self.generation = 1
+        self.calls = 0
         self.away = 0  # faults that want it down
         self.ahead_ms = 0.0  # of its clock
         self.watches: set[Watch] = set()
@@ -220,7 +234,8 @@
         }
 
     def _row(self, gateway: str, name: str) -> dict[str, Any]:
-        (entry, started), (host, port) = self.entries[name], self.addresses(gateway, name)
+        (entry, started) = self.entries[name]
+        (host, port) = self.addresses(gateway, name)
         return {
             "instanceId": name,
             "hostPort": f"{host}:{port}",
@@ -256,7 +271,9 @@
     """A gateway's watch."""
 
     def __init__(self, discovery: Discovery) -> None:
-        self.discovery, self.gateway, self.head = discovery, "", b""
+        self.discovery = discovery
+        self.gateway = ""
+        self.head = b""
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/quota_gateway/fault_bench/timeline.py
+++ b/quota_gateway/fault_bench/timeline.py
@@ -35,7 +35,8 @@
     """Runs the steps of a scenario on a rig."""
 
     def __init__(self, rig: Rig, following: Program | None = None) -> None:
-        self.rig, self.scenario = rig, rig.scenario
+        self.rig = rig
+        self.scenario = rig.scenario
         self.tasks: list[asyncio.Task[None]] = []
         self.next = following or rig.program  # the version that rollouts of the program are to
         self.rollouts = Rollouts(rig, rig.folder / "rollouts")
@@ -101,7 +102,9 @@
         """Whether "asked >= 400", "open g1 >= 5" or the like is true now."""
         match = CONDITION.fullmatch(condition)
         assert match
-        word, gateway, least = match[1], match[2], int(match[3])
+        word = match[1]
+        gateway = match[2]
+        least = int(match[3])
         clients = self.rig.clients
         if word == "open":
             return (clients.open[gateway] if gateway else sum(clients.open.values())) >= least
@@ -168,13 +171,16 @@
         ways = [weather for link in links for weather in link.weather(step.way)]
         for weather in ways:
             if step.do == "delay":
-                weather.delay, weather.jitter = step.amount / 1000.0, step.jitter / 1000.0
+                weather.delay = step.amount / 1000.0
+                weather.jitter = step.jitter / 1000.0
             else:
                 weather.cut = int(step.amount)
 
         async def heal() -> None:
             for weather in ways:
-                weather.delay, weather.jitter, weather.cut = 0.0, 0.0, None
+                weather.delay = 0.0
+                weather.jitter = 0.0
+                weather.cut = None
 
         return heal
 
@@ -216,7 +222,8 @@
         return again
 
     def _discovery(self, step: Step) -> Undo:
-        discovery, ahead = self.rig.discovery, step.amount if step.do == "skew" else 0.0
+        discovery = self.rig.discovery
+        ahead = step.amount if step.do == "skew" else 0.0
         discovery.ahead_ms += ahead
         if not ahead:
             discovery.fail(True)
@@ -241,7 +248,9 @@
 
         async def back() -> None:
             for server in servers:
-                server.model.slow, server.model.failing, server.mute = 1.0, False, False
+                server.model.slow = 1.0
+                server.model.failing = False
+                server.mute = False
                 if step.do == "release":
                     server.model.restart()
                 if step.do in ("release", "drain"):
--- a/quota_gateway/net/admin.py
+++ b/quota_gateway/net/admin.py
@@ -88,7 +88,8 @@
     """The listener for operators, and what each call does."""
 
     def __init__(self, calls: Mapping[str, Handler], fence: Fence | None = None) -> None:
-        self.calls, self.fence = dict(calls), fence
+        self.calls = dict(calls)
+        self.fence = fence
         self.loop = asyncio.get_running_loop()
         self.callers: OrderedDict[Caller, None] = OrderedDict()
         self.server: asyncio.Server | None = None
@@ -129,7 +130,8 @@
             words, why = await self._as(words)
         if why:
             return False, why
-        name, ids = words[0].upper(), words[1:]
+        name = words[0].upper()
+        ids = words[1:]
         handler = self.calls.get(name)
         if handler is None:
             return False, "no such call; there are " + ", ".join(sorted(self.calls))
--- a/quota_gateway/net/admin_commands.py
+++ b/quota_gateway/net/admin_commands.py
@@ -22,7 +22,10 @@
     """The calls. They wait until this process serves: what the one before it knows would undo them."""
 
     def __init__(self, driver: Driver, clients: Clients, roster: Roster, handover: Handover) -> None:
-        self.driver, self.clients, self.roster, self.handover = driver, clients, roster, handover
+        self.driver = driver
+        self.clients = clients
+        self.roster = roster
+        self.handover = handover
         self.gateway = driver.gateway
         self.up = asyncio.Event()
         self.revision: Callable[[], str] = str  # of the configuration in force, by digest
--- a/quota_gateway/net/clients.py
+++ b/quota_gateway/net/clients.py
@@ -73,12 +73,14 @@
     ) -> tuple[api.Request, Callable[[float], bytes]]:
         """The request, which has waited here for so long, and what encodes it for a server that has so many
         milliseconds."""
-        name, posts = command[0].upper(), command[0].upper() == b"CALL.POST"
+        name = command[0].upper()
+        posts = command[0].upper() == b"CALL.POST"
         if len(command) != (5 if posts else 4):
             raise CommandError(f"wrong number of arguments for {name.decode()}")
         _, customer, request_id, listed = command[:4]
         fields = self._fields(listed)
-        kind, plan = self.classes.get(fields.get(b"c", b"")), self.plans.get(fields.get(b"t", b""))
+        kind = self.classes.get(fields.get(b"c", b""))
+        plan = self.plans.get(fields.get(b"t", b""))
         if kind is None or plan is None:
             raise CommandError("unknown class or plan")
         if posts == (kind.effect is api.Effect.SAFE):
@@ -145,7 +147,9 @@
     __slots__ = ("connection", "answer", "request_id", "value")
 
     def __init__(self, connection: Client, answer: bytes | None = None, request_id: str = "") -> None:
-        self.connection, self.answer, self.request_id = connection, answer, request_id
+        self.connection = connection
+        self.answer = answer
+        self.request_id = request_id
         self.value: Value | None = None
 
     def fill(self, answer: bytes) -> None:
@@ -170,7 +174,8 @@
     """
 
     def __init__(self, connection: Client, length: int, source: Source) -> None:
-        self.connection, self.source = connection, source
+        self.connection = connection
+        self.source = source
         self.held = b"$%d\r\n" % length
         self.ended = self.whole = False
 
@@ -185,14 +190,16 @@
 
     def end(self, whole: bool) -> None:
         """All has come, or no more will."""
-        self.ended, self.whole = True, whole
+        self.ended = True
+        self.whole = whole
         if whole:
             self.held += b"\r\n"
         self.connection.flush()
 
     def take(self) -> bytes:
         """What may be written now."""
-        held, self.held = self.held, b""
+        held = self.held
+        self.held = b""
         return held
 
 
@@ -215,7 +222,9 @@
         self.made = self.idle_since = clients.loop.time()
         self.came = 0.0  # when the last bytes did, by the driver's clock
         self.grace_s = WHOLE_S
-        self.moved, self.rounds = False, 0  # since the command's time began: bytes came; its further rounds
+        # since the command's time began: bytes came; its further rounds
+        self.moved = False
+        self.rounds = 0
         self.unsent_bytes = self.stalled_at = 0
         self.read_bytes = self.written_bytes = 0  # in all
         self.kept_as = 0  # the number under which the process before this one keeps a copy of it
@@ -251,7 +260,8 @@
         """Nobody waits for what is in hand."""
         self._command_came()
         self._count_behind(0)
-        slots, self.slots = self.slots, deque()
+        slots = self.slots
+        self.slots = deque()
         self.unsent(-self.unsent_bytes)
         for slot in slots:
             if slot.answer is None:
@@ -284,7 +294,8 @@
         self.read_bytes += len(data)
         self.clients.connections.move_to_end(self)  # the last to be pushed out
         self.idle_since = self.clients.loop.time()
-        self.moved, self.came = True, self.clients.driver.clock()
+        self.moved = True
+        self.came = self.clients.driver.clock()
         good = self.lengths.good(data)
         self.out_of_bounds = good < len(data)
         self.reader.feed(data[:good] if self.out_of_bounds else data)
@@ -343,7 +354,8 @@
     def _await_command(self) -> None:
         """Guards against peers that send nothing, half a command or one PING, and would stay for good."""
         self.overdue = self.clients.loop.call_later(self.grace_s, self._not_whole)
-        self.grace_s, self.moved = WHOLE_S, False
+        self.grace_s = WHOLE_S
+        self.moved = False
 
     def _command_came(self) -> None:
         self.rounds = 0
@@ -392,7 +404,8 @@
         except ValueError as error:
             self._refuse(f"-ERR {error}\r\n".encode("ascii", "replace"))
             return
-        self.asked, self.bad = True, 0
+        self.asked = True
+        self.bad = 0
         slot = Slot(self, None, request.request_id)
         self.slots.append(slot)
         made = Call(request.request_id, encode, slot.fill, slot.begin)
@@ -600,7 +613,8 @@
     """The listener and the connections it accepted."""
 
     def __init__(self, driver: Driver, settings: api.Settings, most_connections: int) -> None:
-        self.driver, self.commands = driver, Commands(settings)
+        self.driver = driver
+        self.commands = Commands(settings)
         self.most_connections = most_connections
         self.connections: OrderedDict[Client, None] = OrderedDict()
         self.lingering: dict[Client, None] = {}  # closed, but for what still comes on them
@@ -609,7 +623,9 @@
         self.ready = self.leaving = False  # ready: the list of servers is known
         self.late = False  # it leaves, and waits no longer for what is on its way
         self.adopting: set[asyncio.Task[None]] = set()  # of connections that are accepted, but not open yet
-        self.serving, self.linger_s = True, inf  # as the decisions want it
+        # as the decisions want it
+        self.serving = True
+        self.linger_s = inf
         self.sweeper: asyncio.TimerHandle | None = None
         self.server: asyncio.Server | None = None
         self.listener: socket.socket | None = None
@@ -666,7 +682,9 @@
         A process beside this one that it comes from may keep a copy until it is told.
         """
         client = Client(self)
-        client.asked, client.grace_s, client.kept_as = asked, max(0.0, WHOLE_S - waited_s), kept_as
+        client.asked = asked
+        client.grace_s = max(0.0, WHOLE_S - waited_s)
+        client.kept_as = kept_as
         task = self.loop.create_task(self._open(client, sock))
         self.adopting.add(task)
         task.add_done_callback(self.adopting.discard)
@@ -693,7 +711,8 @@
 
     def admit(self, action: api.Admit) -> None:
         """Tell the front whether to send clients, and close connections that are not used for so long."""
-        self.serving, self.linger_s = action.serving, action.linger_ms / 1000.0
+        self.serving = action.serving
+        self.linger_s = action.linger_ms / 1000.0
         if self.sweeper is None and self.linger_s < inf:
             self._sweep()
 
@@ -713,7 +732,8 @@
 
         One with something in hand goes once it has been answered.
         """
-        self.commands, self.most_connections = Commands(settings), most_connections
+        self.commands = Commands(settings)
+        self.most_connections = most_connections
         for client in list(self.connections):
             if not self.beyond():
                 break
--- a/quota_gateway/net/declared_lengths.py
+++ b/quota_gateway/net/declared_lengths.py
@@ -23,7 +23,8 @@
     """
     match = HEAD.match(head)
     if match:
-        words, length = int(match[1]), int(match[2])
+        words = int(match[1])
+        length = int(match[2])
         if words <= MOST_WORDS and LONG < length <= LONGEST_VALUE:
             return words, length, match.end()
         return 0, 0, 0
@@ -41,14 +42,17 @@
     __slots__ = ("longest_word", "answers", "words", "skip", "header", "in_line")
 
     def __init__(self, longest_word: int, answers: bool = False) -> None:
-        self.longest_word, self.answers = longest_word, answers  # answers also have lines and nulls
+        # answers also have lines and nulls
+        self.longest_word = longest_word
+        self.answers = answers
         self.words = self.skip = 0  # words of the array, and bytes of the word, that are yet to come
         self.header = b""  # the part of a header whose end has not come yet
         self.in_line = False
 
     def good(self, data: bytes) -> int:
         """How many of these bytes the parser may have: all, or those before what is out of bounds."""
-        at, size = 0, len(data)
+        at = 0
+        size = len(data)
         while at < size:
             if self.skip > len(END):
                 step = min(self.skip - len(END), size - at)
@@ -96,7 +100,8 @@
 
     def _declare(self, line: bytes) -> bool:
         """Take over one declared length; false if it is none, or beyond the bounds."""
-        kind, digits = line[:1], line[1:]
+        kind = line[:1]
+        digits = line[1:]
         if kind not in self._kinds():
             return False
         null = self.answers and digits == b"-1"
--- a/quota_gateway/net/discovery.py
+++ b/quota_gateway/net/discovery.py
@@ -143,7 +143,8 @@
     """One HTTP exchange: a chunked answer with a JSON object a line."""
 
     def __init__(self, discovery: Discovery, target: str) -> None:
-        self.discovery, self.target = discovery, target
+        self.discovery = discovery
+        self.target = target
         self.parser = httptools.HttpResponseParser(self)
         self.text = bytearray()  # of an object that is not whole yet
         self.line = bytearray()
@@ -173,7 +174,8 @@
         self.silent = loop.call_later(self.discovery.silent_s(), self._close, SILENT)
 
     def _alive(self) -> None:
-        self.discovery.failures, self.told = 0, True
+        self.discovery.failures = 0
+        self.told = True
         self._heard()
 
     def _close(self, why: str) -> None:
@@ -280,7 +282,8 @@
         gateways: int = 1,
         mode: api.DiscoveryMode = api.DiscoveryMode.ASK,
     ) -> None:
-        self.address, self.news = address, news
+        self.address = address
+        self.news = news
         self.retell(gateways, mode)
         self.random = random.Random(seed)
         self.roster = Roster()
@@ -293,14 +296,16 @@
         self.pushed = mode is api.DiscoveryMode.PUSH
         self.shortest_s, self.longest_s = map(max, BACKOFF_S, (gateways * share for share in SHARED_S))
         if self.pushed:
-            self.shortest_s, self.longest_s = BACKOFF_S[0], AGENT_S
+            self.shortest_s = BACKOFF_S[0]
+            self.longest_s = AGENT_S
 
     def move(self, address: Address) -> None:
         """Watch at another address from now on, from where the watch at the old one was."""
         if address == self.address:
             return
         log.info("discovery moves to %s:%d", *address)
-        self.address, self.failures = address, 0
+        self.address = address
+        self.failures = 0
         self.moved.set()
         if self.watch:
             self.watch.end("moved")
--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -60,10 +60,16 @@
         on_answer: Callable[[bytes], None],
         on_value: Callable[[int, Source], Sink | None] = lambda length, source: None,
     ) -> None:
-        self.request_id, self.encode, self.on_answer, self.on_value = request_id, encode, on_answer, on_value
+        self.request_id = request_id
+        self.encode = encode
+        self.on_answer = on_answer
+        self.on_value = on_value
         self.passing: Attempt | None = None  # whose long value is the answer, from its first bytes on
-        self.deadline, self.sends, self.answered = 0.0, 0, False
-        self.taken, self.aim_ms = 0.0, inf
+        self.deadline = 0.0
+        self.sends = 0
+        self.answered = False
+        self.taken = 0.0
+        self.aim_ms = inf
         self.out: dict[int, Attempt] = {}
 
 
@@ -71,7 +77,9 @@
     """Drives one ``Gateway``: hands it events one after the other and carries out what it decides."""
 
     def __init__(self, gateway: Gateway, servers: Servers, clock: Callable[[], float]) -> None:
-        self.gateway, self.servers, self.clock = gateway, servers, clock
+        self.gateway = gateway
+        self.servers = servers
+        self.clock = clock
         self.calls: dict[str, Call] = {}
         self.figures = Figures()
         self.events: deque[api.Event] = deque()
@@ -156,13 +164,15 @@
         if call is None:
             log.error("sent after its end: %r", action)
             return
-        number, now = call.sends, self.clock()
+        number = call.sends
+        now = self.clock()
         call.sends += 1
         self.figures.attempts += 1
         wait = call.deadline - now
         if action.timeout_ms:
             wait = min(wait, action.timeout_ms)
-        ends, latest = now + wait, now + action.begin_within_ms - WAY_MS if action.begin_within_ms else inf
+        ends = now + wait
+        latest = now + action.begin_within_ms - WAY_MS if action.begin_within_ms else inf
         if call.answered or wait <= 0.0:
             self._outcome(call, number, action.server, now, Reply(api.Status.NOT_SENT))
             return
@@ -206,7 +216,8 @@
             return None
         sink = call.on_value(length, source)
         if sink:
-            call.answered, call.passing = True, call.out[number]
+            call.answered = True
+            call.passing = call.out[number]
             self.figures.good(self.clock() - call.taken, call.aim_ms)
             self.post(api.StreamStarted(call.request_id, number, server, self.clock() - sent))
         return sink
--- a/quota_gateway/net/hot_restart.py
+++ b/quota_gateway/net/hot_restart.py
@@ -36,7 +36,8 @@
 
 VERSION = 1
 ABOUT = {"handover": VERSION, "retire": True}  # what a rollout has to know before it mixes versions
-SOCKET, KEPT = "gateway.sock", "operators.json"
+SOCKET = "gateway.sock"
+KEPT = "operators.json"
 LONGEST_PATH = 100  # bytes: what a Unix socket's address holds, less a margin
 PIECE = 32 * 1024  # bytes of the state in a message
 MOST = 64 * 1024  # bytes of a message
@@ -58,7 +59,9 @@
         on_message: Callable[[Link, bytes, list[int]], None],
         on_end: Callable[[Link], None],
     ) -> None:
-        self.sock, self.on_message, self.on_end = sock, on_message, on_end
+        self.sock = sock
+        self.on_message = on_message
+        self.on_end = on_end
         self.loop = asyncio.get_running_loop()
         self.queue: deque[tuple[bytes, int]] = deque()  # with a descriptor, or -1
         self.open = True
@@ -162,7 +165,10 @@
     ) -> None:
         self.folder = Path(folder) if folder else None
         self.who = {"version": VERSION, **who}
-        self.driver, self.clients, self.servers, self.discovery = driver, clients, servers, discovery
+        self.driver = driver
+        self.clients = clients
+        self.servers = servers
+        self.discovery = discovery
         self.loop = asyncio.get_running_loop()
         self.link: Link | None = None  # to the old process, or to the next one
         self.handed = False  # the next process has taken over
@@ -178,7 +184,9 @@
         self.agreed = asyncio.Event()
         self.tasks: set[asyncio.Task[None]] = set()
         self.beats = Beats(lambda: self.link.send(b"B") if self.link else None, self._hung)
-        self.kept, self.room = Kept(), 0  # connections passed on; how many of them may be kept
+        # connections passed on; how many of them may be kept
+        self.kept = Kept()
+        self.room = 0
         self.token = 0  # the highest that a caller at the door has given
         driver.on_elsewhere = self._tell
 
@@ -274,11 +282,13 @@
             self.beats.start()
 
     def _take_counts(self, document: dict[str, Any]) -> None:
-        self.clients.elsewhere, self.servers.elsewhere = int(document["clients"]), int(document["servers"])
+        self.clients.elsewhere = int(document["clients"])
+        self.servers.elsewhere = int(document["servers"])
 
     def take_listener(self) -> socket.socket | None:
         """The listener that the old process passed on, to whoever asks first."""
-        listener, self.listener = self.listener, None
+        listener = self.listener
+        self.listener = None
         return listener
 
     # ---- The end of the old one
@@ -422,7 +432,8 @@
             self.link.send(letter.encode() + json.dumps(document).encode())
 
     def _message(self, link: Link, data: bytes, descriptors: list[int]) -> None:
-        letter, rest = data[:1], data[1:]
+        letter = data[:1]
+        rest = data[1:]
         self.beats.heard()
         try:
             if letter == b"B":
@@ -509,7 +520,8 @@
         self.whole.set()
         self.answered.clear()
         self.clients.elsewhere = self.servers.elsewhere = 0
-        self.clients.pass_on, self.servers.pass_on = None, None
+        self.clients.pass_on = None
+        self.servers.pass_on = None
         if self.handed:
             link.other.when_ended(self._back)  # the link may end before the process: not beside it
         else:
@@ -566,7 +578,8 @@
 
     def wanted(self) -> dict[str, Any]:
         """Servers out, by id, whether the gateway is drained, and the highest token of a caller."""
-        gateway, roster = self.driver.gateway, self.discovery.roster
+        gateway = self.driver.gateway
+        roster = self.discovery.roster
         out = [name for name, number in roster.numbers.items() if number in gateway.by_hand]
         return {
             "out": sorted(out),
@@ -577,7 +590,8 @@
     def _want(self, wanted: dict[str, Any]) -> None:
         """Make the same true here."""
         self.token = max(self.token, int(wanted.get("token", 0)))
-        out, roster = {str(name) for name in wanted["out"]}, self.discovery.roster
+        out = {str(name) for name in wanted["out"]}
+        roster = self.discovery.roster
         before = set(self.wanted()["out"])
         for name in sorted(out - before):
             roster.pin(name)
@@ -640,7 +654,8 @@
         self.withdraw()
         self.beats.stop()
         self.kept.close()
-        link, self.link = self.link, None
+        link = self.link
+        self.link = None
         if link:
             link.end("this process ends")
             link.other.close()
--- a/quota_gateway/net/peer_process.py
+++ b/quota_gateway/net/peer_process.py
@@ -41,7 +41,8 @@
     """The other process. Where it can't be held (an old kernel, the same process), it counts as ended."""
 
     def __init__(self, pid: int) -> None:
-        self.pid, self.descriptor = pid, -1
+        self.pid = pid
+        self.descriptor = -1
         self.loop = asyncio.get_running_loop()
         if pid != os.getpid():
             with suppress(OSError):
@@ -92,7 +93,8 @@
     """
 
     def __init__(self, say: Callable[[], None], hung: Callable[[], None]) -> None:
-        self.say, self.hung = say, hung
+        self.say = say
+        self.hung = hung
         self.missed = 0
         self.timer: asyncio.TimerHandle | None = None
 
@@ -177,7 +179,8 @@
 
     def take_back(self) -> list[tuple[socket.socket, bool]]:
         """The untouched ones, and whether a request had come on each; the others are closed."""
-        copies, self.copies = self.copies, {}
+        copies = self.copies
+        self.copies = {}
         untouched = []
         for descriptor, before, asked in copies.values():
             sock = socket.socket(fileno=descriptor)
--- a/quota_gateway/net/reload.py
+++ b/quota_gateway/net/reload.py
@@ -68,10 +68,17 @@
         door: admin.Door,
         handover: Handover,
     ) -> None:
-        self.environment, self.door, self.handover = environment, door, handover
-        self.driver, self.servers, self.clients, self.discovery = driver, servers, clients, discovery
+        self.environment = environment
+        self.door = door
+        self.handover = handover
+        self.driver = driver
+        self.servers = servers
+        self.clients = clients
+        self.discovery = discovery
         self.loop = asyncio.get_running_loop()
-        self.config, self.revision, self.since = config, 1, time.time()
+        self.config = config
+        self.revision = 1
+        self.since = time.time()
         self.before: Config | None = None  # the last good one, where ROLLBACK goes
         self.trial: Trial | None = None
         self.refused = ""  # the last refusal: when and why
@@ -224,7 +231,9 @@
         self.discovery.move(config.discovery)
         if config.admin != self.config.admin:
             self.door.move(server)
-        self.config, self.revision, self.since = config, self.revision + 1, time.time()
+        self.config = config
+        self.revision = self.revision + 1
+        self.since = time.time()
         log.info(
             "configuration %s is in force, revision %d%s: %s",
             config.digest,
--- a/quota_gateway/net/servers.py
+++ b/quota_gateway/net/servers.py
@@ -86,13 +86,16 @@
         done: Callable[[Reply], None],
         begun: Callable[[int, Source], Sink | None] = lambda length, source: None,
     ) -> None:
-        self.payload, self.begun = payload, begun
+        self.payload = payload
+        self.begun = begun
         self.done: Callable[[Reply], None] | None = done
         self.connection: Connection | None = None
 
     def finish(self, reply: Reply) -> None:
         """Tell the outcome, the first only."""
-        done, self.done, self.connection = self.done, None, None
+        done = self.done
+        self.done = None
+        self.connection = None
         if done:
             done(reply)
 
@@ -154,7 +157,8 @@
     def __init__(self, number: int) -> None:
         self.number = number
         self.address: Address = ("", 0)
-        self.started, self.epoch = 0.0, 0
+        self.started = 0.0
+        self.epoch = 0
         self.listed = self.ready = False  # ready: listed so, and not held
         self.idle: list[Connection] = []  # the most recently used last
         self.told = False  # whether the decisions think that one is idle
@@ -164,7 +168,9 @@
     """One connection to a server: connecting, idle, or with one attempt out."""
 
     def __init__(self, servers: Servers, host: Host, attempt: Attempt | None) -> None:
-        self.servers, self.host, self.epoch = servers, host, host.epoch
+        self.servers = servers
+        self.host = host
+        self.epoch = host.epoch
         self.attempt: Attempt | None = attempt
         self.transport: asyncio.Transport | None = None
         self.socket: socket.socket | None = None
@@ -174,10 +180,13 @@
         self.head = b""  # of an answer, until it can be told whether a long value comes
         self.known = False  # it has been told
         self.sink: Sink | None = None  # where the long value goes whose rest is awaited
-        self.words, self.left = 0, 0  # of the answer it begins; and its bytes to come
+        # of the answer it begins; and its bytes to come
+        self.words = 0
+        self.left = 0
         self.silent: asyncio.TimerHandle | None = None
         self.handed = False  # the attempt's last byte to the kernel
-        self.idle_since, self.unread = 0.0, 0
+        self.idle_since = 0.0
+        self.unread = 0
         self.closed = False
         if attempt:
             attempt.connection = self
@@ -186,7 +195,8 @@
 
     async def open(self) -> None:
         """Connect within the time-out of the settings, then send the attempt that asked for it."""
-        loop, sock = self.servers.loop, None
+        loop = self.servers.loop
+        sock = None
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             sock.setblocking(False)
@@ -238,7 +248,8 @@
 
     def send(self, attempt: Attempt) -> None:
         """Send on an idle connection."""
-        self.attempt, attempt.connection = attempt, self
+        self.attempt = attempt
+        attempt.connection = self
         self._begin_attempt(attempt)
 
     def _begin_attempt(self, attempt: Attempt) -> None:
@@ -277,7 +288,9 @@
             found = long_value(self.head)
             if found is None:
                 return
-            data, self.head, self.known = self.head, b"", True
+            data = self.head
+            self.head = b""
+            self.known = True
             words, length, begins = found
             if words:
                 self._begin(words, length, data[begins:])
@@ -295,7 +308,9 @@
         if self.closed:
             sink.end(False)
             return
-        self.sink, self.words, self.left = sink, words, length
+        self.sink = sink
+        self.words = words
+        self.left = length
         self.servers.passing += 1
         if data:
             self._pass_on(data)
@@ -305,7 +320,8 @@
     def _pass_on(self, data: bytes) -> None:
         assert self.sink
         self._heard()
-        value, self.left = data[: self.left], max(0, self.left - len(data))
+        value = data[: self.left]
+        self.left = max(0, self.left - len(data))
         rest = data[len(value) :]
         if value:
             self.sink.write(value)
@@ -319,12 +335,14 @@
             log.warning("a server's long value runs on: %.100r", self.head)
             self.close(api.Status.ERROR)
         elif self.sink and len(self.head) >= len(END):
-            head, self.head = self.head, b""
+            head = self.head
+            self.head = b""
             self._end_value(True)
             self._parse(b"*%d\r\n$0\r\n" % self.words + head)
 
     def _end_value(self, whole: bool) -> None:
-        sink, self.sink = self.sink, None
+        sink = self.sink
+        self.sink = None
         if sink:
             self.servers.passing -= 1
             self.resume()  # the figures on use may still come
@@ -364,10 +382,12 @@
             return
         if answer is False and self.attempt and self.unread <= LONGEST_ANSWER:
             return
-        self.unread, self.known = 0, False
+        self.unread = 0
+        self.known = False
         if self.silent:
             self.silent.cancel()
-        attempt, self.attempt = self.attempt, None
+        attempt = self.attempt
+        self.attempt = None
         reply = self.servers.readings.reply(answer) if attempt else None
         if reply is None or more or answer is False or reply.broken:
             self.close(api.Status.RESET)  # bytes that answer nothing: what follows can't be told apart
@@ -396,7 +416,8 @@
         The socket is shut down before the outcome is told, so that a further attempt, which the outcome
         may bring about, never finds this one still out.
         """
-        attempt, self.attempt = self.attempt, None
+        attempt = self.attempt
+        self.attempt = None
         if not self.closed:
             self.closed = True
             if self.silent:
@@ -467,7 +488,8 @@
             address = addresses[entry.server]
             # Guards against an old connection to a server that restarted or whose address was replaced.
             fresh = host.address == address and host.started == entry.started_ms
-            host.address, host.started = address, entry.started_ms
+            host.address = address
+            host.started = entry.started_ms
             host.listed = entry.state is api.ServerState.READY
             host.ready = host.listed and entry.server not in self.held
             if not (fresh and host.ready):
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -14,9 +14,14 @@
     """Owns who waits for the end of a hold, and who is parked (``Hand.parked``)."""
 
     def __init__(self, context: Context, customers: Customers, attempts: Attempts) -> None:
-        self.context, self.customers, self.attempts = context, customers, attempts
-        self.meter, self.ceilings = customers.meter, customers.ceilings
-        self.answers, self.pressure, self.choice = attempts.answers, attempts.pressure, attempts.choice
+        self.context = context
+        self.customers = customers
+        self.attempts = attempts
+        self.meter = customers.meter
+        self.ceilings = customers.ceilings
+        self.answers = attempts.answers
+        self.pressure = attempts.pressure
+        self.choice = attempts.choice
         self.hand = self.answers.hand
 
     def _useful(self, kind: RequestClass) -> float:
@@ -34,7 +39,8 @@
 
     def request(self, event: Request, kind: RequestClass, plan: Plan) -> None:
         """A new request: the customer's meter says send, hold or refuse."""
-        now, answers = self.context.now, self.answers
+        now = self.context.now
+        answers = self.answers
         customer = self.customers.find(event, plan)
         if event.is_retry and self.meter.thin(customer, plan):
             self._refuse(event, customer, plan, "thin")
@@ -42,7 +48,8 @@
         if self.ceilings.overused(customer, plan, now):
             self._refuse(event, customer, plan, "cap")
             return
-        turn, epoch = self.context.random.random(), self.customers.epochs.epoch
+        turn = self.context.random.random()
+        epoch = self.customers.epochs.epoch
         flight = Flight(event, kind, plan, customer, now, turn, epoch)
         before = customer.excess, customer.touched
         hold = self.meter.take(customer, plan, event.units, now)
@@ -101,7 +108,8 @@
     def _end_park(self, flight: Flight) -> None:
         if flight.sends == 0 and self.choice.fleet.ready:
             now = self.context.now
-            capped, short = self.ceilings.capped(flight, now), self.ceilings.wait(flight, now) > 0.0
+            capped = self.ceilings.capped(flight, now)
+            short = self.ceilings.wait(flight, now) > 0.0
             cause = "cap" if capped else "ceiling" if short else "pool"
             self.answers.give_up(flight, f"waited: {cause}")
 
--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -17,13 +17,19 @@
     """Owns the budget of further attempts; moves requests from attempt to attempt to the answer."""
 
     def __init__(self, context: Context, ceilings: Ceilings, choice: Choice, answers: Answers) -> None:
-        self.context, self.ceilings, self.pressure = context, ceilings, answers.pressure
-        self.choice, self.health, self.answers, self.hand = choice, choice.health, answers, answers.hand
+        self.context = context
+        self.ceilings = ceilings
+        self.pressure = answers.pressure
+        self.choice = choice
+        self.health = choice.health
+        self.answers = answers
+        self.hand = answers.hand
         self.retries = RETRY_STORE
 
     def send(self, flight: Flight, server: Server) -> None:
         """Send an attempt; its server, its customer and the budgets are charged."""
-        request_id, now = flight.request.request_id, self.context.now
+        request_id = flight.request.request_id
+        now = self.context.now
         if flight.sends == 0:
             self.ceilings.draw(flight, now)
             self.retries = min(RETRY_STORE, self.retries + RETRY_SHARE)
--- a/quota_gateway/policy/customers.py
+++ b/quota_gateway/policy/customers.py
@@ -19,13 +19,17 @@
     """Owns the customers known, as last touched, and the epochs with their plans and numbers of gateways."""
 
     def __init__(self, context: Context, meter: Meter, ceilings: Ceilings) -> None:
-        self.context, self.meter, self.ceilings = context, meter, ceilings
+        self.context = context
+        self.meter = meter
+        self.ceilings = ceilings
         self.known: OrderedDict[Key, Customer] = OrderedDict()
         self.epochs = Epochs(context.settings.plans, context.settings.gateways, MOST_RETIRED)
 
     def find(self, request: Request, plan: Plan) -> Customer:
         """The request's customer, as the last touched; the longest untouched may be forgotten for it."""
-        key, now, epoch = (request.plan, request.customer), self.context.now, self.epochs.epoch
+        key = (request.plan, request.customer)
+        now = self.context.now
+        epoch = self.epochs.epoch
         customer = self.known.get(key)
         if customer is None:
             fresh = self.ceilings.fresh_level(plan, request.width, now)
@@ -34,7 +38,8 @@
             self.known.move_to_end(key)
             if customer.epoch != epoch:
                 self.catch_up(customer)
-        customer.span, customer.width = request.width, min(request.width, self.epochs.gateways)
+        customer.span = request.width
+        customer.width = min(request.width, self.epochs.gateways)
         customer.largest = max(customer.largest, request.units)
         self._forget_one(now)
         return customer
@@ -43,7 +48,8 @@
         """Keeps the state bounded: each request brings one customer at most and may take one away."""
         for _ in range(2):
             key = next(iter(self.known))
-            old, plan = self.known[key], self.epochs.plan(key[0])
+            old = self.known[key]
+            plan = self.epochs.plan(key[0])
             if old.epoch != self.epochs.epoch:
                 self.catch_up(old)
             if old.held or old.elsewhere:
--- a/quota_gateway/policy/endpoint_list.py
+++ b/quota_gateway/policy/endpoint_list.py
@@ -12,8 +12,11 @@
     """Owns the fleet's table."""
 
     def __init__(self, fleet: Fleet, cold: Cold, pressure: Pressure, epochs: Epochs) -> None:
-        self.context, self.fleet, self.cold = cold.context, fleet, cold
-        self.pressure, self.epochs = pressure, epochs
+        self.context = cold.context
+        self.fleet = fleet
+        self.cold = cold
+        self.pressure = pressure
+        self.epochs = epochs
 
     def take(self, event: ServerList) -> bool:
         """Discovery's news; false if it had none."""
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -29,8 +29,11 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.context = context = Context(settings, seed, FADE_MS)
-        self.fleet, self.hand = Fleet(context.random), Hand()
-        self.meter, self.warming, self.health = Meter(context), Cold(context), Health(context)
+        self.fleet = Fleet(context.random)
+        self.hand = Hand()
+        self.meter = Meter(context)
+        self.warming = Cold(context)
+        self.health = Health(context)
         self.pressure = Pressure(context)
         self.ceilings = Ceilings(context, self.meter)
         self.book = Customers(context, self.meter, self.ceilings)
@@ -81,7 +84,8 @@
         return self.context.actions
 
     def _on_request(self, event: api.Request) -> None:
-        kind, plan = self.context.classes.get(event.class_name), self.epochs.plans.get(event.plan)
+        kind = self.context.classes.get(event.class_name)
+        plan = self.epochs.plans.get(event.plan)
         if event.request_id in self.hand.flights:
             return  # it is in hand already, and may have run: a refusal here would be its answer
         if kind is None or plan is None:
--- a/quota_gateway/policy/graceful_shutdown.py
+++ b/quota_gateway/policy/graceful_shutdown.py
@@ -15,14 +15,17 @@
     """Owns which servers are out by hand (``Fleet.out``), and the steps of a drain."""
 
     def __init__(self, context: Context, lists: Lists) -> None:
-        self.context, self.lists, self.fleet = context, lists, lists.fleet
+        self.context = context
+        self.lists = lists
+        self.fleet = lists.fleet
         self.drains = 0  # how many times the drain began or ended: timers of an older one do nothing
         self.draining = self.left = False  # whether a drain is on, and whether its last step has come
 
     def by_hand(self, event: ServerByHand) -> bool:
         """Take a server out, or put it back; said twice it changes nothing (false). One put back counts as
         just started: operators restart what they take out, and discovery may not tell for seconds."""
-        out, now = self.fleet.out, self.context.now
+        out = self.fleet.out
+        now = self.context.now
         if event.out == (event.server in out) or (event.out and len(out) >= MOST_OUT):
             return False
         if event.out:
@@ -37,7 +40,8 @@
         """The front is told at once; clients' connections are closed when it has long taken notice."""
         if event.active == self.draining:
             return
-        self.draining, self.left = event.active, False
+        self.draining = event.active
+        self.left = False
         self.drains += 1
         self.context.actions.append(Admit(not event.active))
         self.context.log("drained by hand" if event.active else "takes clients again")
--- a/quota_gateway/policy/hot_restart.py
+++ b/quota_gateway/policy/hot_restart.py
@@ -9,7 +9,9 @@
     """Owns whether the next process has taken over."""
 
     def __init__(self, context: Context, hand: Hand, customers: Customers) -> None:
-        self.context, self.hand, self.customers = context, hand, customers
+        self.context = context
+        self.hand = hand
+        self.customers = customers
         self.handed = False
 
     def tell(self, customer: Customer, charged: float, used: float | None = None) -> None:
--- a/quota_gateway/policy/outlier_detection.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -14,7 +14,8 @@
     """Owns the shares of failures: of servers, and of all together (those of no class by zone)."""
 
     def __init__(self, context: Context) -> None:
-        self.context, self.shares = context, Shares(context.decay, DOUBT_PRIOR)
+        self.context = context
+        self.shares = Shares(context.decay, DOUBT_PRIOR)
 
     def judge(self, flight: Flight, server: Server, status: Status) -> None:
         """Note an outcome; attempts that wait in vain are noted as they become slow. A server that turns one
--- a/quota_gateway/policy/quota_meter.py
+++ b/quota_gateway/policy/quota_meter.py
@@ -45,7 +45,8 @@
 
     def read(self, customer: Customer, used_percent: float, now: float) -> None:
         """A late reading of the customer's use by all gateways, in percent of its rate."""
-        customer.used, customer.used_at = used_percent / 100.0, now
+        customer.used = used_percent / 100.0
+        customer.used_at = now
 
     def _room(self, customer: Customer, at: float, lasts_ms: float) -> float:
         """The room that the late reading leaves; none at or over quota, or when it is no news any more."""
@@ -61,8 +62,11 @@
         if not plan.rate:
             return 0.0
         rate = plan.rate * self.share(customer, now)
-        customer.asked, customer.asked_at = self._drain_asked(customer, plan, now) + units, now
-        thin, costs = self.thin(customer, plan), plan.over_cost > 0.0  # under one each: by the request
+        customer.asked = self._drain_asked(customer, plan, now) + units
+        customer.asked_at = now
+        # under one each: by the request
+        thin = self.thin(customer, plan)
+        costs = plan.over_cost > 0.0
         grows = THIN_BURST[costs]  # by chance two are no abuse, but chance adds up
         few = thin and customer.asked <= grows * customer.largest
         room = self._room(customer, now, self._drain_ms(customer, plan)) if few else 0.0
@@ -71,7 +75,8 @@
         excess = max(0.0, customer.excess - rate * (now - customer.touched) + THOUSANDTHS * units)
         if excess > 2.0 * burst:
             return inf
-        customer.excess, customer.touched = excess, now
+        customer.excess = excess
+        customer.touched = now
         return max(0.0, excess - burst) / rate
 
     def advice(self, customer: Customer, plan: Plan, units: float, now: float) -> float:
@@ -101,7 +106,8 @@
             customer.excess = max(0.0, customer.excess - rate * (until - customer.touched))
             customer.touched = until
         if until > customer.asked_at:
-            customer.asked, customer.asked_at = self._drain_asked(customer, plan, until), until
+            customer.asked = self._drain_asked(customer, plan, until)
+            customer.asked_at = until
 
     def as_new(self, customer: Customer, plan: Plan, now: float) -> bool:
         """Whether forgetting the customer alters nothing: its excess has drained, its reading is old."""
--- a/quota_gateway/policy/rate_ceiling.py
+++ b/quota_gateway/policy/rate_ceiling.py
@@ -14,7 +14,8 @@
     """Owns customers' shares of the ceilings' stores. Times are milliseconds, levels are units."""
 
     def __init__(self, context: Context, meter: Meter) -> None:
-        self.context, self.meter = context, meter
+        self.context = context
+        self.meter = meter
         # Of each plan's ceiling, what a customer may have that was not seen: the level at the last change.
         self.fresh: dict[str, tuple[float, float]] = {}
 
@@ -38,7 +39,8 @@
 
     def wait(self, flight: Flight, now: float) -> float:
         """Milliseconds until this gateway's share of the ceiling holds the request's units, or inf."""
-        customer, units = flight.customer, flight.request.units
+        customer = flight.customer
+        units = flight.request.units
         plan = customer.strict or flight.plan
         if not plan.ceiling_rate:
             return 0.0
@@ -56,7 +58,8 @@
 
     def bring(self, customer: Customer, plan: Plan, at: float) -> None:
         """Bring a customer's share up to a moment by this plan."""
-        customer.ceiling, customer.ceiling_at = self.level(customer, plan, at), at
+        customer.ceiling = self.level(customer, plan, at)
+        customer.ceiling_at = at
 
     def capped(self, flight: Flight, now: float) -> bool:
         """Whether this gateway's slice of the customer's attempts at once, at least one, is out."""
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -16,8 +16,11 @@
     """Owns when this gateway ends, and the count of what is given up."""
 
     def __init__(self, context: Context, pressure: Pressure, handover: Handover) -> None:
-        self.context, self.pressure, self.handover = context, pressure, handover
-        self.hand, self.customers = handover.hand, handover.customers
+        self.context = context
+        self.pressure = pressure
+        self.handover = handover
+        self.hand = handover.hand
+        self.customers = handover.customers
         self.meter = handover.customers.meter
         self.ends_at = inf  # of this gateway
         self.tally = Tally(TALLY_MS)
--- a/quota_gateway/policy/retry_policy.py
+++ b/quota_gateway/policy/retry_policy.py
@@ -19,7 +19,8 @@
         return EVERYWHERE
     if flight.kind.effect is Effect.UNSAFE or window(flight, now) <= 0.0:
         return None
-    first, scope = flight.maybe_ran[0], flight.kind.key_scope
+    first = flight.maybe_ran[0]
+    scope = flight.kind.key_scope
     if scope is KeyScope.ALL:
         return EVERYWHERE
     return (first.zone,) if scope is KeyScope.ZONE else (first.zone, first.cell)
--- a/quota_gateway/policy/server_selection.py
+++ b/quota_gateway/policy/server_selection.py
@@ -18,13 +18,19 @@
     """Weighs what is known of servers; owns nothing."""
 
     def __init__(self, reports: Reports, health: Health, pressure: Pressure, cold: Cold) -> None:
-        self.context, self.reports, self.fleet = reports.context, reports, reports.fleet
-        self.health, self.latencies, self.cold = health, pressure.latencies, cold
-        self.decay, self.random = self.context.decay, self.context.random
+        self.context = reports.context
+        self.reports = reports
+        self.fleet = reports.fleet
+        self.health = health
+        self.latencies = pressure.latencies
+        self.cold = cold
+        self.decay = self.context.decay
+        self.random = self.context.random
 
     def cost(self, flight: Flight, server: Server, priors: Priors) -> float:
         """The wait expected at a server, in mean latencies."""
-        load, settings = 1.0 + len(server.out), self.context.settings
+        load = 1.0 + len(server.out)
+        settings = self.context.settings
         if server.queue:
             load += QUEUE_WEIGHT * server.queue * self.decay.left(server.queue_at)
         doubt = self.health.doubt(flight, server, priors)
@@ -63,6 +69,7 @@
         return list(self.latencies.quick[flight.kind.name].values())
 
     def _best(self, flight: Flight, few: list[Server]) -> Server | None:
-        ready, priors = len(self.fleet.ready), self.health.priors(flight)
+        ready = len(self.fleet.ready)
+        priors = self.health.priors(flight)
         few = [server for server in few if server.ready and self.cold.in_turn(flight, server, ready)]
         return min(few, key=lambda server: self.cost(flight, server, priors), default=None)
--- a/quota_gateway/policy/settings_change.py
+++ b/quota_gateway/policy/settings_change.py
@@ -35,9 +35,14 @@
     """Owns the bounds of what is in hand while settings change; hands the settings to every part."""
 
     def __init__(self, handover: Handover, health: Health, lists: Lists, again: Callable[[], None]) -> None:
-        self.context, self.handover, self.hand = handover.context, handover, handover.hand
-        self.customers, self.epochs = handover.customers, handover.customers.epochs
-        self.health, self.lists, self.pressure = health, lists, lists.pressure
+        self.context = handover.context
+        self.handover = handover
+        self.hand = handover.hand
+        self.customers = handover.customers
+        self.epochs = handover.customers.epochs
+        self.health = health
+        self.lists = lists
+        self.pressure = lists.pressure
         self.again = again  # tries again what is parked
 
     def take(self, event: NewSettings) -> bool:
@@ -84,8 +89,10 @@
         """For customers with something in hand whose ceiling or cap changes: the stricter of old and new."""
         bounds: dict[Key, Plan] = {}
         for flight in self.hand.flights.values():
-            old, customer = flight.plan, flight.customer
-            new, strict = plans.get(old.name, old), bounds.get(customer.key) or customer.strict
+            old = flight.plan
+            customer = flight.customer
+            new = plans.get(old.name, old)
+            strict = bounds.get(customer.key) or customer.strict
             bound = stricter(new, stricter(old, strict or old))
             if strict or any(
                 getattr(bound, name) != getattr(plan, name) for name in BOUNDS for plan in (old, new)
@@ -102,7 +109,8 @@
         for flight in self.hand.flights.values():
             customer = flight.customer
             if customer.key in bounds:
-                customer.strict, customer.strict_epoch = bounds[customer.key], self.epochs.epoch
+                customer.strict = bounds[customer.key]
+                customer.strict_epoch = self.epochs.epoch
                 customer.older += 1
 
     def hand_over(self, _: HandOver) -> None:
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -14,7 +14,8 @@
 
     def warmth(self, server: Server) -> float:
         """The share of its capacity that a server has at least, by the time since its start."""
-        rules, age = self.context.settings.contract, self.context.now - server.started
+        rules = self.context.settings.contract
+        age = self.context.now - server.started
         if server.started <= 0 or age >= rules.warm_up_ms:
             return 1.0
         return rules.cold_share + (1.0 - rules.cold_share) * max(0.0, age) / rules.warm_up_ms
--- a/quota_gateway/recording/__main__.py
+++ b/quota_gateway/recording/__main__.py
@@ -32,7 +32,9 @@
 
 
 def _play(files: list[Path]) -> int:
-    same, events, actions = True, 0, 0
+    same = True
+    events = 0
+    actions = 0
     for file in files:
         with open(file, "rb") as source:
             try:
@@ -41,7 +43,8 @@
                 print(f"{file}: {error}", file=sys.stderr)
                 return 2
         same = same and played.same
-        events, actions = events + played.events, actions + played.actions
+        events = events + played.events
+        actions = actions + played.actions
         if not played.same:
             print(f"{file}: {played.difference or f'cut off after {played.events} events, the same so far'}")
     print(f"{events} events, {actions} actions compared: {'the same' if same else 'NOT the same'}")
--- a/quota_gateway/recording/benchmark.py
+++ b/quota_gateway/recording/benchmark.py
@@ -53,7 +53,10 @@
         draw = random.Random(1)
         limits = api.Limits(max_attempts=3, can_cancel=True)
         settings = replace(draw_settings(draw), limits=limits, gateways=4)
-        self.gateway, self.now, self.asked, self.customers = Gateway(settings, 1), 1e6, 0, customers
+        self.gateway = Gateway(settings, 1)
+        self.now = 1e6
+        self.asked = 0
+        self.customers = customers
         self.draw = draw
         entries = tuple(
             api.ServerEntry(n, "abc"[n % 3], cell=n % 50, started_ms=self.now * (draw.random() < cold))
@@ -63,7 +66,8 @@
 
     def ask(self, customer: int, kind: str = "k0") -> tuple[str, list[api.Action]]:
         """One request of the plan without a quota."""
-        self.asked, self.now = self.asked + 1, self.now + 0.1
+        self.asked = self.asked + 1
+        self.now = self.now + 0.1
         name = f"r{self.asked}"
         return name, self.gateway.handle(self.now, api.Request(name, kind, "free", f"c{customer}", 3000.0))
 
--- a/quota_gateway/recording/codec.py
+++ b/quota_gateway/recording/codec.py
@@ -29,7 +29,8 @@
     """Writes gateways' events and actions to a file that is open for writing bytes."""
 
     def __init__(self, sink: BinaryIO) -> None:
-        self.sink, self.events = sink, 0
+        self.sink = sink
+        self.events = 0
         self._line(HEAD)
 
     def open(self, name: str, settings: api.Settings, seed: int) -> Recorded:
@@ -56,7 +57,9 @@
     """A gateway's ``handle``, recorded."""
 
     def __init__(self, gateway: Gateway, name: str, recorder: Recorder) -> None:
-        self.gateway, self.name, self.recorder = gateway, name, recorder
+        self.gateway = gateway
+        self.name = name
+        self.recorder = recorder
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
         """As ``Gateway.handle``."""
@@ -94,7 +97,9 @@
     """A recording's events in order. ``whole`` once its end was met: a torn last line leaves it false."""
 
     def __init__(self, lines: Iterator[bytes]) -> None:
-        self.lines, self.whole, self.events = lines, False, 0
+        self.lines = lines
+        self.whole = False
+        self.events = 0
         self.gateways: dict[str, Gateway] = {}
 
     def steps(self) -> Iterator[Step]:
@@ -143,12 +148,14 @@
     What is cut off is compared as far as it goes, and is not ``whole``. Raises RecordingError, as
     ``Recording.steps``.
     """
-    played, recording = Played(), Recording(lines)
+    played = Played()
+    recording = Recording(lines)
     for step in recording.steps():
         with told(step.line):
             actions = step.gateway.handle(step.now_ms, step.event)
         found = msgspec.json.decode(msgspec.json.encode(named(actions)))  # as it was written: inf is null
-        played.events, played.actions = recording.events, played.actions + len(found)
+        played.events = recording.events
+        played.actions = played.actions + len(found)
         if found != step.recorded:
             where = f"line {step.line}: {type(step.event).__name__} at {step.now_ms}"
             played.difference = f"{where}: recorded {step.recorded}, now {found}"
--- a/quota_gateway/recording/random_driver.py
+++ b/quota_gateway/recording/random_driver.py
@@ -16,7 +16,9 @@
 from quota_gateway import api
 from quota_gateway.simulator_adapter import Handles, Make
 
-ZONES, CUSTOMERS, MOST_SERVERS = "abc", 40, 120
+ZONES = "abc"
+CUSTOMERS = 40
+MOST_SERVERS = 120
 ENDS = (*[api.Status.OK] * 12, *(status for status in api.Status if status is not api.Status.OK))
 Key = tuple[str, int]
 T = TypeVar("T")
@@ -87,8 +89,12 @@
     """One gateway and what is around it, all drawn from one source of chance."""
 
     def __init__(self, target: Handles, settings: api.Settings, draw: random.Random) -> None:
-        self.target, self.settings, self.first, self.draw = target, settings, settings, draw
-        self.now, self.asked = 1000.0, 0
+        self.target = target
+        self.settings = settings
+        self.first = settings
+        self.draw = draw
+        self.now = 1000.0
+        self.asked = 0
         self.timers: list[tuple[float, int]] = []
         self.sends: dict[str, int] = {}
         self.out: dict[Key, tuple[int, float]] = {}
@@ -128,7 +134,8 @@
 
     def _ask(self) -> None:
         self.asked += 1
-        plan, kind = self.draw.choice(self.first.plans), self.draw.choice(self.first.classes)
+        plan = self.draw.choice(self.first.plans)
+        kind = self.draw.choice(self.first.classes)
         number = min(int(self.draw.expovariate(0.2)), CUSTOMERS)
         self._do(
             api.Request(
@@ -149,7 +156,8 @@
             return
         key = self.draw.choice(list(self.out)[:20])
         server, sent = self.out.pop(key)
-        status, name = self.draw.choice(ENDS), key[0]
+        status = self.draw.choice(ENDS)
+        name = key[0]
         if status is api.Status.OK:
             self.closed.add(name)
         used = self.draw.choice((None, 20.0, 90.0, 180.0))
@@ -216,13 +224,15 @@
         def some(items: tuple[T, ...]) -> tuple[T, ...]:
             return tuple(item for n, item in enumerate(items) if not n or self.draw.random() < 0.8)
 
-        plans, kinds = tuple(map(other, some(self.first.plans))), some(self.first.classes)
+        plans = tuple(map(other, some(self.first.plans)))
+        kinds = some(self.first.classes)
         self.settings = replace(self.first, gateways=self.draw.randint(1, 6), plans=plans, classes=kinds)
         self._do(api.NewSettings(self.settings))
 
     def _odd(self) -> None:
         """What nobody should send, or nobody asked for: it must neither crash nor count."""
-        server, name = self.draw.randrange(2 * self.servers), f"r{max(1, self.asked)}"
+        server = self.draw.randrange(2 * self.servers)
+        name = f"r{max(1, self.asked)}"
         self._do(
             self.draw.choice(
                 (
--- a/quota_gateway/rollout/__main__.py
+++ b/quota_gateway/rollout/__main__.py
@@ -23,7 +23,10 @@
 from quota_gateway.rollout.controller import DONE, Controller, wish_path
 from quota_gateway.rollout.plan import Plan, PlanError, load
 
-OK, WENT_BACK, NO_PLAN, HELD = 0, 1, 2, 3
+OK = 0
+WENT_BACK = 1
+NO_PLAN = 2
+HELD = 3
 File = click.Path(path_type=Path)
 
 
@@ -129,7 +132,8 @@
         or (state.halted and "halted")
         or f"stage {state.stage}"
     )
-    rows, why = standing(plan, state), state.halted or state.turned
+    rows = standing(plan, state)
+    why = state.halted or state.turned
     if as_json:
         click.echo(
             msgspec.json.encode(
@@ -167,7 +171,8 @@
             stopped = sorted((one for one in plays if one.word is Word.WORSE), key=lambda one: one.requests)
             row = ["-"] * 4
             if stopped:
-                middle, late = stopped[len(stopped) // 2], stopped[int(0.95 * len(stopped))]
+                middle = stopped[len(stopped) // 2]
+                late = stopped[int(0.95 * len(stopped))]
                 stages, seconds = (
                     median(figures)
                     for figures in zip(*((one.stage, one.seconds) for one in stopped), strict=True)
--- a/quota_gateway/rollout/admin_clients.py
+++ b/quota_gateway/rollout/admin_clients.py
@@ -39,7 +39,9 @@
 
     def __init__(self, members: tuple[Member, ...], token: int) -> None:
         self.at = {member.name: member.door for member in members}
-        self.token, self.fenced = token, True  # not yet fenced: calls only look, and stop nobody
+        # not yet fenced: calls only look, and stop nobody
+        self.token = token
+        self.fenced = True
         self.calls = asyncio.Semaphore(MOST_CALLS)
 
     async def call(self, name: str, line: str, door: str = "") -> tuple[bool, str]:
--- a/quota_gateway/rollout/canary_analysis.py
+++ b/quota_gateway/rollout/canary_analysis.py
@@ -179,7 +179,8 @@
         for figures in all_of:
             cells[name not in changed].add(figures, slow_from)
     others = [all_of for name, all_of in windows.items() if name not in changed]
-    single, joint = counted(windows.values(), slow_from), counted([together(others)], slow_from)
+    single = counted(windows.values(), slow_from)
+    joint = counted([together(others)], slow_from)
     spread = {measure: dispersion(single, measure) for measure in MEASURES}
     shared = {measure: dispersion(joint, measure) for measure in MEASURES}
     first, rest = cells
@@ -190,14 +191,19 @@
     """One stage of so many; ``least``: requests of either group before anything is fine."""
 
     def __init__(self, changed: set[str], before: Before, worse: Worse, stages: int, least: int) -> None:
-        self.changed, self.worse, self.least = changed, worse, least
+        self.changed = changed
+        self.worse = worse
+        self.least = least
         # The error is shared by all stages and measures; half of it, as only what is worse counts.
         self.bar = log(0.5 * len(worse.measures) * stages / worse.error)
-        self.slow_from, self.spread, self.shared = before.slow_from, before.spread, before.shared
+        self.slow_from = before.slow_from
+        self.spread = before.spread
+        self.shared = before.shared
         self.cells = {(group, when): Cell() for group in (True, False) for when in ("before", "after")}
         for place, group in enumerate((True, False)):
             cell = self.cells[group, "before"]
-            cell.asked, cell.events = before.asked[place], dict(before.events[place])
+            cell.asked = before.asked[place]
+            cell.events = dict(before.events[place])
 
     def ready(self) -> bool:
         """Whether what was before is known well enough: later it is not known any better."""
@@ -217,7 +223,8 @@
 
     def _step(self, group: bool, measure: str) -> tuple[float, float]:
         """Since the change less before it, and the variance of that, as if requests were independent."""
-        before, after = self.cells[group, "before"], self.cells[group, "after"]
+        before = self.cells[group, "before"]
+        after = self.cells[group, "after"]
         variance = before.variance(measure) + after.variance(measure)
         return after.share(measure) - before.share(measure), variance
 
@@ -226,7 +233,8 @@
 
     def look(self) -> Finding:
         """What can be said now; may be asked at any moment, as often as one likes."""
-        trouble, doubt = Finding(Word.WAIT, ""), ""
+        trouble = Finding(Word.WAIT, "")
+        doubt = ""
         for measure in self.worse.measures:
             changed, changed_variance = self._step(True, measure)
             others, others_variance = self._step(False, measure)
@@ -302,7 +310,8 @@
 
 
 def _dispersion(counts: list[list[tuple[int, int]]]) -> float:
-    total, free = 0.0, 0
+    total = 0.0
+    free = 0
     for all_of in counts:
         pairs = [(n, asked) for n, asked in all_of if asked]
         if len(pairs) < 2:
--- a/quota_gateway/rollout/canary_trial.py
+++ b/quota_gateway/rollout/canary_trial.py
@@ -15,7 +15,9 @@
 WINDOW_S = 1.0
 REFUSED = 0.03  # share of requests, in the mean of the members
 UNEVEN = 0.6  # of the members' rates and shares: standard deviation of their logarithm
-SHARED, OWN = 0.3, 0.2  # the same, of the seconds that all share and of each member's own
+# the same, of the seconds that all share and of each member's own
+SHARED = 0.3
+OWN = 0.2
 LATENCY = (3.0, 0.8)  # mean and standard deviation of the logarithm of ms
 STEPS = np.arange(0, 69)
 
@@ -83,14 +85,21 @@
         worse: Worse,
         sizes: tuple[int, ...],
     ) -> None:
-        self.fleet, self.harm = Fleet(np.random.default_rng(seed), members, rate), harm
-        self.watch_s, self.longest_s, self.least = watch_s, longest_s, least
-        self.worse, self.sizes = worse, sizes
-        self.seconds, self.requests = 0.0, 0
+        self.fleet = Fleet(np.random.default_rng(seed), members, rate)
+        self.harm = harm
+        self.watch_s = watch_s
+        self.longest_s = longest_s
+        self.least = least
+        self.worse = worse
+        self.sizes = sizes
+        self.seconds = 0.0
+        self.requests = 0
 
     def play(self) -> Play:
         """To the end, or to the first stage that is not found fine."""
-        names, word, number = self.fleet.names, Word.FINE, 0
+        names = self.fleet.names
+        word = Word.FINE
+        number = 0
         for number, size in enumerate(self.sizes):
             earlier = set(names[: self.sizes[number - 1]] if number else ())
             changed = set(names[:size])
@@ -108,7 +117,8 @@
 
     def _stage(self, earlier: set[str], changed: set[str], blamed: set[str]) -> Word:
         before: dict[str, list[Figures]] = {name: [] for name in self.fleet.names}
-        watched, asks_at = 0.0, self.watch_s
+        watched = 0.0
+        asks_at = self.watch_s
         while True:
             watched += WINDOW_S
             for name, figures in self._window(earlier):
--- a/quota_gateway/rollout/change_strategy.py
+++ b/quota_gateway/rollout/change_strategy.py
@@ -24,7 +24,9 @@
     """A kind of change. ``state`` is the journal's."""
 
     def __init__(self, plan: Plan, doors: Doors, state: State) -> None:
-        self.plan, self.doors, self.state = plan, doors, state
+        self.plan = plan
+        self.doors = doors
+        self.state = state
         self.members = {member.name: member for member in plan.members}
 
     def begun(self) -> Begun:
@@ -90,13 +92,16 @@
     """Another configuration file, on trial until its stage is found good."""
 
     async def check(self) -> tuple[dict[str, str], dict[str, str]]:
-        before, after = {}, {}
+        before = {}
+        after = {}
         for name, member in self.members.items():
-            old, new = self.file(member.config, name), self.file(self.plan.settings, name)
+            old = self.file(member.config, name)
+            new = self.file(self.plan.settings, name)
             why = unfit(old, new)
             if why:
                 raise PlanError(f"{name}: {why}")
-            before[name], after[name] = digest(old), digest(new)
+            before[name] = digest(old)
+            after[name] = digest(new)
         for name in self.members:
             await self.steady(name)
         return before, after
@@ -107,7 +112,8 @@
         )
 
     async def apply(self, name: str) -> int:
-        begun, config = self.begun(), self.config(self.members[name])
+        begun = self.begun()
+        config = self.config(self.members[name])
         data = self.file(self.plan.settings, name)
         if digest(data) != begun.after[name]:
             raise RefusedError(f"{name}: its new file has changed under way")
@@ -144,7 +150,8 @@
         return True
 
     async def undo(self, name: str) -> None:
-        begun, config = self.begun(), self.config(self.members[name])
+        begun = self.begun()
+        config = self.config(self.members[name])
         with suppress(FileNotFoundError):  # no copy: its file was not touched yet
             kept = before_path(config).read_bytes()
             if digest(kept) == begun.before[name] and digest(config.read_bytes()) == begun.after[name]:
@@ -160,7 +167,8 @@
 def unfit(old: bytes, new: bytes) -> str:
     """Why these settings can't follow those; empty if they can."""
     try:
-        one, other = read_config(old, {}), read_config(new, {})
+        one = read_config(old, {})
+        other = read_config(new, {})
     except ConfigError as error:
         return "; ".join(error.faults[:3])
     faults = other.unchangeable(one)
--- a/quota_gateway/rollout/controller.py
+++ b/quota_gateway/rollout/controller.py
@@ -41,7 +41,8 @@
 AGAIN_S = (0.2, 5.0)  # before a member that was away is told again: at first, at most; half of it is drawn
 RENEW = 3  # times in a trial's length that it is begun anew, while its stage is watched
 WISHES = ("pause", "resume", "back")
-DONE, BACK = "done", "back"
+DONE = "done"
+BACK = "back"
 
 
 def event(name: str, **facts: Any) -> None:
@@ -53,7 +54,9 @@
     """Runs one rollout. Raises FencedError where another has followed it; PlanError, with nothing touched."""
 
     def __init__(self, plan: Plan, journal: told.Journal) -> None:
-        self.plan, self.journal, self.state = plan, journal, journal.state
+        self.plan = plan
+        self.journal = journal
+        self.state = journal.state
         self.doors = Doors(plan.members, journal.state.token)
         self.members = [member.name for member in plan.members]
         kind = OfProgram if plan.program else OfSettings
@@ -128,7 +131,8 @@
         windows: dict[str, list[Figures]] = {name: [] for name in self.members}
         await self._read()
         loop = asyncio.get_running_loop()
-        begun, asks_at = loop.time(), self.plan.watch_s
+        begun = loop.time()
+        asks_at = self.plan.watch_s
         while True:
             watched = loop.time() - begun
             if watched >= asks_at:
@@ -187,7 +191,8 @@
         begun = loop.time()
         while self.state.judged < stage and not await self._interrupted():
             await asyncio.sleep(self.plan.look_s)
-            windows, settled = await self._read(), loop.time() - begun >= self.plan.settle_s
+            windows = await self._read()
+            settled = loop.time() - begun >= self.plan.settle_s
             for name, figures in windows.items() if settled else ():
                 judge.add(name, figures)
             await self._renew(names)
@@ -248,7 +253,8 @@
         """A window of each member that answers and is the process it was."""
         names = list(self.members)
         answers = await asyncio.gather(*map(self.doors.figures, names), return_exceptions=True)
-        now, windows = asyncio.get_running_loop().time(), {}
+        now = asyncio.get_running_loop().time()
+        windows = {}
         for name, figures in zip(names, answers, strict=True):
             if isinstance(figures, FencedError):
                 raise figures
@@ -323,7 +329,8 @@
 
         One that is away holds a place, but not that of its stage: others go on as far as the plan allows.
         """
-        waiting, running = list(names), dict[asyncio.Task[None], str]()
+        waiting = list(names)
+        running = dict[asyncio.Task[None], str]()
         failed: BaseException | None = None
         while running or (waiting and not failed):
             for name in [] if failed else self.plan.batch(waiting, set(running.values())):
@@ -340,7 +347,8 @@
     async def _until_back(self, act: Callable[[], Awaitable[None]], longest_s: float) -> None:
         """Do it; while the member is away, again with a growing, drawn pause. Raises its last AwayError."""
         loop = asyncio.get_running_loop()
-        end, pause = loop.time() + longest_s, AGAIN_S[0]
+        end = loop.time() + longest_s
+        pause = AGAIN_S[0]
         while True:
             try:
                 await act()
--- a/quota_gateway/rollout/journal.py
+++ b/quota_gateway/rollout/journal.py
@@ -157,7 +157,8 @@
             case Confirmed(stage=stage):
                 self.stage = stage + 1
             case Turned(why=why):
-                self.turned, self.halted = why, ""
+                self.turned = why
+                self.halted = ""
             case Ended(outcome=outcome):
                 self.outcome = outcome
 
@@ -212,7 +213,8 @@
             os.close(self.file)
             raise JournalError(f"{path}: another controller holds it") from None
         try:
-            self.state, end = State(), 0
+            self.state = State()
+            end = 0
             for end, record in records(path.read_bytes()):  # noqa: B007
                 self.state.take(record)
             os.ftruncate(self.file, end)
--- a/quota_gateway/rollout/launcher.py
+++ b/quota_gateway/rollout/launcher.py
@@ -124,7 +124,8 @@
 def start(door: str, tmp: Path, token: int, name: str, folder: Path, command: str, config: Path) -> None:
     """Start a process; its log stands beside its configuration, as FILE.log."""
     with turn(tmp, token):
-        place, log = Place(tmp, door), config.with_name(config.name + ".log")
+        place = Place(tmp, door)
+        log = config.with_name(config.name + ".log")
         if not place.free():
             if not _up(place, None):
                 raise Refused(f"a process has {door} and says nothing")
--- a/quota_gateway/rollout/plan.py
+++ b/quota_gateway/rollout/plan.py
@@ -121,7 +121,8 @@
             zones = list(dict.fromkeys(member.zone for member in self.members))
             return [[m.name for m in self.members if m.zone == zone] for zone in zones]
         order = spaced(names)
-        stages, done = [], 0
+        stages = []
+        done = 0
         for stage in self.stages:
             upto = min(len(names), stage if isinstance(stage, int) else ceil(stage * len(names)))
             if upto > done:
--- a/quota_gateway/settings_reader.py
+++ b/quota_gateway/settings_reader.py
@@ -104,7 +104,9 @@
 
 
 def _general(env: Node) -> Fields:
-    info, load, prices = env.table("family_info"), env.table("load_info"), env.table("deductions")
+    info = env.table("family_info")
+    load = env.table("load_info")
+    prices = env.table("deductions")
     info.knows("call_price", "inbox_per_s")
     load.knows("how")
     prices.knows("connection", "discovery", "fleet", "late_fail", "moves", "origin", "peer", "probe", "waste")
--- a/quota_gateway/simulation/baselines.py
+++ b/quota_gateway/simulation/baselines.py
@@ -13,7 +13,8 @@
     """Lets everything in and sends it to a server drawn at random."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.settings, self.random = settings, Random(seed)
+        self.settings = settings
+        self.random = Random(seed)
         self.ready: dict[int, api.ServerEntry] = {}
         self.out: dict[int, int] = {}  # attempts out from here, by server
         self.open: dict[int, str] = {}  # by the timer that ends its wait
--- a/quota_gateway/simulation/day.py
+++ b/quota_gateway/simulation/day.py
@@ -44,14 +44,18 @@
         return self.ledger.get(IN_TIME, 0) / self.offered if self.offered else 0.0
 
 
-IN_TIME, LATE, BEYOND = "served in time", "served late", "beyond the quota"
+IN_TIME = "served in time"
+LATE = "served late"
+BEYOND = "beyond the quota"
 
 
 class Customer:
     """A customer over all gateways: its quota, its ceiling, its meter, and the gateways of its set."""
 
     def __init__(self, world: World, name: str, tariff: Tariff, first: int, heavy: bool) -> None:
-        self.name, self.tariff, self.first = name, tariff, first
+        self.name = name
+        self.tariff = tariff
+        self.first = first
         self.width = min(tariff.spread, world.gateways)
         self.quota = Store(tariff.rate, tariff.burst)
         self.fair = Store(tariff.rate, tariff.burst)  # what one gateway that saw all first tries would let in
@@ -66,15 +70,22 @@
     __slots__ = ("name", "customer", "kind", "work", "tries")
 
     def __init__(self, name: str, customer: Customer, kind: Kind, work: float) -> None:
-        self.name, self.customer, self.kind, self.work, self.tries = name, customer, kind, work, 0
+        self.name = name
+        self.customer = customer
+        self.kind = kind
+        self.work = work
+        self.tries = 0
 
 
 class Node:
     """One gateway's machine: its process, its timers, its requests, and what it was told of servers."""
 
     def __init__(self, day: Day, index: int) -> None:
-        self.day, self.index = day, index
-        self.life, self.up, self.died = 0, False, -1e9
+        self.day = day
+        self.index = index
+        self.life = 0
+        self.up = False
+        self.died = -1e9
         self.tries: dict[str, tuple[Try, Wish]] = {}
         self.drained: dict[int, float] = {}
         self.out: dict[tuple[str, int], tuple[int, float, Job]] = {}
@@ -108,7 +119,8 @@
         """The process dies with all that it has in hand."""
         if not self.up:
             return
-        self.up, self.died = False, self.day.clock.now
+        self.up = False
+        self.died = self.day.clock.now
         for one, wish in self.tries.values():
             one.lost = True
             if not one.answers:
@@ -151,7 +163,8 @@
 
     def do(self, event: api.Event) -> None:
         """Hand an event to the decisions, and carry out what they want."""
-        day, life = self.day, self.life
+        day = self.day
+        life = self.life
         for action in self.gateway.handle(day.clock.now, event):
             if isinstance(action, api.SetTimer):
                 day.clock.after(action.delay_ms, self._fire, life, action.token)
@@ -168,8 +181,11 @@
             self.do(api.TimerFired(token))
 
     def _send(self, one: Try, wish: Wish, number: int) -> None:
-        day, clock = self.day, self.day.clock
-        server, attempt, now = day.servers[number], one.sends, clock.now
+        day = self.day
+        clock = self.day.clock
+        server = day.servers[number]
+        attempt = one.sends
+        now = clock.now
         if attempt == 0:
             customer = wish.customer
             one.inside = customer.quota.take(one.units, now)
@@ -191,7 +207,9 @@
             return  # ended before, or with the process that sent it
         number, sent, job = found
         job.gone = True
-        day, now, wish = self.day, self.day.clock.now, self.tries[one.name][1]
+        day = self.day
+        now = self.day.clock.now
+        wish = self.tries[one.name][1]
         one.ended += 1
         day.referee.ended(one, attempt, status)
         good = status is api.Status.OK
@@ -204,7 +222,8 @@
         self._drop_if_done(one)
 
     def _answer(self, action: api.Refuse | api.Fail) -> None:
-        refused, now = isinstance(action, api.Refuse), self.day.clock.now
+        refused = isinstance(action, api.Refuse)
+        now = self.day.clock.now
         if action.request_id not in self.tries:
             self.day.referee.answered(self.day.tries[action.request_id], refused, now)  # once too often
             return
@@ -224,10 +243,14 @@
     """All of it. ``make`` builds a gateway from settings and a seed."""
 
     def __init__(self, world: World, seed: int, make: Make = Gateway) -> None:
-        self.world, self.seed, self.make = world, seed, make
+        self.world = world
+        self.seed = seed
+        self.make = make
         streams = np.random.SeedSequence(seed).spawn(len(STREAMS))
         self.draw = {name: np.random.default_rng(s) for name, s in zip(STREAMS, streams, strict=True)}
-        self.clock, self.referee, self.ledger = Clock(), Referee(world), Ledger()
+        self.clock = Clock()
+        self.referee = Referee(world)
+        self.ledger = Ledger()
         self.requests = self.attempts = 0
         self.classes = {kind.name: kind for kind in world.settings(0).classes}
         weights = np.array([kind.weight for kind in world.kinds])
@@ -300,7 +323,8 @@
 
     def _try(self, wish: Wish) -> None:
         """A try at one gateway of the customer's set, those that get more oftener; dead ones cost time."""
-        customer, now = wish.customer, self.clock.now
+        customer = wish.customer
+        now = self.clock.now
         members = [(customer.first + n) % self.world.gateways for n in range(customer.width)]
         known = [n for n in members if self.nodes[n].up or now - self.nodes[n].died < NOTICED]
         if not known:
@@ -347,7 +371,8 @@
     # ---- Troubles
 
     def _trouble(self, trouble: Trouble) -> None:
-        lasts, draw = 1000.0 * trouble.for_s, self.draw["troubles"]
+        lasts = 1000.0 * trouble.for_s
+        draw = self.draw["troubles"]
         if trouble.kind == "burst":
             self.asking = trouble.factor
             self.clock.after(lasts, setattr, self, "asking", 1.0)
--- a/quota_gateway/simulation/models.py
+++ b/quota_gateway/simulation/models.py
@@ -52,7 +52,10 @@
     """A quota's or a ceiling's store over all gateways: full at first, refilled evenly."""
 
     def __init__(self, rate: float, burst: float) -> None:
-        self.rate, self.burst, self.level, self.at = rate, burst, burst, 0.0
+        self.rate = rate
+        self.burst = burst
+        self.level = burst
+        self.at = 0.0
 
     def refill(self, now: float) -> float:
         """The units in it now."""
@@ -72,7 +75,9 @@
     """A customer's use by all gateways, in percent of its rate: of the last whole period that was told."""
 
     def __init__(self, tariff: Tariff, period: float, late: float) -> None:
-        self.rate, self.period, self.late = tariff.rate, period, late
+        self.rate = tariff.rate
+        self.period = period
+        self.late = late
         self.periods: dict[int, float] = {}
 
     def add(self, units: float, now: float) -> None:
@@ -94,7 +99,9 @@
     __slots__ = ("work", "answer", "gone")
 
     def __init__(self, work: float, answer: Answer) -> None:
-        self.work, self.answer, self.gone = work, answer, False
+        self.work = work
+        self.answer = answer
+        self.gone = False
 
 
 class Server:
@@ -104,9 +111,14 @@
     """
 
     def __init__(self, clock: Ticking, machines: Machines, entry: api.ServerEntry, speed: float) -> None:
-        self.clock, self.machines, self.entry, self.speed = clock, machines, entry, speed
+        self.clock = clock
+        self.machines = machines
+        self.entry = entry
+        self.speed = speed
         self.started = -machines.warm_up  # long ago
-        self.slow, self.failing, self.silent = 1.0, False, False
+        self.slow = 1.0
+        self.failing = False
+        self.silent = False
         self.running: set[Job] = set()
         self.waiting: deque[Job] = deque()
         self.served = 0
@@ -150,7 +162,8 @@
     def restart(self) -> None:
         """End with what it has, and come back cold."""
         jobs = [*self.running, *self.waiting]
-        self.running, self.waiting = set(), deque()
+        self.running = set()
+        self.waiting = deque()
         self.started = self.clock.now
         for job in jobs:
             job.answer(api.Status.RESET)
--- a/quota_gateway/simulation/referee.py
+++ b/quota_gateway/simulation/referee.py
@@ -62,7 +62,8 @@
             return True
         if one.kind.effect is api.Effect.UNSAFE or now - at >= one.kind.key_memory_ms:
             return False
-        a, b = first.entry, server.entry
+        a = first.entry
+        b = server.entry
         return one.kind.key_scope is api.KeyScope.ALL or (
             a.zone == b.zone and (one.kind.key_scope is api.KeyScope.ZONE or a.cell == b.cell)
         )
--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -136,7 +136,8 @@
     """The gateways of one process and the server lists that the wire has declared to it."""
 
     def __init__(self, make: Make) -> None:
-        self.make, self.now_ms = make, 0.0
+        self.make = make
+        self.now_ms = 0.0
         self.gateways: dict[str, Handles] = {}
         self.lists: dict[int, tuple[api.ServerEntry, ...]] = {}
         self.reply: list[str] = []
@@ -144,7 +145,8 @@
     def message(self, name: str, fields: Fields) -> bool:
         """Take one message in; true when the batch is complete and ``reply`` is to be written."""
         if name == "Batch":
-            self.now_ms, self.turn = float(fields["t_ms"]), fields["turn"]
+            self.now_ms = float(fields["t_ms"])
+            self.turn = fields["turn"]
         elif name == "Commit":
             self._write("Ack", {"turn": self.turn})
             return True
--- a/quota_gateway/state/context.py
+++ b/quota_gateway/state/context.py
@@ -20,8 +20,11 @@
     """
 
     def __init__(self, settings: Settings, seed: int, fade_ms: float) -> None:
-        self.random, self.decay = Random(seed), Decay(fade_ms)
-        self.since, self.now = inf, -inf  # milliseconds: the first event, the one at hand
+        self.random = Random(seed)
+        self.decay = Decay(fade_ms)
+        # milliseconds: the first event, the one at hand
+        self.since = inf
+        self.now = -inf
         self.actions: list[Action] = []
         self.timers: dict[int, tuple[Callable[[Any], None], Any]] = {}
         self.tokens = 0
@@ -30,7 +33,8 @@
 
     def configure(self, settings: Settings) -> None:
         """These settings are in force from now on."""
-        self.settings, self.limits = settings, settings.limits
+        self.settings = settings
+        self.limits = settings.limits
         self.classes = {item.name: item for item in settings.classes}
         self.most_worth = max(item.worth for item in settings.classes) or 1.0
 
--- a/quota_gateway/state/decay.py
+++ b/quota_gateway/state/decay.py
@@ -22,5 +22,6 @@
 
     def left(self, then: Moment) -> float:
         """The share, 0 to 1, that is left of a figure noted then."""
-        in_time, in_sends = (self.now - then[0]) / self.time_ms, (self.sends - then[1]) / self.servers
+        in_time = (self.now - then[0]) / self.time_ms
+        in_sends = (self.sends - then[1]) / self.servers
         return exp(-in_time if in_time < in_sends else -in_sends)
--- a/quota_gateway/state/endpoints.py
+++ b/quota_gateway/state/endpoints.py
@@ -18,7 +18,9 @@
     """Servers of a list without those at some places (ascending), seen and not copied."""
 
     def __init__(self, servers: list[Server], places: Mapping[int, int], gaps: list[int]) -> None:
-        self.servers, self.places, self.gaps = servers, places, gaps
+        self.servers = servers
+        self.places = places
+        self.gaps = gaps
 
     def __len__(self) -> int:
         return len(self.servers) - len(self.gaps)
@@ -113,7 +115,8 @@
         """Cold servers with phases from ``low`` on, as far as ``width``, round one; in the lists' order."""
         if width >= 1.0:
             return self.cold
-        phases, high = self._phases, low + width
+        phases = self._phases
+        high = low + width
         found = phases[bisect_left(phases, (low, -1)) : bisect_left(phases, (high, -1))]
         if high > 1.0:
             found += phases[: bisect_left(phases, (high - 1.0, -1))]
--- a/quota_gateway/state/estimates.py
+++ b/quota_gateway/state/estimates.py
@@ -34,7 +34,9 @@
 
     def worst(self, server: Server, names: Sequence[str], priors: Sequence[float]) -> float:
         """The largest share of failures, 0 to 1, expected at a server under these keys with their priors."""
-        worst, marks, weight = 0.0, server.marks, self.prior_weight
+        worst = 0.0
+        marks = server.marks
+        weight = self.prior_weight
         for name, prior in zip(names, priors, strict=True):
             mark = marks.get(name)
             if mark is None or not mark[1]:
@@ -58,7 +60,9 @@
     """Mean latencies of classes (ms), relative ones of servers, and servers that answered quickly last."""
 
     def __init__(self, decay: Decay, mean_step: float, ratio_step: float, most_quick: int) -> None:
-        self.decay, self.mean_step, self.ratio_step = decay, mean_step, ratio_step
+        self.decay = decay
+        self.mean_step = mean_step
+        self.ratio_step = ratio_step
         self.most_quick = most_quick
         self.mean: dict[str, float] = {}
         self.quick: dict[str, dict[int, Server]] = {}
@@ -96,14 +100,16 @@
     """What servers tell of their load, and whether a connection to them stands idle."""
 
     def __init__(self, context: Context, fleet: Fleet) -> None:
-        self.context, self.fleet = context, fleet
+        self.context = context
+        self.fleet = fleet
         self.linking = False  # whether anybody tells of connections
 
     def take(self, server: Server, load: tuple[float, ...] | None) -> None:
         """A report, in the order of the settings' fields, or none."""
         if load:
             report = dict(zip(self.context.settings.load_fields, load, strict=False))
-            server.queue, server.queue_at = report.get("queue") or 0.0, self.context.decay.moment()
+            server.queue = report.get("queue") or 0.0
+            server.queue_at = self.context.decay.moment()
 
     def probed(self, event: ProbeResult) -> None:
         """A report without a request."""
--- a/quota_gateway/state/outcome_counters.py
+++ b/quota_gateway/state/outcome_counters.py
@@ -10,7 +10,8 @@
     """Counts by reason and name, told in one text now and then. As many keys as reasons times names."""
 
     def __init__(self, every_ms: float) -> None:
-        self.every_ms, self.at = every_ms, -inf
+        self.every_ms = every_ms
+        self.at = -inf
         self.counts: dict[tuple[str, str], int] = {}
         self.totals: Counter[str] = Counter()  # by reason, since the start
 
--- a/quota_gateway/state/rows.py
+++ b/quota_gateway/state/rows.py
@@ -50,14 +50,21 @@
         self.key = key
         # customers: gateways that the requests named, and how many of them there are; the last change it is
         # up to; its largest request
-        self.span, self.width, self.epoch, self.largest = 1, 1, epoch, 0.0
+        self.span = 1
+        self.width = 1
+        self.epoch = epoch
+        self.largest = 0.0
         # meter: thousandths of a unit; the late reading, as a share of the rate; an excess that counts what
         # was refused as well
-        self.excess, self.touched = 0.0, now
-        self.used, self.used_at = 0.0, -inf
-        self.asked, self.asked_at = 0.0, now
+        self.excess = 0.0
+        self.touched = now
+        self.used = 0.0
+        self.used_at = -inf
+        self.asked = 0.0
+        self.asked_at = now
         # ceilings: units in this gateway's share of the store
-        self.ceiling, self.ceiling_at = ceiling, now
+        self.ceiling = ceiling
+        self.ceiling_at = now
         # change: bounds while requests are in hand that were taken before a change, which one, how many
         self.strict: Plan | None = None
         self.strict_epoch = self.older = 0
@@ -92,19 +99,25 @@
         self.id = entry.server
         self.phase = phase  # cold: its turns
         self.linked = False  # choice: a connection stands idle
-        self.back, self.owed_at = 0.0, inf  # by hand: when it was put back, and when it must be used for that
+        # by hand: when it was put back, and when it must be used for that
+        self.back = 0.0
+        self.owed_at = inf
         self.out: set[tuple[str, int]] = set()  # attempts: out from here
         self.reset()
         self.update(entry)
 
     def reset(self) -> None:
         """Forget what a process that is gone has shown (latency, choice, health)."""
-        self.ratio, self.ratio_at, self.queue, self.queue_at = 1.0, NEVER, 0.0, NEVER
+        self.ratio = 1.0
+        self.ratio_at = NEVER
+        self.queue = 0.0
+        self.queue_at = NEVER
         self.marks: dict[str, Mark] = {}
 
     def update(self, entry: ServerEntry) -> None:
         """Take over what discovery says."""
-        self.zone, self.cell = entry.zone, entry.cell
+        self.zone = entry.zone
+        self.cell = entry.cell
         self.started = max(entry.started_ms, self.back)
         self.ready = self.listed = entry.state is ServerState.READY
 
@@ -141,10 +154,17 @@
         turn: float,
         epoch: int,
     ) -> None:
-        self.request, self.kind, self.plan, self.customer = request, kind, plan, customer
-        self.arrived, self.deadline, self.epoch = now, now + request.patience_ms, epoch
+        self.request = request
+        self.kind = kind
+        self.plan = plan
+        self.customer = customer
+        self.arrived = now
+        self.deadline = now + request.patience_ms
+        self.epoch = epoch
         self.keys = keys(kind.name, plan.name)
-        self.sends, self.turn = 0, turn  # the turn says which cold servers it may go to, once for all
+        # the turn says which cold servers it may go to, once for all
+        self.sends = 0
+        self.turn = turn
         self.out: dict[int, tuple[Server, float]] = {}
         self.tried: set[int] = set()
         self.closed = self.streaming = False
--- a/quota_gateway/state/settings_epochs.py
+++ b/quota_gateway/state/settings_epochs.py
@@ -24,7 +24,8 @@
 
     def __init__(self, plans: Iterable[Plan], gateways: int, most_retired: int) -> None:
         self.plans = {item.name: item for item in plans}
-        self.gateways, self.most_retired = gateways, most_retired
+        self.gateways = gateways
+        self.most_retired = most_retired
         self.epoch = 0
         self.past: list[Past] = []
         self.lagging: list[Key] = []
@@ -49,7 +50,8 @@
         self.retired = {name: plan for name, plan in before.items() if name not in plans}
         for name in list(self.retired)[: -self.most_retired]:
             del self.retired[name]
-        self.plans, self.gateways = plans, gateways
+        self.plans = plans
+        self.gateways = gateways
         self.lagging = list(keys)
 
     def behind(self, epoch: int) -> list[tuple[Past, int]]:
--- a/quota_gateway/state_document.py
+++ b/quota_gateway/state_document.py
@@ -85,7 +85,8 @@
                 raise ValueError("a customer's row that breaks off")
             for field, value in zip(FIGURES, row, strict=False):
                 setattr(made, field, _number(value))
-            made.span, made.elsewhere = max(1, int(made.width)), int(made.elsewhere)
+            made.span = max(1, int(made.width))
+            made.elsewhere = int(made.elsewhere)
             # The process before may have gone by other settings: no share is larger than it is here.
             made.width = min(made.span, gateway.gateways)
             made.ceiling = min(made.ceiling, gateway.plans[plan].ceiling_burst / made.width)
@@ -108,8 +109,12 @@
     }
     # All of it could be read: from here on nothing fails.
     gateway.fresh = fresh
-    gateway.customers, gateway.latency, gateway.marks = customers, latency, marks
-    gateway.pool, gateway.retries, gateway.started_at = figures[0], figures[1], figures[3]
+    gateway.customers = customers
+    gateway.latency = latency
+    gateway.marks = marks
+    gateway.pool = figures[0]
+    gateway.retries = figures[1]
+    gateway.started_at = figures[3]
     gateway.sends = int(figures[2])
     for number, row in servers.items():
         server = gateway.servers[number]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_adapter import ENV
+from test_simulator_adapter import ENV
 
 from quota_gateway import __main__ as program
 from quota_gateway import config as module
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -29,7 +29,7 @@
     run,
     until,
 )
-from test_adapter import ENV
+from test_simulator_adapter import ENV
 
 from quota_gateway import __main__ as program_module
 
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 from fakes import Peer, call
-from test_rig import ROOT, SCENARIO, run, through
+from test_fault_bench import ROOT, SCENARIO, run, through
 
 from quota_gateway.fault_bench.bench import Rig
 from quota_gateway.fault_bench.processes import Program
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -14,7 +14,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_rig import ROOT, SCENARIO, run
+from test_fault_bench import ROOT, SCENARIO, run
 
 from quota_gateway.fault_bench.bench import Rig, own_host
 from quota_gateway.fault_bench.document import settings_document
