--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -224,7 +224,7 @@
     span_s = min(KILL_S[0], longest_s) + KILL_S[1] - SPARE_S
     end = loop.time() + span_s
     log.info("stopping")
-    driver.post(api.Stopping(span_s * 1000.0))
+    driver.post(api.ShutdownBegun(span_s * 1000.0))
     while loop.time() < end - LAST_S:
         if handover and handover.done() and not clients.connections and not driver.calls:
             break
--- a/quota_gateway/api/actions.py
+++ b/quota_gateway/api/actions.py
@@ -4,12 +4,12 @@
 
 from dataclasses import dataclass
 
-from quota_gateway.api.enums import OfAttempt, OfRequest, OfServer
-from quota_gateway.api.events import Elsewhere
+from quota_gateway.api.enums import AttemptMessage, RequestMessage, ServerMessage
+from quota_gateway.api.events import PeerUsage
 
 
 @dataclass(frozen=True, slots=True)
-class Send(OfRequest):
+class Send(RequestMessage):
     """Start an attempt. ``timeout_ms`` of 0: as long as the client waits. Attempts count from 0.
 
     ``begin_within_ms`` above 0: an earlier attempt may have run, and a repeat is harmless only if it has
@@ -22,19 +22,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse(OfRequest):
+class Reject(RequestMessage):
     """Final answer: nothing was done, a retry is harmless; not before ``retry_after_ms`` if above 0."""
 
     retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Fail(OfRequest):
+class Fail(RequestMessage):
     """Final answer: failed, and nothing is promised about the effect."""
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel(OfAttempt):
+class Cancel(AttemptMessage):
     """Stop waiting for an attempt; its outcome is still owed."""
 
 
@@ -66,24 +66,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probe(OfServer):
+class HealthCheck(ServerMessage):
     """Ask a server how it is; costs it work."""
 
 
 @dataclass(frozen=True, slots=True)
-class CloseIdle(OfServer):
+class CloseIdle(ServerMessage):
     """Close this gateway's idle connections to a server."""
 
 
 @dataclass(frozen=True, slots=True)
-class SetUsable(OfServer):
+class SetServerUsable(ServerMessage):
     """Whether connections to a server may be used, on top of what its list says."""
 
     usable: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Admit:
+class SetServing:
     """Whether the front is told to send clients, and how long their connections are kept without a request.
 
     ``linger_ms`` of inf keeps them; else each is closed as its last answer goes out, or after so long.
@@ -94,7 +94,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeer:
+class SendToPeer:
     """Send bytes to one gateway, or to all with -1."""
 
     peer: int
@@ -102,7 +102,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CounterAdd:
+class IncrementCounter:
     """Add to a shared count; a new name is forgotten after ``lifetime_ms``."""
 
     name: int
@@ -112,18 +112,18 @@
 
 Action = (
     Send
-    | Refuse
+    | Reject
     | Fail
     | Cancel
     | SetTimer
     | Log
     | Subscribe
     | FetchList
-    | Probe
+    | HealthCheck
     | CloseIdle
-    | TellPeer
-    | CounterAdd
-    | SetUsable
-    | Admit
-    | Elsewhere
+    | SendToPeer
+    | IncrementCounter
+    | SetServerUsable
+    | SetServing
+    | PeerUsage
 )
--- a/quota_gateway/api/enums.py
+++ b/quota_gateway/api/enums.py
@@ -6,15 +6,15 @@
 from enum import Enum
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """Whether a request may be repeated: freely, within a group that knows its key, or never."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    WITH_KEY = "keyed"
+    NOT_IDEMPOTENT = "unsafe"
 
 
-class KeyScope(Enum):
+class IdempotencyScope(Enum):
     """Which servers drop repeats of a keyed request."""
 
     ALL = "all"
@@ -26,7 +26,7 @@
     """How server lists come: unasked, or only after ``Subscribe`` or ``FetchList``."""
 
     PUSH = "push"
-    ASK = "ask"
+    POLL = "ask"
 
 
 class ServerState(Enum):
@@ -34,24 +34,24 @@
 
     READY = "ready"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 class ListKind(Enum):
     """What a server list holds: changes, everything, everything as last known, or a failed call."""
 
     CHANGES = "changes"
-    FULL = "full"
+    COMPLETE = "full"
     CACHED = "cached"
     FAILED = "failed"
 
 
 class Status(Enum):
-    """How an attempt, a probe or a counter call ended. FULL, CONNECT_FAILED and NOT_SENT never ran."""
+    """How an attempt, a probe or a counter call ended. OVERLOADED, CONNECT_FAILED and NOT_SENT never ran."""
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    OVERLOADED = "full"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
@@ -60,21 +60,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OfRequest:
+class RequestMessage:
     """What concerns one request in hand, by the id that its client gave it."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class OfAttempt(OfRequest):
+class AttemptMessage(RequestMessage):
     """What concerns one attempt of a request; attempts count from 0."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class OfServer:
+class ServerMessage:
     """What concerns one server, by its number in the lists."""
 
     server: int
--- a/quota_gateway/api/events.py
+++ b/quota_gateway/api/events.py
@@ -4,7 +4,14 @@
 
 from dataclasses import dataclass
 
-from quota_gateway.api.enums import ListKind, OfAttempt, OfRequest, OfServer, ServerState, Status
+from quota_gateway.api.enums import (
+    AttemptMessage,
+    ListKind,
+    RequestMessage,
+    ServerMessage,
+    ServerState,
+    Status,
+)
 from quota_gateway.api.settings import Settings, check
 
 
@@ -31,26 +38,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Request(OfRequest):
-    """A client's try. It may come through ``width`` gateways in a row from number ``first_gateway``."""
+class Request(RequestMessage):
+    """A client's request; it may come through ``gateway_span`` gateways from number ``first_gateway`` on."""
 
     class_name: str
     plan: str
     customer: str
-    patience_ms: float
+    client_timeout_ms: float
     units: float = 1.0
-    width: int = 1
+    gateway_span: int = 1
     first_gateway: int = 0
     is_retry: bool = False
     is_write: bool = False
 
     def __post_init__(self) -> None:
-        check(self, 0.0, "units", "patience_ms")
-        check(self, 1, "width")
+        check(self, 0.0, "units", "client_timeout_ms")
+        check(self, 1, "gateway_span")
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome(OfAttempt):
+class AttemptEnded(AttemptMessage):
     """How an attempt ended; one for each Send. ``closed``: the request has had its final answer.
 
     ``used_percent`` is the customer's late metered use by all gateways, in percent of its rate;
@@ -61,13 +68,13 @@
     status: Status
     latency_ms: float
     closed: bool = False
-    used_percent: float | None = None
+    metered_use_percent: float | None = None
     final_units: float | None = None
     load: tuple[float, ...] | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class StreamStarted(OfAttempt):
+class StreamStarted(AttemptMessage):
     """A streamed answer has begun: the attempt is the client's now and has no deadline."""
 
     server: int
@@ -75,7 +82,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClientGone(OfRequest):
+class ClientDisconnected(RequestMessage):
     """The client has left; nothing more is owed for this request."""
 
 
@@ -87,7 +94,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeResult(OfServer):
+class HealthCheckResult(ServerMessage):
     """The answer to one ``Probe``."""
 
     status: Status
@@ -96,58 +103,58 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stopping:
+class ShutdownBegun:
     """The gateway will be ended: every request in hand, and any that still comes, is answered within this."""
 
     within_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class ServerByHand(OfServer):
+class ServerAdminDown(ServerMessage):
     """An operator takes a server out, or says that it may serve again, whatever discovery lists."""
 
-    out: bool
+    admin_down: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Drain:
+class DrainChanged:
     """An operator wants no clients here any more, or wants them back; the gateway lives on."""
 
     active: bool
 
 
 @dataclass(frozen=True, slots=True)
-class NewSettings:
+class SettingsChanged:
     """The settings are these from now on; what is in hand keeps its class and its plan."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
-class Linked(OfServer):
+class IdleConnectionChanged(ServerMessage):
     """Whether a connection to a server stands idle: an attempt there costs no handshake."""
 
-    idle: bool
+    has_idle: bool
 
 
 @dataclass(frozen=True, slots=True)
-class HandOver:
+class HotRestartBegun:
     """The next process takes over: what is in hand here is reserved there, and its ends are told."""
 
 
 @dataclass(frozen=True, slots=True)
-class Elsewhere:
+class PeerUsage:
     """What the process before this one still holds of a customer, and has charged since it handed over."""
 
     plan: str
     customer: str
-    in_hand: int
+    in_flight: int
     charged: float = 0.0
-    used_percent: float | None = None
+    metered_use_percent: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class OtherGone:
+class PeerExited:
     """The other process of this gateway has ended: it holds nothing, and takes nothing."""
 
 
@@ -160,7 +167,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CounterReply:
+class CounterResult:
     """The answer to one ``CounterAdd``; ``total`` counts with OK only."""
 
     name: int
@@ -172,19 +179,19 @@
 Event = (
     ServerList
     | Request
-    | Outcome
+    | AttemptEnded
     | StreamStarted
-    | ClientGone
+    | ClientDisconnected
     | TimerFired
-    | ProbeResult
+    | HealthCheckResult
     | PeerMessage
-    | CounterReply
-    | Stopping
-    | ServerByHand
-    | Drain
-    | HandOver
-    | Elsewhere
-    | OtherGone
-    | NewSettings
-    | Linked
+    | CounterResult
+    | ShutdownBegun
+    | ServerAdminDown
+    | DrainChanged
+    | HotRestartBegun
+    | PeerUsage
+    | PeerExited
+    | SettingsChanged
+    | IdleConnectionChanged
 )
--- a/quota_gateway/api/settings.py
+++ b/quota_gateway/api/settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from quota_gateway.api.enums import DiscoveryMode, Effect, KeyScope
+from quota_gateway.api.enums import DiscoveryMode, Idempotency, IdempotencyScope
 
 DEFAULT_IDLE_MS = 30_000.0  # of a connection, where the settings do not tell
 
@@ -25,24 +25,33 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests. ``worth`` is per unit; ``late_share`` of it is earned after the aim."""
+    """A class of requests. ``priority_weight`` is per unit; past the objective ``late_value_ratio`` of it."""
 
     name: str
-    aim_ms: float
+    latency_objective_ms: float
     deadline_ms: float
-    effect: Effect
-    worth: float = 1.0
-    late_share: float = 0.0
-    key_scope: KeyScope = KeyScope.ALL
-    key_memory_ms: float = 0.0
+    idempotency: Idempotency
+    priority_weight: float = 1.0
+    late_value_ratio: float = 0.0
+    idempotency_scope: IdempotencyScope = IdempotencyScope.ALL
+    idempotency_window_ms: float = 0.0
     streamed: bool = False
-    aim_stretch: float = 0.0
+    objective_stretch: float = 0.0
 
     def __post_init__(self) -> None:
         refuse_if(not self.name, self, "name", "is empty")
-        check(self, 0.0, "aim_ms", "deadline_ms", "worth", "late_share", "key_memory_ms", "aim_stretch")
+        check(
+            self,
+            0.0,
+            "latency_objective_ms",
+            "deadline_ms",
+            "priority_weight",
+            "late_value_ratio",
+            "idempotency_window_ms",
+            "objective_stretch",
+        )
         refuse_if(self.deadline_ms <= 0, self, "deadline_ms", "leaves no time")
-        refuse_if(self.aim_ms <= 0, self, "aim_ms", "leaves no time")
+        refuse_if(self.latency_objective_ms <= 0, self, "latency_objective_ms", "leaves no time")
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,15 +66,15 @@
     burst: float = 0.0
     max_in_flight: int = 0
     price: float = 1.0
-    over_worth: float = 0.0
-    over_cost: float = 0.0
+    overuse_value: float = 0.0
+    overuse_cost: float = 0.0
     ceiling_rate: float = 0.0
     ceiling_burst: float = 0.0
     ceiling_slack: float = 0.0
 
     def __post_init__(self) -> None:
         refuse_if(not self.name, self, "name", "is empty")
-        check(self, 0.0, "rate", "burst", "max_in_flight", "price", "over_worth", "over_cost")
+        check(self, 0.0, "rate", "burst", "max_in_flight", "price", "overuse_value", "overuse_cost")
         check(self, 0.0, "ceiling_rate", "ceiling_burst", "ceiling_slack")
         refuse_if(self.rate > 0 and self.burst <= 0, self, "burst", "is nothing though there is a rate")
         nothing = self.ceiling_rate > 0 and self.ceiling_burst <= 0
@@ -98,16 +107,16 @@
 
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
-    cold_share: float = 1.0
+    initial_capacity_ratio: float = 1.0
     warm_up_ms: float = 0.0
-    tip_multiple: float = 1.0
-    tip_window_ms: float = 0.0
-    ask_within_ms: float = 0.0
+    overload_multiple: float = 1.0
+    overload_window_ms: float = 0.0
+    poll_within_ms: float = 0.0
 
     def __post_init__(self) -> None:
-        check(self, 0.0, "answer_slack_ms", "drain_grace_ms", "cold_share", "warm_up_ms")
-        check(self, 0.0, "tip_multiple", "tip_window_ms", "ask_within_ms")
-        refuse_if(self.cold_share > 1, self, "cold_share", "is more than the whole")
+        check(self, 0.0, "answer_slack_ms", "drain_grace_ms", "initial_capacity_ratio", "warm_up_ms")
+        check(self, 0.0, "overload_multiple", "overload_window_ms", "poll_within_ms")
+        refuse_if(self.initial_capacity_ratio > 1, self, "initial_capacity_ratio", "is more than the whole")
 
 
 @dataclass(frozen=True, slots=True)
--- a/quota_gateway/fault_bench/document.py
+++ b/quota_gateway/fault_bench/document.py
@@ -38,11 +38,11 @@
         "contract": {
             "answer_slack_ms": contract.answer_slack_ms,
             "drain_grace_ms": contract.drain_grace_ms,
-            "start_capacity": contract.cold_share,
+            "start_capacity": contract.initial_capacity_ratio,
             "warm_up_ms": contract.warm_up_ms,
-            "tip_multiple": contract.tip_multiple,
-            "fall_ms": contract.tip_window_ms,
-            "must_ask_in_ms": contract.ask_within_ms,
+            "tip_multiple": contract.overload_multiple,
+            "fall_ms": contract.overload_window_ms,
+            "must_ask_in_ms": contract.poll_within_ms,
         },
         "family_info": {
             "meter_ms": settings.meter_period_ms,
@@ -59,15 +59,15 @@
 def _class(kind: api.RequestClass) -> dict[str, Any]:
     return {
         "name": kind.name,
-        "slo_ms": kind.aim_ms,
+        "slo_ms": kind.latency_objective_ms,
         "hard_limit_ms": kind.deadline_ms,
-        "effect": kind.effect.value,
-        "value": kind.worth,
-        "late_share": kind.late_share,
-        "key_scope": kind.key_scope.value,
-        "memory_span_ms": kind.key_memory_ms,
+        "effect": kind.idempotency.value,
+        "value": kind.priority_weight,
+        "late_share": kind.late_value_ratio,
+        "key_scope": kind.idempotency_scope.value,
+        "memory_span_ms": kind.idempotency_window_ms,
         "stream": kind.streamed,
-        "aim_stretch": kind.aim_stretch,
+        "aim_stretch": kind.objective_stretch,
     }
 
 
@@ -78,8 +78,8 @@
         "most_at_once": plan.burst,
         "parallel": plan.max_in_flight,
         "value_factor": plan.price,
-        "excess_worth": plan.over_worth,
-        "overrun_cost": plan.over_cost,
+        "excess_worth": plan.overuse_value,
+        "overrun_cost": plan.overuse_cost,
         "cap_rate": plan.ceiling_rate,
         "cap_depth": plan.ceiling_burst,
         "hard_slack": plan.ceiling_slack,
--- a/quota_gateway/fault_bench/stand_ins.py
+++ b/quota_gateway/fault_bench/stand_ins.py
@@ -25,11 +25,11 @@
 log = logging.getLogger(__name__)
 
 BEAT_S = 2.0  # an empty line on each watch so often
-LINES = {api.Status.ERROR: b"-ERR failed\r\n", api.Status.FULL: b"-BUSY\r\n"}
+LINES = {api.Status.ERROR: b"-ERR failed\r\n", api.Status.OVERLOADED: b"-BUSY\r\n"}
 LIFECYCLE = {
     api.ServerState.READY: "Ready",
     api.ServerState.DRAINING: "Terminating",
-    api.ServerState.GONE: "Gone",
+    api.ServerState.REMOVED: "Gone",
 }
 
 
--- a/quota_gateway/net/admin_commands.py
+++ b/quota_gateway/net/admin_commands.py
@@ -85,7 +85,7 @@
         if not number:
             return NOBODY
         self.roster.pin(name)
-        self.driver.post(api.ServerByHand(number, True))
+        self.driver.post(api.ServerAdminDown(number, True))
         if number not in self.gateway.by_hand:
             self.roster.unpin(name, number in self.gateway.servers)
             return False, "too many servers are out"
@@ -99,7 +99,7 @@
         number = self.roster.number(name)
         if not number:
             return NOBODY
-        self.driver.post(api.ServerByHand(number, False))
+        self.driver.post(api.ServerAdminDown(number, False))
         listed = number in self.gateway.servers
         self.roster.unpin(name, listed)
         await self.handover.share()
@@ -118,5 +118,5 @@
 
     async def _drain(self, active: bool) -> None:
         await self.up.wait()
-        self.driver.post(api.Drain(active))
+        self.driver.post(api.DrainChanged(active))
         await self.handover.share()
--- a/quota_gateway/net/clients.py
+++ b/quota_gateway/net/clients.py
@@ -64,7 +64,7 @@
         self.gateways = settings.gateways
         self.classes = {item.name.encode(): item for item in settings.classes}
         self.plans = {item.name.encode(): item.name for item in settings.plans}
-        self.aims = {item.name: item.aim_ms for item in settings.classes}
+        self.aims = {item.name: item.latency_objective_ms for item in settings.classes}
 
     def read(
         self,
@@ -83,9 +83,9 @@
         plan = self.plans.get(fields.get(b"t", b""))
         if kind is None or plan is None:
             raise CommandError("unknown class or plan")
-        if posts == (kind.effect is api.Effect.SAFE):
+        if posts == (kind.idempotency is api.Idempotency.IDEMPOTENT):
             raise CommandError("the class does not go with the command")
-        if kind.effect is api.Effect.KEYED and not fields.get(b"k"):
+        if kind.idempotency is api.Idempotency.WITH_KEY and not fields.get(b"k"):
             raise CommandError("a keyed class without a key")
         _number(fields, b"d", "", 0.001, 1e9)
         request = api.Request(
@@ -93,9 +93,9 @@
             class_name=kind.name,
             plan=plan,
             customer=self._customer(customer),
-            patience_ms=max(0.0, float(fields[b"d"]) - CLIENT_MARGIN_MS - waited_ms),
+            client_timeout_ms=max(0.0, float(fields[b"d"]) - CLIENT_MARGIN_MS - waited_ms),
             units=_number(fields, b"units", "1", 1e-6, 1e6),
-            width=int(_number(fields, b"spread", str(self.gateways), 1, 1e6)),
+            gateway_span=int(_number(fields, b"spread", str(self.gateways), 1, 1e6)),
             first_gateway=int(_number(fields, b"first", "0", 0, 1e6)),
             is_retry=fields.get(b"r") == b"1",
             is_write=posts,
@@ -409,8 +409,8 @@
         slot = Slot(self, None, request.request_id)
         self.slots.append(slot)
         made = Call(request.request_id, encode, slot.fill, slot.begin)
-        made.aim_ms = self.clients.commands.aims[request.class_name]
-        driver.request(made, request, request.patience_ms)
+        made.latency_objective_ms = self.clients.commands.aims[request.class_name]
+        driver.request(made, request, request.client_timeout_ms)
 
     def _refuse(self, answer: bytes) -> None:
         """Answer a bad command; the connection lives on, but not for an endless row of them.
@@ -709,7 +709,7 @@
             return b"-LOADING the list of servers is not known yet\r\n"
         return b"+PONG\r\n" if self.serving else b"-DRAINING clients are served elsewhere\r\n"
 
-    def admit(self, action: api.Admit) -> None:
+    def admit(self, action: api.SetServing) -> None:
         """Tell the front whether to send clients, and close connections that are not used for so long."""
         self.serving = action.serving
         self.linger_s = action.linger_ms / 1000.0
--- a/quota_gateway/net/discovery.py
+++ b/quota_gateway/net/discovery.py
@@ -34,7 +34,7 @@
 STATES = {
     "Ready": api.ServerState.READY,
     "Terminating": api.ServerState.DRAINING,
-    "Gone": api.ServerState.GONE,
+    "Gone": api.ServerState.REMOVED,
 }
 News = Callable[[api.ServerList, dict[int, Address]], None]
 
@@ -92,7 +92,7 @@
             if row["lifecycle"] == "Gone" and row["instanceId"] not in self.pinned:
                 self.numbers.pop(row["instanceId"], None)
         self.generation = generation
-        kind = api.ListKind.CACHED if known else api.ListKind.FULL if full else api.ListKind.CHANGES
+        kind = api.ListKind.CACHED if known else api.ListKind.COMPLETE if full else api.ListKind.CHANGES
         return api.ServerList(kind, tuple(entries), generation), addresses
 
     def _entry(self, row: dict[str, Any]) -> api.ServerEntry:
@@ -280,7 +280,7 @@
         news: News,
         seed: int = 0,
         gateways: int = 1,
-        mode: api.DiscoveryMode = api.DiscoveryMode.ASK,
+        mode: api.DiscoveryMode = api.DiscoveryMode.POLL,
     ) -> None:
         self.address = address
         self.news = news
--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -50,7 +50,7 @@
         "answered",
         "passing",
         "taken",
-        "aim_ms",
+        "latency_objective_ms",
     )
 
     def __init__(
@@ -69,7 +69,7 @@
         self.sends = 0
         self.answered = False
         self.taken = 0.0
-        self.aim_ms = inf
+        self.latency_objective_ms = inf
         self.out: dict[int, Attempt] = {}
 
 
@@ -89,20 +89,20 @@
         self.alarm: tuple[float, asyncio.TimerHandle] | None = None
         self.loop = asyncio.get_running_loop()
         servers.on_linked = self.post
-        self.on_elsewhere: Callable[[api.Elsewhere], None] = lambda _: None  # set by who hands over
-        self.on_admit: Callable[[api.Admit], None] = lambda _: None  # set by who holds the clients
+        self.on_elsewhere: Callable[[api.PeerUsage], None] = lambda _: None  # set by who hands over
+        self.on_admit: Callable[[api.SetServing], None] = lambda _: None  # set by who holds the clients
         self.actions: dict[type, Callable[[Any], None]] = {
             api.Send: self._send,
-            api.Refuse: self._refuse,
+            api.Reject: self._refuse,
             api.Fail: self._fail,
             api.Cancel: self._cancel,
             api.SetTimer: self._set_timer,
             api.Log: lambda action: log.info("%s", action.text),
             api.CloseIdle: lambda action: servers.close_idle(action.server),
-            api.SetUsable: lambda action: servers.hold(action.server, not action.usable),
+            api.SetServerUsable: lambda action: servers.hold(action.server, not action.usable),
             api.Subscribe: lambda _: None,  # the watch on discovery is kept in any case
-            api.Admit: lambda action: self.on_admit(action),
-            api.Elsewhere: lambda action: self.on_elsewhere(action),
+            api.SetServing: lambda action: self.on_admit(action),
+            api.PeerUsage: lambda action: self.on_elsewhere(action),
         }
 
     # ---- Events in
@@ -154,7 +154,7 @@
         if call and (call.passing or not call.answered):
             self.figures.gone += not call.answered
             call.answered = True
-            self.post(api.ClientGone(request_id))
+            self.post(api.ClientDisconnected(request_id))
             self._drop_if_done(call)
 
     # ---- Actions out
@@ -218,7 +218,7 @@
         if sink:
             call.answered = True
             call.passing = call.out[number]
-            self.figures.good(self.clock() - call.taken, call.aim_ms)
+            self.figures.good(self.clock() - call.taken, call.latency_objective_ms)
             self.post(api.StreamStarted(call.request_id, number, server, self.clock() - sent))
         return sink
 
@@ -227,7 +227,7 @@
         if reply.value is not None and not call.answered:
             self._answer(call, b"$%d\r\n%b\r\n" % (len(reply.value), reply.value))
         self.post(
-            api.Outcome(
+            api.AttemptEnded(
                 call.request_id,
                 number,
                 server,
@@ -241,7 +241,7 @@
         )
         self._drop_if_done(call)
 
-    def _refuse(self, action: api.Refuse) -> None:
+    def _refuse(self, action: api.Reject) -> None:
         advice = round(action.retry_after_ms)
         self._final(action.request_id, b"-BUSY %d\r\n" % advice if advice > 0 else b"-BUSY\r\n")
 
@@ -256,7 +256,7 @@
 
     def _answer(self, call: Call, answer: bytes) -> None:
         call.answered = True
-        self.figures.answered(answer, self.clock() - call.taken, call.aim_ms)
+        self.figures.answered(answer, self.clock() - call.taken, call.latency_objective_ms)
         call.on_answer(answer)
 
     def _drop_if_done(self, call: Call) -> None:
--- a/quota_gateway/net/hot_restart.py
+++ b/quota_gateway/net/hot_restart.py
@@ -353,7 +353,7 @@
         assert self.link
         self.handed = True
         self.clients.stop_accepting()
-        self.driver.post(api.HandOver())
+        self.driver.post(api.HotRestartBegun())
         roster = self.discovery.roster
         names = {number: name for name, number in roster.numbers.items()}
         raw = json.dumps(
@@ -412,16 +412,16 @@
         link.send(b"V" + name.encode(), descriptor)
         return link.open
 
-    def _tell(self, news: api.Elsewhere) -> None:
+    def _tell(self, news: api.PeerUsage) -> None:
         if self.handed:
             self._say(
                 "F",
                 {
                     "plan": news.plan,
                     "customer": news.customer,
-                    "in_hand": news.in_hand,
+                    "in_hand": news.in_flight,
                     "charged": news.charged,
-                    "used": news.used_percent,
+                    "used": news.metered_use_percent,
                 },
             )
 
@@ -487,7 +487,7 @@
             return
         used = document["used"]
         self.driver.post(
-            api.Elsewhere(
+            api.PeerUsage(
                 document["plan"],
                 document["customer"],
                 int(document["in_hand"]),
@@ -525,7 +525,7 @@
         if self.handed:
             link.other.when_ended(self._back)  # the link may end before the process: not beside it
         else:
-            self.driver.post(api.OtherGone())
+            self.driver.post(api.PeerExited())
             link.other.close()
 
     def _hung(self) -> None:
@@ -538,7 +538,7 @@
     def _back(self) -> None:
         """The next process has ended: what it had is this one's again."""
         self.handed = False
-        self.driver.post(api.OtherGone())
+        self.driver.post(api.PeerExited())
         log.error("the next process has ended: this one accepts again")
         task = self.loop.create_task(self._again())
         self.tasks.add(task)
@@ -595,12 +595,12 @@
         before = set(self.wanted()["out"])
         for name in sorted(out - before):
             roster.pin(name)
-            self.driver.post(api.ServerByHand(roster.assign(name), True))
+            self.driver.post(api.ServerAdminDown(roster.assign(name), True))
         for name in sorted(before - out):
             number = roster.number(name)
-            self.driver.post(api.ServerByHand(number, False))
+            self.driver.post(api.ServerAdminDown(number, False))
             roster.unpin(name, number in self.driver.gateway.servers)
-        self.driver.post(api.Drain(bool(wanted["drained"])))
+        self.driver.post(api.DrainChanged(bool(wanted["drained"])))
 
     async def share(self) -> None:
         """Returns once what operators want is kept, and known to the other process if there is one."""
--- a/quota_gateway/net/metrics.py
+++ b/quota_gateway/net/metrics.py
@@ -46,19 +46,19 @@
         self.attempts = 0
         self.latency = [0] * (MOST_STEP + 1)  # of what was served, by step
 
-    def answered(self, answer: bytes, ms: float, aim_ms: float) -> None:
+    def answered(self, answer: bytes, ms: float, latency_objective_ms: float) -> None:
         """A final answer goes out."""
         if answer[:1] == b"$":
-            self.good(ms, aim_ms)
+            self.good(ms, latency_objective_ms)
         elif answer.startswith(b"-BUSY"):
             self.refused += 1
         else:
             self.failed += 1
 
-    def good(self, ms: float, aim_ms: float) -> None:
+    def good(self, ms: float, latency_objective_ms: float) -> None:
         """A request is served, or its long value begins."""
         self.served += 1
-        self.late += ms > aim_ms
+        self.late += ms > latency_objective_ms
         self.latency[step(ms)] += 1
 
     def look(self, reasons: Counter[str], in_hand: int, revision: Callable[[], str]) -> str:
--- a/quota_gateway/net/reload.py
+++ b/quota_gateway/net/reload.py
@@ -246,7 +246,7 @@
     def _tell_decisions(self, settings: api.Settings) -> str:
         """Why they do not go by these settings now; empty if they do."""
         if settings != self.driver.gateway.settings:
-            self.driver.post(api.NewSettings(settings))
+            self.driver.post(api.SettingsChanged(settings))
         return "" if settings == self.driver.gateway.settings else "the decisions failed"
 
     def _refuse(self, error: ConfigError) -> Answer:
--- a/quota_gateway/net/servers.py
+++ b/quota_gateway/net/servers.py
@@ -135,7 +135,7 @@
         word, *rest = line.split(" ")
         if word == "SYNTAX":
             log.error("a server could not read a command: %.200s", line)
-        reply = Reply(api.Status.FULL if word == "BUSY" else api.Status.ERROR)
+        reply = Reply(api.Status.OVERLOADED if word == "BUSY" else api.Status.ERROR)
         for figures in rest:
             self._figures(reply, figures)
         return reply
@@ -457,7 +457,9 @@
         # Since the last look: connections begun, attempts on one that stood idle, idle ones closed for want
         # of room, attempts that found no room.
         self.handshakes = self.reuses = self.evicted = self.no_room = 0
-        self.on_linked: Callable[[api.Linked], None] = lambda _: None  # set by who tells the decisions
+        self.on_linked: Callable[[api.IdleConnectionChanged], None] = lambda _: (
+            None
+        )  # set by who tells the decisions
         self.retell(settings, most_connections)
         self.sweeper = self.loop.call_later(SWEEP_S, self._sweep)
 
@@ -481,7 +483,7 @@
             for server in [number for number in self.hosts if number not in listed]:
                 self._remove(server)
         for entry in news.entries:
-            if entry.state is api.ServerState.GONE:
+            if entry.state is api.ServerState.REMOVED:
                 self._remove(entry.server)
                 continue
             host = self.hosts.setdefault(entry.server, Host(entry.server))
@@ -615,7 +617,7 @@
         """Tell the decisions when the first connection becomes idle, or none is any more."""
         if host.told != bool(host.idle):
             host.told = not host.told
-            self.on_linked(api.Linked(host.number, host.told))
+            self.on_linked(api.IdleConnectionChanged(host.number, host.told))
 
     def hand_over(self) -> None:
         """Pass on what is idle."""
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -27,7 +27,7 @@
     def _useful(self, kind: RequestClass) -> float:
         """How long a hold may last for the answer to come within the aim: what comes later earns nothing, or
         little. Harm: a class that earns much after its aim is refused what it could have had."""
-        return kind.aim_ms - self.pressure.latencies.mean[kind.name]
+        return kind.latency_objective_ms - self.pressure.latencies.mean[kind.name]
 
     def _longest_hold(self, kind: RequestClass) -> float:
         """How long a hold may last: what is useful to the class worth most, less for one worth less.
@@ -35,7 +35,7 @@
         Guards against inversion: at a customer over its quota the excess settles where the class with the
         longest aim is still held, and classes with shorter aims, maybe worth more, find it beyond theirs.
         Harm: a burst of what is worth little is refused though its hold would have ended within the aim."""
-        return max(0.0, self._useful(kind)) * kind.worth / self.context.most_worth
+        return max(0.0, self._useful(kind)) * kind.priority_weight / self.context.highest_priority_weight
 
     def request(self, event: Request, kind: RequestClass, plan: Plan) -> None:
         """A new request: the customer's meter says send, hold or refuse."""
@@ -53,7 +53,7 @@
         flight = Flight(event, kind, plan, customer, now, turn, epoch)
         before = customer.excess, customer.touched
         hold = self.meter.take(customer, plan, event.units, now)
-        if hold and hold >= min(event.patience_ms, answers.ends_at - now, self._longest_hold(kind)):
+        if hold and hold >= min(event.client_timeout_ms, answers.ends_at - now, self._longest_hold(kind)):
             customer.excess, customer.touched = before
             self._refuse(event, customer, plan, "quota")
             return
--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -1,6 +1,6 @@
 """Attempts: sent, judged when they end or become slow, sent again as class, budget and time allow."""
 
-from quota_gateway.api import Cancel, Effect, Outcome, Send, Status, StreamStarted
+from quota_gateway.api import AttemptEnded, Cancel, Idempotency, Send, Status, StreamStarted
 from quota_gateway.policy.concurrency_limit import SLOW
 from quota_gateway.policy.rate_ceiling import Ceilings
 from quota_gateway.policy.responses import Answers
@@ -10,7 +10,7 @@
 
 RETRY_SHARE = 0.2  # further attempts per first one, over time: bounds what failures can add to the load
 RETRY_STORE = 10.0  # further attempts saved up at most
-NEVER_RAN = (Status.FULL, Status.CONNECT_FAILED, Status.NOT_SENT)
+NEVER_RAN = (Status.OVERLOADED, Status.CONNECT_FAILED, Status.NOT_SENT)
 
 
 class Attempts:
@@ -39,13 +39,13 @@
         self.context.decay.sends += 1
         self.pressure.young.add((request_id, number))
         self.context.actions.append(Send(request_id, server.id, begin_within_ms=window(flight, now)))
-        self.context.arm(SLOW * flight.kind.aim_ms, self._on_slow, (flight, number))
+        self.context.arm(SLOW * flight.kind.latency_objective_ms, self._on_slow, (flight, number))
 
     def may_resend(self, flight: Flight) -> bool:
         """Whether the number of attempts and the budget allow a further one."""
         return flight.sends < self.context.limits.max_attempts and self.retries >= 1.0
 
-    def ended(self, event: Outcome) -> bool:
+    def ended(self, event: AttemptEnded) -> bool:
         """An attempt has ended: judge it, then answer or send again. False if nobody knows it."""
         known = self.hand.end(event)
         if known is None:
@@ -55,9 +55,9 @@
         self.health.judge(flight, server, event.status)
         served = event.status is Status.OK
         self.choice.reports.take(server, event.load)
-        if event.used_percent is not None:
-            self.answers.meter.read(flight.customer, event.used_percent, self.context.now)
-            self.answers.handover.tell(flight.customer, 0.0, event.used_percent)
+        if event.metered_use_percent is not None:
+            self.answers.meter.read(flight.customer, event.metered_use_percent, self.context.now)
+            self.answers.handover.tell(flight.customer, 0.0, event.metered_use_percent)
         if served and not flight.streaming:
             self.pressure.answered(server, flight.kind, event.latency_ms)
         if served and event.final_units is not None and not flight.closed:
@@ -103,7 +103,12 @@
         server, sent = flight.out[number]
         self.health.mark(server, flight.keys[1], failed=True, why="silent")
         doubted = self.health.doubted(server, flight.keys[1])
-        if flight.kind.effect is Effect.UNSAFE or flight.closed or len(flight.out) > 1 or not doubted:
+        if (
+            flight.kind.idempotency is Idempotency.NOT_IDEMPOTENT
+            or flight.closed
+            or len(flight.out) > 1
+            or not doubted
+        ):
             return
         if flight.maybe_ran is None:
             flight.maybe_ran = (server, sent)
--- a/quota_gateway/policy/concurrency_limit.py
+++ b/quota_gateway/policy/concurrency_limit.py
@@ -35,7 +35,7 @@
 
     def first_latency(self, kind: RequestClass) -> float:
         """A class's mean latency (ms) until answers have been seen."""
-        return kind.aim_ms * FIRST_LATENCY
+        return kind.latency_objective_ms * FIRST_LATENCY
 
     def begin(self, servers: int, gateways: int) -> None:
         """The first list: an even part of a cautious limit at each server."""
@@ -56,7 +56,7 @@
 
     def value(self, flight: Flight) -> float:
         """Worth for the work: what is refused last and released first."""
-        worth = flight.kind.worth * flight.plan.price * flight.request.units
+        worth = flight.kind.priority_weight * flight.plan.price * flight.request.units
         return worth / self.latencies.mean[flight.kind.name]
 
     def answered(self, server: Server, kind: RequestClass, latency_ms: float) -> None:
@@ -67,9 +67,9 @@
         seconds. Silent attempts leave it as they become slow, so that servers that hang don't stop the rest.
         Harm: few slow servers hold all back a little; where single requests take most of the aim by nature,
         it keeps too little out."""
-        quick = latency_ms < QUICK * kind.aim_ms
+        quick = latency_ms < QUICK * kind.latency_objective_ms
         self.latencies.note_quick(server, kind.name, quick)
-        if latency_ms > SLOW * kind.aim_ms:
+        if latency_ms > SLOW * kind.latency_objective_ms:
             self.size = max(LEAST_POOL, self.size - POOL_CUT * min(1.0, self.size))
         elif quick and len(self.young) + 2 >= self.size:
             self.size += POOL_GROWTH  # as the one that ended and one more would not have fitted
--- a/quota_gateway/policy/customers.py
+++ b/quota_gateway/policy/customers.py
@@ -32,14 +32,14 @@
         epoch = self.epochs.epoch
         customer = self.known.get(key)
         if customer is None:
-            fresh = self.ceilings.fresh_level(plan, request.width, now)
+            fresh = self.ceilings.fresh_level(plan, request.gateway_span, now)
             self.known[key] = customer = Customer(key, now, fresh, epoch)
         else:
             self.known.move_to_end(key)
             if customer.epoch != epoch:
                 self.catch_up(customer)
-        customer.span = request.width
-        customer.width = min(request.width, self.epochs.gateways)
+        customer.span = request.gateway_span
+        customer.width = min(request.gateway_span, self.epochs.gateways)
         customer.largest = max(customer.largest, request.units)
         self._forget_one(now)
         return customer
--- a/quota_gateway/policy/endpoint_list.py
+++ b/quota_gateway/policy/endpoint_list.py
@@ -21,9 +21,9 @@
     def take(self, event: ServerList) -> bool:
         """Discovery's news; false if it had none."""
         settings = self.context.settings
-        if settings.discovery is DiscoveryMode.ASK and event.kind in (ListKind.CACHED, ListKind.FAILED):
+        if settings.discovery is DiscoveryMode.POLL and event.kind in (ListKind.CACHED, ListKind.FAILED):
             # Subscribe at the start; after a failure again well within the time the rules give.
-            delay = 0.0 if event.kind is ListKind.CACHED else settings.contract.ask_within_ms * ASK_SHARE
+            delay = 0.0 if event.kind is ListKind.CACHED else settings.contract.poll_within_ms * ASK_SHARE
             self.context.arm(delay, lambda _: self.context.actions.append(Subscribe(True)), None)
         if event.kind is ListKind.FAILED:
             return False
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -50,20 +50,20 @@
         self.changes = Changes(self.handover, self.health, self.lists, self.retry_parked)
         self.handlers: dict[type, Callable[[Any], None]] = {
             api.Request: self._on_request,
-            api.ClientGone: self.answers.gone,
-            api.Outcome: self._freeing(self.attempts.ended),
+            api.ClientDisconnected: self.answers.gone,
+            api.AttemptEnded: self._freeing(self.attempts.ended),
             api.ServerList: self._freeing(self.lists.take),
             api.StreamStarted: self._freeing(self.attempts.streams),
             api.TimerFired: context.fire,
-            api.ServerByHand: self._freeing(self.operators.by_hand),
-            api.Drain: self.operators.drain,
-            api.Stopping: self.answers.stop,
-            api.HandOver: self.changes.hand_over,
-            api.Elsewhere: self._freeing(self.handover.hear),
-            api.OtherGone: self._freeing(self.handover.end),
-            api.NewSettings: self._freeing(self.changes.take),
-            api.Linked: self.reports.linked,
-            api.ProbeResult: self.reports.probed,
+            api.ServerAdminDown: self._freeing(self.operators.by_hand),
+            api.DrainChanged: self.operators.drain,
+            api.ShutdownBegun: self.answers.stop,
+            api.HotRestartBegun: self.changes.hand_over,
+            api.PeerUsage: self._freeing(self.handover.hear),
+            api.PeerExited: self._freeing(self.handover.end),
+            api.SettingsChanged: self._freeing(self.changes.take),
+            api.IdleConnectionChanged: self.reports.linked,
+            api.HealthCheckResult: self.reports.probed,
         }
 
     def _freeing(self, take: Callable[[Any], bool]) -> Callable[[Any], None]:
--- a/quota_gateway/policy/graceful_shutdown.py
+++ b/quota_gateway/policy/graceful_shutdown.py
@@ -1,6 +1,6 @@
 """What operators decide: servers that are out by hand, and the drain of this gateway."""
 
-from quota_gateway.api import Admit, Drain, ServerByHand, SetUsable
+from quota_gateway.api import DrainChanged, ServerAdminDown, SetServerUsable, SetServing
 from quota_gateway.policy.endpoint_list import Lists
 from quota_gateway.state import Context
 
@@ -21,29 +21,29 @@
         self.drains = 0  # how many times the drain began or ended: timers of an older one do nothing
         self.draining = self.left = False  # whether a drain is on, and whether its last step has come
 
-    def by_hand(self, event: ServerByHand) -> bool:
+    def by_hand(self, event: ServerAdminDown) -> bool:
         """Take a server out, or put it back; said twice it changes nothing (false). One put back counts as
         just started: operators restart what they take out, and discovery may not tell for seconds."""
         out = self.fleet.out
         now = self.context.now
-        if event.out == (event.server in out) or (event.out and len(out) >= MOST_OUT):
+        if event.admin_down == (event.server in out) or (event.admin_down and len(out) >= MOST_OUT):
             return False
-        if event.out:
+        if event.admin_down:
             self.fleet.take_out(event.server)
         else:
             self.fleet.put_back(event.server, now, now + OWED_MS)
         self.lists.relist()
-        self.context.actions.append(SetUsable(event.server, not event.out))
+        self.context.actions.append(SetServerUsable(event.server, not event.admin_down))
         return True
 
-    def drain(self, event: Drain) -> None:
+    def drain(self, event: DrainChanged) -> None:
         """The front is told at once; clients' connections are closed when it has long taken notice."""
         if event.active == self.draining:
             return
         self.draining = event.active
         self.left = False
         self.drains += 1
-        self.context.actions.append(Admit(not event.active))
+        self.context.actions.append(SetServing(not event.active))
         self.context.log("drained by hand" if event.active else "takes clients again")
         if event.active:
             for delay, linger in zip(LEAVING_MS, (IDLE_MS, 0.0), strict=True):
@@ -53,4 +53,4 @@
         drain, linger = step
         if drain == self.drains:
             self.left = linger == 0.0
-            self.context.actions.append(Admit(False, linger))
+            self.context.actions.append(SetServing(False, linger))
--- a/quota_gateway/policy/outlier_detection.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -6,7 +6,7 @@
 DOUBT_PRIOR = 1.0  # answers that the share seen at all servers weighs against a server's own
 DOUBTED = 0.5  # share of failures from which a slow attempt is taken elsewhere, and a line is logged
 # Which of a flight's keys a failure speaks of: the whole server, its class, its class of its plan.
-FAULTS = {Status.CONNECT_FAILED: 0, Status.RESET: 0, Status.ERROR: 1, Status.FULL: 2}
+FAULTS = {Status.CONNECT_FAILED: 0, Status.RESET: 0, Status.ERROR: 1, Status.OVERLOADED: 2}
 Priors = tuple[float, float]
 
 
--- a/quota_gateway/policy/quota_meter.py
+++ b/quota_gateway/policy/quota_meter.py
@@ -43,9 +43,9 @@
         thin = plan.burst < customer.largest * customer.width
         return thin and self._drain_ms(customer, plan) > self.news_ms
 
-    def read(self, customer: Customer, used_percent: float, now: float) -> None:
+    def read(self, customer: Customer, metered_use_percent: float, now: float) -> None:
         """A late reading of the customer's use by all gateways, in percent of its rate."""
-        customer.used = used_percent / 100.0
+        customer.used = metered_use_percent / 100.0
         customer.used_at = now
 
     def _room(self, customer: Customer, at: float, lasts_ms: float) -> float:
@@ -66,7 +66,7 @@
         customer.asked_at = now
         # under one each: by the request
         thin = self.thin(customer, plan)
-        costs = plan.over_cost > 0.0
+        costs = plan.overuse_cost > 0.0
         grows = THIN_BURST[costs]  # by chance two are no abuse, but chance adds up
         few = thin and customer.asked <= grows * customer.largest
         room = self._room(customer, now, self._drain_ms(customer, plan)) if few else 0.0
--- a/quota_gateway/policy/rate_ceiling.py
+++ b/quota_gateway/policy/rate_ceiling.py
@@ -74,7 +74,7 @@
 
         Guards against a cap below one for each gateway, which slices can't keep: a customer whom all of them
         serve is beyond it with nearly all it asks. Harm: a peak that is over holds a few back."""
-        thin = not plan.rate and plan.over_cost and 0 < plan.max_in_flight < customer.width
+        thin = not plan.rate and plan.overuse_cost and 0 < plan.max_in_flight < customer.width
         if not thin or now - customer.used_at > CAP_NEWS * self.meter.news_ms:
             return False
         return self.context.random.random() * float(customer.used**CAP_POWER) > 1.0
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -2,7 +2,7 @@
 
 from math import inf
 
-from quota_gateway.api import Cancel, ClientGone, Fail, Plan, Refuse, Stopping
+from quota_gateway.api import Cancel, ClientDisconnected, Fail, Plan, Reject, ShutdownBegun
 from quota_gateway.policy.concurrency_limit import Pressure
 from quota_gateway.policy.hot_restart import Handover
 from quota_gateway.policy.retry_policy import harmless
@@ -29,7 +29,7 @@
         """Refuse, with the advice to come again after so long, where the settings allow to give any."""
         limits = self.context.limits
         advised = min(limits.max_retry_after_ms, advice_ms) if limits.can_advise_retry else 0.0
-        self.context.actions.append(Refuse(request_id, advised))
+        self.context.actions.append(Reject(request_id, advised))
 
     def limit(self, flight: Flight) -> None:
         """Arm the final answer: before the client's deadline, and before this gateway is ended."""
@@ -37,7 +37,7 @@
         last = flight.deadline - self.context.now - ANSWER_TICKS * self.context.settings.tick_ms
         self.context.arm(max(0.0, last), self._on_deadline, flight)
 
-    def stop(self, event: Stopping) -> None:
+    def stop(self, event: ShutdownBegun) -> None:
         """Guards against losing requests whose clients would wait longer than this gateway will live."""
         self.ends_at = self.context.now + event.within_ms
         for flight in list(self.hand.flights.values()):
@@ -74,7 +74,7 @@
         turns = self.pressure.turns_ms(flight.kind, len(self.hand.parked))
         return max(turns, self.meter.advice(flight.customer, flight.plan, 0.0, self.context.now))
 
-    def gone(self, event: ClientGone) -> None:
+    def gone(self, event: ClientDisconnected) -> None:
         """The client has left: nothing is owed any more."""
         flight = self.hand.flights.get(event.request_id)
         if flight and not flight.closed:
--- a/quota_gateway/policy/server_selection.py
+++ b/quota_gateway/policy/server_selection.py
@@ -1,6 +1,6 @@
 """Choice of a server: the best of some that are ready."""
 
-from quota_gateway.api import Effect
+from quota_gateway.api import Idempotency
 from quota_gateway.policy.concurrency_limit import Pressure
 from quota_gateway.policy.outlier_detection import Health, Priors
 from quota_gateway.policy.retry_policy import group
@@ -58,7 +58,7 @@
         if key is None:
             return None
         others = self.fleet.others(key, flight.tried)
-        if not others and flight.kind.effect is Effect.KEYED:
+        if not others and flight.kind.idempotency is Idempotency.WITH_KEY:
             others = self.fleet.others(key, ())
         if len(others) <= 2 * SAMPLE:
             return self._best(flight, list(others))
--- a/quota_gateway/policy/settings_change.py
+++ b/quota_gateway/policy/settings_change.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from quota_gateway.api import HandOver, NewSettings, Plan
+from quota_gateway.api import HotRestartBegun, Plan, SettingsChanged
 from quota_gateway.policy.endpoint_list import Lists
 from quota_gateway.policy.hot_restart import Handover
 from quota_gateway.policy.outlier_detection import Health
@@ -45,7 +45,7 @@
         self.pressure = lists.pressure
         self.again = again  # tries again what is parked
 
-    def take(self, event: NewSettings) -> bool:
+    def take(self, event: SettingsChanged) -> bool:
         """Take them over. A larger number of gateways holds at once, as shares shrink; a smaller one once the
         others must have heard of it too: until then this gateway's share grows by nothing."""
         settings = event.settings
@@ -113,7 +113,7 @@
                 customer.strict_epoch = self.epochs.epoch
                 customer.older += 1
 
-    def hand_over(self, _: HandOver) -> None:
+    def hand_over(self, _: HotRestartBegun) -> None:
         """The next process takes over, and may go by other settings: all are brought up to this moment."""
         self.handover.handed = True
         self._turn(self.epochs.plans, self.epochs.gateways)
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -18,7 +18,10 @@
         age = self.context.now - server.started
         if server.started <= 0 or age >= rules.warm_up_ms:
             return 1.0
-        return rules.cold_share + (1.0 - rules.cold_share) * max(0.0, age) / rules.warm_up_ms
+        return (
+            rules.initial_capacity_ratio
+            + (1.0 - rules.initial_capacity_ratio) * max(0.0, age) / rules.warm_up_ms
+        )
 
     def in_turn(self, flight: Flight, server: Server, ready: int) -> bool:
         """Whether this request may go to a server: a cold one only in its turn, drawn once for each request.
@@ -37,4 +40,4 @@
         return self._even() / ready + ROUNDING
 
     def _even(self) -> float:
-        return min(1.0, COLD_SAFETY * self.context.settings.contract.tip_multiple)
+        return min(1.0, COLD_SAFETY * self.context.settings.contract.overload_multiple)
--- a/quota_gateway/recording/benchmark.py
+++ b/quota_gateway/recording/benchmark.py
@@ -62,7 +62,7 @@
             api.ServerEntry(n, "abc"[n % 3], cell=n % 50, started_ms=self.now * (draw.random() < cold))
             for n in range(servers)
         )
-        self.gateway.handle(self.now, api.ServerList(api.ListKind.FULL, entries))
+        self.gateway.handle(self.now, api.ServerList(api.ListKind.COMPLETE, entries))
 
     def ask(self, customer: int, kind: str = "k0") -> tuple[str, list[api.Action]]:
         """One request of the plan without a quota."""
@@ -75,9 +75,9 @@
         """The outcome of the attempt that these actions began; a request with none is let go."""
         sent = [action for action in actions if isinstance(action, api.Send)]
         if not sent:
-            return self.gateway.handle(self.now, api.ClientGone(name))
+            return self.gateway.handle(self.now, api.ClientDisconnected(name))
         return self.gateway.handle(
-            self.now, api.Outcome(name, number, sent[0].server, status, 20.0, status is api.Status.OK)
+            self.now, api.AttemptEnded(name, number, sent[0].server, status, 20.0, status is api.Status.OK)
         )
 
     def measure(self) -> tuple[float, float]:
--- a/quota_gateway/recording/codec.py
+++ b/quota_gateway/recording/codec.py
@@ -11,9 +11,10 @@
 
 from quota_gateway import Gateway, api
 from quota_gateway.compatibility import RECORDING_HEAD
+from quota_gateway.recording.names import from_recorded, recorded_name, to_recorded
 
 HEAD = RECORDING_HEAD
-EVENTS: dict[str, type] = {item.__name__: item for item in get_args(api.Event)}
+EVENTS: dict[str, type] = {recorded_name(item): item for item in get_args(api.Event)}
 
 
 class RecordingError(Exception):
@@ -22,7 +23,7 @@
 
 def named(actions: Sequence[api.Action]) -> list[list[Any]]:
     """Actions as they are written, each with the name of its type."""
-    return [[type(action).__name__, action] for action in actions]
+    return [[recorded_name(type(action)), to_recorded(action)] for action in actions]
 
 
 class Recorder:
@@ -35,13 +36,13 @@
 
     def open(self, name: str, settings: api.Settings, seed: int) -> Recorded:
         """A gateway of this name whose events are recorded. One opened again begins anew."""
-        self._line(msgspec.json.encode(["open", name, seed, settings]))
+        self._line(msgspec.json.encode(["open", name, seed, to_recorded(settings)]))
         return Recorded(Gateway(settings, seed), name, self)
 
     def event(self, name: str, now_ms: float, event: api.Event, actions: Sequence[api.Action]) -> None:
         """Write one event with all that it gave rise to."""
         self.events += 1
-        row = ["event", name, now_ms, type(event).__name__, event, named(actions)]
+        row = ["event", name, now_ms, recorded_name(type(event)), to_recorded(event), named(actions)]
         self._line(msgspec.json.encode(row))
 
     def close(self) -> None:
@@ -119,10 +120,10 @@
     def _read(self, number: int, row: list[Any]) -> Step | None:
         match row:
             case ["open", name, seed, settings]:
-                self.gateways[name] = Gateway(msgspec.convert(settings, api.Settings), seed)
+                self.gateways[name] = Gateway(from_recorded(settings, api.Settings), seed)
             case ["event", name, now_ms, kind, event, recorded]:
                 self.events += 1
-                made: api.Event = msgspec.convert(event, EVENTS[kind])
+                made: api.Event = from_recorded(event, EVENTS[kind])
                 return Step(number, self.gateways[name], now_ms, made, recorded)
             case ["end", count]:
                 if count != self.events:
--- /dev/null
+++ b/quota_gateway/recording/names.py
@@ -0,0 +1,100 @@
+"""Names of events, actions and settings in recordings of version 1, which every version reads and writes.
+
+The code's names may change; a recording's may not. Enum values are written as they are.
+"""
+
+from __future__ import annotations
+
+from dataclasses import fields, is_dataclass
+from enum import Enum
+from functools import cache
+from typing import Any, get_args, get_type_hints
+
+import msgspec
+
+from quota_gateway import api
+
+RECORDED_TYPE_NAMES: dict[type, str] = {
+    api.AttemptEnded: "Outcome",
+    api.ClientDisconnected: "ClientGone",
+    api.CounterResult: "CounterReply",
+    api.DrainChanged: "Drain",
+    api.HealthCheck: "Probe",
+    api.HealthCheckResult: "ProbeResult",
+    api.HotRestartBegun: "HandOver",
+    api.IdleConnectionChanged: "Linked",
+    api.IncrementCounter: "CounterAdd",
+    api.PeerExited: "OtherGone",
+    api.PeerUsage: "Elsewhere",
+    api.Reject: "Refuse",
+    api.SendToPeer: "TellPeer",
+    api.ServerAdminDown: "ServerByHand",
+    api.SetServerUsable: "SetUsable",
+    api.SetServing: "Admit",
+    api.SettingsChanged: "NewSettings",
+    api.ShutdownBegun: "Stopping",
+}
+RECORDED_FIELD_NAMES: dict[type, dict[str, str]] = {
+    api.AttemptEnded: {"metered_use_percent": "used_percent"},
+    api.Contract: {
+        "initial_capacity_ratio": "cold_share",
+        "overload_multiple": "tip_multiple",
+        "overload_window_ms": "tip_window_ms",
+        "poll_within_ms": "ask_within_ms",
+    },
+    api.PeerUsage: {"in_flight": "in_hand", "metered_use_percent": "used_percent"},
+    api.Plan: {"overuse_cost": "over_cost", "overuse_value": "over_worth"},
+    api.Request: {"client_timeout_ms": "patience_ms", "gateway_span": "width"},
+    api.RequestClass: {
+        "idempotency": "effect",
+        "idempotency_scope": "key_scope",
+        "idempotency_window_ms": "key_memory_ms",
+        "late_value_ratio": "late_share",
+        "latency_objective_ms": "aim_ms",
+        "objective_stretch": "aim_stretch",
+        "priority_weight": "worth",
+    },
+    api.ServerAdminDown: {"admin_down": "out"},
+    api.IdleConnectionChanged: {"has_idle": "idle"},
+}
+
+
+def recorded_name(kind: type) -> str:
+    """Name of an event's or action's type in a recording."""
+    return RECORDED_TYPE_NAMES.get(kind, kind.__name__)
+
+
+def to_recorded(value: Any) -> Any:
+    """A dataclass, and what it holds, as plain values by the recording's field names."""
+    if is_dataclass(value) and not isinstance(value, type):
+        names = RECORDED_FIELD_NAMES.get(type(value), {})
+        return {
+            names.get(field.name, field.name): to_recorded(getattr(value, field.name))
+            for field in fields(value)
+        }
+    if isinstance(value, (tuple, list)):
+        return [to_recorded(item) for item in value]
+    return value.value if isinstance(value, Enum) else value
+
+
+@cache
+def _field_types(kind: type) -> dict[str, Any]:
+    """Type of each field of a dataclass, by its recorded name."""
+    hints = get_type_hints(kind)
+    names = RECORDED_FIELD_NAMES.get(kind, {})
+    return {names.get(field.name, field.name): (field.name, hints[field.name]) for field in fields(kind)}
+
+
+def from_recorded(value: Any, kind: Any) -> Any:
+    """A value of this type. Raises msgspec.ValidationError, TypeError or ValueError if it is none."""
+    if is_dataclass(kind) and isinstance(value, dict):
+        types = _field_types(kind)  # type: ignore[arg-type]
+        given = {
+            types[name][0]: from_recorded(item, types[name][1])
+            for name, item in value.items()
+            if name in types
+        }
+        return msgspec.convert(given, kind)
+    if isinstance(value, list) and get_args(kind)[1:] == (...,):
+        return tuple(from_recorded(item, get_args(kind)[0]) for item in value)
+    return value
--- a/quota_gateway/recording/random_driver.py
+++ b/quota_gateway/recording/random_driver.py
@@ -28,19 +28,19 @@
     """Settings with every kind of class, quota and permission."""
     kinds = [
         (effect, scope)
-        for effect in api.Effect
-        for scope in api.KeyScope
-        if effect is api.Effect.KEYED or scope is api.KeyScope.ALL
+        for effect in api.Idempotency
+        for scope in api.IdempotencyScope
+        if effect is api.Idempotency.WITH_KEY or scope is api.IdempotencyScope.ALL
     ]
     classes = tuple(
         api.RequestClass(
             f"k{n}",
             draw.choice((200.0, 500.0, 2000.0)),
             deadline_ms=4000.0,
-            effect=effect,
-            worth=draw.choice((0.5, 1.0, 3.0)),
-            key_scope=scope,
-            key_memory_ms=1500.0,
+            idempotency=effect,
+            priority_weight=draw.choice((0.5, 1.0, 3.0)),
+            idempotency_scope=scope,
+            idempotency_window_ms=1500.0,
         )
         for n, (effect, scope) in enumerate(kinds)
     )
@@ -129,7 +129,7 @@
                 number = self.sends.get(action.request_id, 0)
                 self.sends[action.request_id] = number + 1
                 self.out[action.request_id, number] = (action.server, self.now)
-            elif isinstance(action, (api.Refuse, api.Fail)):
+            elif isinstance(action, (api.Reject, api.Fail)):
                 self.closed.add(action.request_id)
 
     def _ask(self) -> None:
@@ -164,7 +164,7 @@
         cost = self.draw.choice((None, 1.0, 50.0)) if status is api.Status.OK else None
         load = (0.5, self.draw.choice((0.0, 4.0))) if self.draw.random() < 0.3 else None
         took = self.draw.choice((1.0, 1.0, 20.0)) * (self.now - sent)
-        self._do(api.Outcome(name, key[1], server, status, took, name in self.closed, used, cost, load))
+        self._do(api.AttemptEnded(name, key[1], server, status, took, name in self.closed, used, cost, load))
 
     def _wait(self) -> None:
         self.now += self.draw.choice((1.0, 15.0, 15.0, 120.0, 900.0))
@@ -189,7 +189,7 @@
         if self.asked:
             name = f"r{self.draw.randint(max(1, self.asked - 30), self.asked)}"
             self.closed.add(name)
-            self._do(api.ClientGone(name))
+            self._do(api.ClientDisconnected(name))
 
     def _stream(self) -> None:
         if self.out:
@@ -199,13 +199,13 @@
             self._do(api.StreamStarted(name, number, server, self.now - sent))
 
     def _link(self) -> None:
-        self._do(api.Linked(self.draw.randrange(self.servers), self.draw.random() < 0.6))
+        self._do(api.IdleConnectionChanged(self.draw.randrange(self.servers), self.draw.random() < 0.6))
 
     def _by_hand(self) -> None:
         if self.draw.random() < 0.7:
-            self._do(api.ServerByHand(self.draw.randrange(self.servers), self.draw.random() < 0.5))
+            self._do(api.ServerAdminDown(self.draw.randrange(self.servers), self.draw.random() < 0.5))
         else:
-            self._do(api.Drain(self.draw.random() < 0.4))
+            self._do(api.DrainChanged(self.draw.random() < 0.4))
 
     def _change(self) -> None:
         """Other numbers, and some classes and plans gone or back; the first of each stays."""
@@ -227,7 +227,7 @@
         plans = tuple(map(other, some(self.first.plans)))
         kinds = some(self.first.classes)
         self.settings = replace(self.first, gateways=self.draw.randint(1, 6), plans=plans, classes=kinds)
-        self._do(api.NewSettings(self.settings))
+        self._do(api.SettingsChanged(self.settings))
 
     def _odd(self) -> None:
         """What nobody should send, or nobody asked for: it must neither crash nor count."""
@@ -236,11 +236,11 @@
         self._do(
             self.draw.choice(
                 (
-                    api.ProbeResult(server, api.Status.OK, 5.0, (0.1, 3.0)),
+                    api.HealthCheckResult(server, api.Status.OK, 5.0, (0.1, 3.0)),
                     api.PeerMessage(1, b"x"),
-                    api.CounterReply(1, api.Status.OK, 2.0, 3.0),
+                    api.CounterResult(1, api.Status.OK, 2.0, 3.0),
                     api.TimerFired(10**9),
-                    api.Outcome("nobody", 0, server, api.Status.OK, 5.0),
+                    api.AttemptEnded("nobody", 0, server, api.Status.OK, 5.0),
                     api.StreamStarted("nobody", 0, server, 5.0),
                     api.Request(name, "k0", "free", "c1", 500.0),
                     api.Request("x", "unknown", "free", "c1", 500.0),
@@ -250,7 +250,7 @@
 
     def stop(self) -> None:
         """The gateway is to end, and requests go on coming for a while."""
-        self._do(api.Stopping(1500.0))
+        self._do(api.ShutdownBegun(1500.0))
         for _ in range(50):
             self.step()
         for _ in range(10):
@@ -259,12 +259,12 @@
     def _upgrade(self) -> None:
         """The next process takes over, or this one hears of the one before; then it goes on alone."""
         if not self.handed:
-            self._do(api.HandOver())
+            self._do(api.HotRestartBegun())
         elif self.draw.random() < 0.5:
-            self._do(api.Elsewhere("rate", f"c{self.draw.randrange(5)}", self.draw.randrange(3), 1.5, 60.0))
+            self._do(api.PeerUsage("rate", f"c{self.draw.randrange(5)}", self.draw.randrange(3), 1.5, 60.0))
             return
         else:
-            self._do(api.OtherGone())
+            self._do(api.PeerExited())
         self.handed = not self.handed
 
 
--- a/quota_gateway/settings_reader.py
+++ b/quota_gateway/settings_reader.py
@@ -12,7 +12,7 @@
 
 Fields = dict[str, Any]
 
-DISCOVERY = {"automatic": api.DiscoveryMode.PUSH, "subscribe": api.DiscoveryMode.ASK}
+DISCOVERY = {"automatic": api.DiscoveryMode.PUSH, "subscribe": api.DiscoveryMode.POLL}
 LOAD_FIELD = {
     "rif": "in_flight",
     "q": "queue",
@@ -29,8 +29,8 @@
     "qps": "throughput",
     "eps": "error_rate",
 }
-EFFECTS = {item.value: item for item in api.Effect}
-SCOPES = {item.value: item for item in api.KeyScope}
+EFFECTS = {item.value: item for item in api.Idempotency}
+SCOPES = {item.value: item for item in api.IdempotencyScope}
 MOST_GATEWAYS = 1_000_000
 MOST_ROWS = 256  # classes or plans
 
@@ -38,15 +38,15 @@
 def _class(row: Node) -> Fields:
     return {
         "name": row.text("name"),
-        "aim_ms": row.number("slo_ms", above=True),
+        "latency_objective_ms": row.number("slo_ms", above=True),
         "deadline_ms": row.number("hard_limit_ms", above=True),
-        "effect": row.choice("effect", EFFECTS),
-        "worth": row.number("value"),
-        "late_share": row.number("late_share"),
-        "key_scope": row.choice("key_scope", SCOPES),
-        "key_memory_ms": row.number("memory_span_ms"),
+        "idempotency": row.choice("effect", EFFECTS),
+        "priority_weight": row.number("value"),
+        "late_value_ratio": row.number("late_share"),
+        "idempotency_scope": row.choice("key_scope", SCOPES),
+        "idempotency_window_ms": row.number("memory_span_ms"),
         "streamed": row.flag("stream"),
-        "aim_stretch": row.number("aim_stretch", default=0.0),
+        "objective_stretch": row.number("aim_stretch", default=0.0),
     }
 
 
@@ -57,8 +57,8 @@
         "burst": row.number("most_at_once"),
         "max_in_flight": row.whole("parallel"),
         "price": row.number("value_factor"),
-        "over_worth": row.number("excess_worth"),
-        "over_cost": row.number("overrun_cost"),
+        "overuse_value": row.number("excess_worth"),
+        "overuse_cost": row.number("overrun_cost"),
         "ceiling_rate": row.number("cap_rate"),
         "ceiling_burst": row.number("cap_depth"),
         "ceiling_slack": row.number("hard_slack"),
@@ -95,11 +95,11 @@
     return {
         "answer_slack_ms": row.number("answer_slack_ms"),
         "drain_grace_ms": row.number("drain_grace_ms"),
-        "cold_share": row.number("start_capacity", high=1.0),
+        "initial_capacity_ratio": row.number("start_capacity", high=1.0),
         "warm_up_ms": row.number("warm_up_ms"),
-        "tip_multiple": row.number("tip_multiple"),
-        "tip_window_ms": row.number("fall_ms"),
-        "ask_within_ms": row.number("must_ask_in_ms"),
+        "overload_multiple": row.number("tip_multiple"),
+        "overload_window_ms": row.number("fall_ms"),
+        "poll_within_ms": row.number("must_ask_in_ms"),
     }
 
 
--- a/quota_gateway/simulation/baselines.py
+++ b/quota_gateway/simulation/baselines.py
@@ -34,7 +34,7 @@
                 return self._request(event)
             case api.TimerFired() if event.token in self.open:
                 return self._late(self.open.pop(event.token))
-            case api.Outcome() if event.request_id in self.where:
+            case api.AttemptEnded() if event.request_id in self.where:
                 self.out[event.server] = self.out.get(event.server, 0) - 1
                 del self.where[event.request_id]
                 return [] if event.closed else [api.Fail(event.request_id)]
@@ -50,13 +50,16 @@
 
     def _request(self, event: api.Request) -> list[api.Action]:
         if not self.ready:
-            return [api.Refuse(event.request_id)]
+            return [api.Reject(event.request_id)]
         server = self.choose()
         self.tokens += 1
         self.open[self.tokens] = event.request_id
         self.where[event.request_id] = server
         self.out[server] = self.out.get(server, 0) + 1
-        return [api.Send(event.request_id, server), api.SetTimer(self.tokens, event.patience_ms - MARGIN)]
+        return [
+            api.Send(event.request_id, server),
+            api.SetTimer(self.tokens, event.client_timeout_ms - MARGIN),
+        ]
 
     def _late(self, request_id: str) -> list[api.Action]:
         return [api.Cancel(request_id, 0)] if request_id in self.where else []
--- a/quota_gateway/simulation/day.py
+++ b/quota_gateway/simulation/day.py
@@ -170,7 +170,7 @@
                 day.clock.after(action.delay_ms, self._fire, life, action.token)
             elif isinstance(action, api.Send):
                 self._send(*self.tries[action.request_id], action.server)
-            elif isinstance(action, (api.Refuse, api.Fail)):
+            elif isinstance(action, (api.Reject, api.Fail)):
                 self._answer(action)
             elif isinstance(action, api.Cancel) and action.request_id in self.tries:
                 one = self.tries[action.request_id][0]
@@ -216,13 +216,13 @@
         if good and not one.answers:
             day.referee.answered(one, False, now)
             day.served(wish, one)
-        told = good or status in (api.Status.ERROR, api.Status.FULL)
+        told = good or status in (api.Status.ERROR, api.Status.OVERLOADED)
         used = wish.customer.meter.told(now) if told else None
-        self.do(api.Outcome(one.name, attempt, number, status, now - sent, bool(one.answers), used))
+        self.do(api.AttemptEnded(one.name, attempt, number, status, now - sent, bool(one.answers), used))
         self._drop_if_done(one)
 
-    def _answer(self, action: api.Refuse | api.Fail) -> None:
-        refused = isinstance(action, api.Refuse)
+    def _answer(self, action: api.Reject | api.Fail) -> None:
+        refused = isinstance(action, api.Reject)
         now = self.day.clock.now
         if action.request_id not in self.tries:
             self.day.referee.answered(self.day.tries[action.request_id], refused, now)  # once too often
@@ -230,7 +230,7 @@
         one, wish = self.tries[action.request_id]
         self.day.referee.answered(one, refused, now)
         if one.answers == 1:
-            advice = action.retry_after_ms if isinstance(action, api.Refuse) else 0.0
+            advice = action.retry_after_ms if isinstance(action, api.Reject) else 0.0
             self.day.after_answer(wish, f"{'refused' if refused else 'failed'}: {self.why}", advice)
         self._drop_if_done(one)
 
--- a/quota_gateway/simulation/models.py
+++ b/quota_gateway/simulation/models.py
@@ -135,11 +135,11 @@
         if self.failing:
             job.answer(api.Status.ERROR)
         elif self.entry.state is not api.ServerState.READY:
-            job.answer(api.Status.FULL)
+            job.answer(api.Status.OVERLOADED)
         elif len(self.running) < self.machines.cores:
             self._start(job)
         elif len(self.waiting) >= self.machines.room:
-            job.answer(api.Status.FULL)
+            job.answer(api.Status.OVERLOADED)
         else:
             self.waiting.append(job)
 
--- a/quota_gateway/simulation/referee.py
+++ b/quota_gateway/simulation/referee.py
@@ -10,7 +10,7 @@
 from quota_gateway.simulation.world import DRAIN_GRACE, SLACK, World
 
 MOST_TOLD = 20  # breaches that are told in words; all are counted
-NEVER_RAN = (api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.NOT_SENT)
+NEVER_RAN = (api.Status.OVERLOADED, api.Status.CONNECT_FAILED, api.Status.NOT_SENT)
 
 
 @dataclass(slots=True)
@@ -58,14 +58,17 @@
         one.sends += 1
 
     def _may_repeat(self, one: Try, first: Server, at: float, server: Server, now: float) -> bool:
-        if one.kind.effect is api.Effect.SAFE:
+        if one.kind.idempotency is api.Idempotency.IDEMPOTENT:
             return True
-        if one.kind.effect is api.Effect.UNSAFE or now - at >= one.kind.key_memory_ms:
+        if (
+            one.kind.idempotency is api.Idempotency.NOT_IDEMPOTENT
+            or now - at >= one.kind.idempotency_window_ms
+        ):
             return False
         a = first.entry
         b = server.entry
-        return one.kind.key_scope is api.KeyScope.ALL or (
-            a.zone == b.zone and (one.kind.key_scope is api.KeyScope.ZONE or a.cell == b.cell)
+        return one.kind.idempotency_scope is api.IdempotencyScope.ALL or (
+            a.zone == b.zone and (one.kind.idempotency_scope is api.IdempotencyScope.ZONE or a.cell == b.cell)
         )
 
     def _tip(self, one: Try, server: Server, work: float, now: float) -> None:
@@ -93,8 +96,11 @@
             self.breach("answers", f"{one.name}: answer {one.answers}")
         if now > one.deadline + SLACK:
             self.breach("deadline", f"{one.name}: {now - one.deadline:.0f} ms late")
-        keyed = one.kind.effect is api.Effect.KEYED and one.kind.key_scope is api.KeyScope.ALL
-        if refused and one.copies and one.kind.effect is not api.Effect.SAFE and not keyed:
+        keyed = (
+            one.kind.idempotency is api.Idempotency.WITH_KEY
+            and one.kind.idempotency_scope is api.IdempotencyScope.ALL
+        )
+        if refused and one.copies and one.kind.idempotency is not api.Idempotency.IDEMPOTENT and not keyed:
             self.breach("refusals", f"{one.name} may have run")
 
     def drawn(self, one: Try, store: Store, slack: float, now: float) -> None:
--- a/quota_gateway/simulation/world.py
+++ b/quota_gateway/simulation/world.py
@@ -117,10 +117,10 @@
                     kind.name,
                     kind.aim,
                     kind.deadline,
-                    api.Effect(kind.effect),
-                    worth=kind.worth,
-                    key_scope=api.KeyScope(kind.key_scope),
-                    key_memory_ms=kind.key_memory,
+                    api.Idempotency(kind.effect),
+                    priority_weight=kind.worth,
+                    idempotency_scope=api.IdempotencyScope(kind.key_scope),
+                    idempotency_window_ms=kind.key_memory,
                 )
                 for kind in self.kinds
             ),
@@ -131,7 +131,7 @@
                     plan.burst,
                     plan.max_in_flight,
                     plan.price,
-                    over_cost=0.5,
+                    overuse_cost=0.5,
                     ceiling_rate=plan.ceiling_rate,
                     ceiling_burst=plan.ceiling_burst,
                     ceiling_slack=plan.ceiling_slack,
--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -18,17 +18,17 @@
 STATUS = {
     200: api.Status.OK,
     500: api.Status.ERROR,
-    503: api.Status.FULL,
+    503: api.Status.OVERLOADED,
     504: api.Status.TIMEOUT,
     502: api.Status.CONNECT_FAILED,
     598: api.Status.RESET,
     499: api.Status.CANCELLED,
     410: api.Status.NOT_SENT,
 }
-STATE = {"U": api.ServerState.READY, "L": api.ServerState.DRAINING, "D": api.ServerState.GONE}
+STATE = {"U": api.ServerState.READY, "L": api.ServerState.DRAINING, "D": api.ServerState.REMOVED}
 LIST_KIND = {
     "Partial": api.ListKind.CHANGES,
-    "Complete": api.ListKind.FULL,
+    "Complete": api.ListKind.COMPLETE,
     "Persisted": api.ListKind.CACHED,
     "Error": api.ListKind.FAILED,
 }
@@ -69,8 +69,8 @@
     )
 
 
-def _outcome(f: Fields) -> api.Outcome:
-    return api.Outcome(
+def _outcome(f: Fields) -> api.AttemptEnded:
+    return api.AttemptEnded(
         f["op_id"],
         f["seq_no"],
         f["server"],
@@ -87,30 +87,30 @@
     "Knock": _request,
     "Outcome": _outcome,
     "Alarm": lambda f: api.TimerFired(f["mark"]),
-    "Vanished": lambda f: api.ClientGone(f["op_id"]),
+    "Vanished": lambda f: api.ClientDisconnected(f["op_id"]),
     "Flowing": lambda f: api.StreamStarted(f["op_id"], f["seq_no"], f["server"], f["delay_seen_ms"]),
-    "Sampled": lambda f: api.ProbeResult(
+    "Sampled": lambda f: api.HealthCheckResult(
         f["server"], STATUS[f["code"]], f["delay_seen_ms"], _load(f["gauge"])
     ),
     "Memo": lambda f: api.PeerMessage(f["origin_peer"], bytes.fromhex(f["body"])),
-    "Reckoned": lambda f: api.CounterReply(
+    "Reckoned": lambda f: api.CounterResult(
         f["counter_key"], STATUS[f["code"]], f["reading"] or 0.0, f["delay_seen_ms"]
     ),
 }
 
 ACTIONS: dict[type, Callable[[Any], tuple[str, Fields]]] = {
     api.Send: lambda a: ("Try", {"op_id": a.request_id, "server": a.server, "within_ms": a.timeout_ms}),
-    api.Refuse: lambda a: ("OverloadReply", {"op_id": a.request_id, "stay_away_ms": a.retry_after_ms}),
+    api.Reject: lambda a: ("OverloadReply", {"op_id": a.request_id, "stay_away_ms": a.retry_after_ms}),
     api.Fail: lambda a: ("RespondError", {"op_id": a.request_id}),
     api.Cancel: lambda a: ("AbortAttempt", {"op_id": a.request_id, "seq_no": a.attempt}),
     api.SetTimer: lambda a: ("Schedule", {"after_ms": a.delay_ms, "mark": a.token}),
     api.Log: lambda a: ("Debug", {"what": a.text}),
     api.Subscribe: lambda a: ("Follow", {"active": a.active}),
     api.FetchList: lambda a: ("Fetch", {}),
-    api.Probe: lambda a: ("Touch", {"server": a.server}),
+    api.HealthCheck: lambda a: ("Touch", {"server": a.server}),
     api.CloseIdle: lambda a: ("DropConns", {"server": a.server}),
-    api.TellPeer: lambda a: ("Share", {"dst": a.peer, "body": a.data.hex()}),
-    api.CounterAdd: lambda a: (
+    api.SendToPeer: lambda a: ("Share", {"dst": a.peer, "body": a.data.hex()}),
+    api.IncrementCounter: lambda a: (
         "Add",
         {"counter_key": a.name, "add": a.amount, "expire_in_ms": a.lifetime_ms},
     ),
--- a/quota_gateway/state/context.py
+++ b/quota_gateway/state/context.py
@@ -36,7 +36,7 @@
         self.settings = settings
         self.limits = settings.limits
         self.classes = {item.name: item for item in settings.classes}
-        self.most_worth = max(item.worth for item in settings.classes) or 1.0
+        self.highest_priority_weight = max(item.priority_weight for item in settings.classes) or 1.0
 
     def begin(self, now_ms: float) -> None:
         """Another event is at hand. Raises ValueError if its time goes back."""
--- a/quota_gateway/state/endpoints.py
+++ b/quota_gateway/state/endpoints.py
@@ -53,7 +53,7 @@
 
     def update(self, event: ServerList) -> None:
         """Take over discovery's news; those that are not in a whole list are listed no more."""
-        if event.kind in (ListKind.FULL, ListKind.CACHED):
+        if event.kind in (ListKind.COMPLETE, ListKind.CACHED):
             listed = {entry.server for entry in event.entries}
             for number in [number for number in self.servers if number not in listed]:
                 self._remove(number)
@@ -63,7 +63,7 @@
     def _take(self, entry: ServerEntry) -> None:
         """One entry of a list; a process that was started anew has shown nothing yet."""
         server = self.servers.get(entry.server)
-        if entry.state is ServerState.GONE:
+        if entry.state is ServerState.REMOVED:
             self._remove(entry.server)
         elif server is None:
             self.servers[entry.server] = Server(entry, self.random.random())
--- a/quota_gateway/state/estimates.py
+++ b/quota_gateway/state/estimates.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Mapping, Sequence
 
-from quota_gateway.api import Linked, ProbeResult
+from quota_gateway.api import HealthCheckResult, IdleConnectionChanged
 from quota_gateway.state.context import Context
 from quota_gateway.state.decay import Decay
 from quota_gateway.state.endpoints import Fleet
@@ -111,13 +111,13 @@
             server.queue = report.get("queue") or 0.0
             server.queue_at = self.context.decay.moment()
 
-    def probed(self, event: ProbeResult) -> None:
+    def probed(self, event: HealthCheckResult) -> None:
         """A report without a request."""
         if server := self.fleet.servers.get(event.server):
             self.take(server, event.load)
 
-    def linked(self, event: Linked) -> None:
+    def linked(self, event: IdleConnectionChanged) -> None:
         """News of the connections to a server."""
         self.linking = True
         if server := self.fleet.servers.get(event.server):
-            server.linked = event.idle
+            server.linked = event.has_idle
--- a/quota_gateway/state/in_flight.py
+++ b/quota_gateway/state/in_flight.py
@@ -4,7 +4,7 @@
 
 from math import inf
 
-from quota_gateway.api import Outcome
+from quota_gateway.api import AttemptEnded
 from quota_gateway.state.rows import Customer, Flight, Key, Server
 
 
@@ -41,7 +41,7 @@
         server.owed_at = inf
         return number
 
-    def end(self, event: Outcome) -> tuple[Flight, Server, float] | None:
+    def end(self, event: AttemptEnded) -> tuple[Flight, Server, float] | None:
         """An attempt is over: its request, its server, and when it was sent; None if it is not known."""
         flight = self.flights.get(event.request_id)
         if flight is None or event.attempt not in flight.out:
--- a/quota_gateway/state/rows.py
+++ b/quota_gateway/state/rows.py
@@ -159,7 +159,7 @@
         self.plan = plan
         self.customer = customer
         self.arrived = now
-        self.deadline = now + request.patience_ms
+        self.deadline = now + request.client_timeout_ms
         self.epoch = epoch
         self.keys = keys(kind.name, plan.name)
         # the turn says which cold servers it may go to, once for all
--- a/quota_gateway/state/views.py
+++ b/quota_gateway/state/views.py
@@ -24,7 +24,7 @@
     started_at = _alias("context.since")
     timers = _alias("context.timers")
     random = _alias("context.random")
-    most_worth = _alias("context.most_worth")
+    highest_priority_weight = _alias("context.highest_priority_weight")
     logged = _alias("context.logged")
     sends = _alias("context.decay.sends")
     flights = _alias("hand.flights")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,16 +7,16 @@
 import pytest
 
 from quota_gateway import (
+    AttemptEnded,
     Contract,
-    Effect,
     Fail,
     Gateway,
-    KeyScope,
+    Idempotency,
+    IdempotencyScope,
     Limits,
     ListKind,
-    Outcome,
     Plan,
-    Refuse,
+    Reject,
     Request,
     RequestClass,
     Send,
@@ -30,12 +30,33 @@
 from quota_gateway.net import servers
 
 CLASSES = (
-    RequestClass("safe", 2000.0, 4000.0, Effect.SAFE, worth=1.0),
-    RequestClass("brief", 500.0, 4000.0, Effect.SAFE),
-    RequestClass("keyed", 1000.0, 4000.0, Effect.KEYED, key_scope=KeyScope.ZONE, key_memory_ms=3000.0),
-    RequestClass("keyed-all", 1000.0, 4000.0, Effect.KEYED, key_scope=KeyScope.ALL, key_memory_ms=3000.0),
-    RequestClass("keyed-cell", 1000.0, 4000.0, Effect.KEYED, key_scope=KeyScope.CELL, key_memory_ms=3000.0),
-    RequestClass("unsafe", 1000.0, 4000.0, Effect.UNSAFE, worth=3.0),
+    RequestClass("safe", 2000.0, 4000.0, Idempotency.IDEMPOTENT, priority_weight=1.0),
+    RequestClass("brief", 500.0, 4000.0, Idempotency.IDEMPOTENT),
+    RequestClass(
+        "keyed",
+        1000.0,
+        4000.0,
+        Idempotency.WITH_KEY,
+        idempotency_scope=IdempotencyScope.ZONE,
+        idempotency_window_ms=3000.0,
+    ),
+    RequestClass(
+        "keyed-all",
+        1000.0,
+        4000.0,
+        Idempotency.WITH_KEY,
+        idempotency_scope=IdempotencyScope.ALL,
+        idempotency_window_ms=3000.0,
+    ),
+    RequestClass(
+        "keyed-cell",
+        1000.0,
+        4000.0,
+        Idempotency.WITH_KEY,
+        idempotency_scope=IdempotencyScope.CELL,
+        idempotency_window_ms=3000.0,
+    ),
+    RequestClass("unsafe", 1000.0, 4000.0, Idempotency.NOT_IDEMPOTENT, priority_weight=3.0),
 )
 PLANS = (
     Plan("metered", rate=10.0, burst=8.0),
@@ -78,12 +99,12 @@
             elif isinstance(action, Send):
                 assert action.request_id not in self.answers, "sent after the answer"
                 self.sent.setdefault(action.request_id, []).append(action.server)
-            elif isinstance(action, (Refuse, Fail)):
+            elif isinstance(action, (Reject, Fail)):
                 assert action.request_id not in self.answers, "answered twice"
                 self.answers[action.request_id] = type(action).__name__
         return actions
 
-    def servers(self, *entries: ServerEntry, kind: ListKind = ListKind.FULL) -> list:
+    def servers(self, *entries: ServerEntry, kind: ListKind = ListKind.COMPLETE) -> list:
         return self.do(ServerList(kind, entries))
 
     def ask(self, plan="free", class_name="safe", customer="c", patience=4000.0, units=1, width=2) -> str:
@@ -99,7 +120,7 @@
         server = self.sent[name][attempt]
         if status is Status.OK:
             self.answers.setdefault(name, "Ok")
-        return self.do(Outcome(name, attempt, server, status, latency, status is Status.OK, used, units))
+        return self.do(AttemptEnded(name, attempt, server, status, latency, status is Status.OK, used, units))
 
     def run(self, ms: float) -> None:
         """Let time pass and fire what falls due."""
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -15,9 +15,9 @@
 
 from quota_gateway import (
     Contract,
-    Effect,
     Gateway,
-    KeyScope,
+    Idempotency,
+    IdempotencyScope,
     Limits,
     ListKind,
     Plan,
@@ -36,9 +36,16 @@
     index=0,
     zone="a",
     classes=(
-        RequestClass("read", 2000.0, 4000.0, Effect.SAFE),
-        RequestClass("post", 2000.0, 4000.0, Effect.KEYED, key_scope=KeyScope.ZONE, key_memory_ms=6000.0),
-        RequestClass("buy", 2000.0, 8000.0, Effect.UNSAFE),
+        RequestClass("read", 2000.0, 4000.0, Idempotency.IDEMPOTENT),
+        RequestClass(
+            "post",
+            2000.0,
+            4000.0,
+            Idempotency.WITH_KEY,
+            idempotency_scope=IdempotencyScope.ZONE,
+            idempotency_window_ms=6000.0,
+        ),
+        RequestClass("buy", 2000.0, 8000.0, Idempotency.NOT_IDEMPOTENT),
     ),
     plans=(Plan("free"), Plan("tiny", rate=0.001, burst=2.0)),
     limits=Limits(max_attempts=3, can_cancel=True, connect_timeout_ms=2000.0),
@@ -169,7 +176,7 @@
         self.clients = Clients(self.driver, settings, most_connections)
         self.clients.ready = True
 
-    def told(self, *rows: tuple[ServerEntry, tuple[str, int]], kind: ListKind = ListKind.FULL) -> None:
+    def told(self, *rows: tuple[ServerEntry, tuple[str, int]], kind: ListKind = ListKind.COMPLETE) -> None:
         listing = ServerList(kind, tuple(entry for entry, _ in rows))
         self.servers.update(listing, {entry.server: address for entry, address in rows})
         self.driver.post(listing)
--- a/tests/test_admin_down.py
+++ b/tests/test_admin_down.py
@@ -8,15 +8,15 @@
 from fakes import FakeServer, array, call, node, resp, run
 
 from quota_gateway import (
-    Admit,
-    Drain,
+    DrainChanged,
     Limits,
     ListKind,
-    Refuse,
+    Reject,
     Request,
-    ServerByHand,
+    ServerAdminDown,
     ServerState,
-    SetUsable,
+    SetServerUsable,
+    SetServing,
     Status,
 )
 from quota_gateway.policy.graceful_shutdown import MOST_OUT
@@ -34,22 +34,22 @@
 
 
 def test_server_out_by_hand_gets_nothing_whatever_discovery_lists(rig):
-    actions = rig.do(ServerByHand(1, True))
-    assert SetUsable(1, False) in actions
+    actions = rig.do(ServerAdminDown(1, True))
+    assert SetServerUsable(1, False) in actions
     assert used(rig) == {2}
     rig.servers(entry(1), entry(2))
     rig.servers(entry(1, started_ms=rig.now), kind=ListKind.CHANGES)
     assert used(rig) == {2}
-    rig.servers(entry(1, state=ServerState.GONE), kind=ListKind.CHANGES)
+    rig.servers(entry(1, state=ServerState.REMOVED), kind=ListKind.CHANGES)
     rig.servers(entry(1), kind=ListKind.CHANGES)
     assert used(rig) == {2}
-    assert rig.do(ServerByHand(1, True)) == []  # said twice
+    assert rig.do(ServerAdminDown(1, True)) == []  # said twice
 
 
 def test_nothing_is_sent_again_to_a_server_taken_out_meanwhile(rig):
     name = rig.ask()
     (first,) = rig.sent[name]
-    rig.do(ServerByHand(3 - first, True))
+    rig.do(ServerAdminDown(3 - first, True))
     rig.finish(name, status=Status.CONNECT_FAILED)
     assert set(rig.sent[name]) == {first}
 
@@ -57,9 +57,9 @@
 def test_server_put_back_is_cold_and_one_call_undoes_two():
     rig = Rig()
     rig.servers(*(entry(number) for number in range(1, 11)))
-    rig.do(ServerByHand(1, True))
-    rig.do(ServerByHand(1, True))
-    assert SetUsable(1, True) in rig.do(ServerByHand(1, False))
+    rig.do(ServerAdminDown(1, True))
+    rig.do(ServerAdminDown(1, True))
+    assert SetServerUsable(1, True) in rig.do(ServerAdminDown(1, False))
     share = [rig.sent[name][0] for name in many(rig, 200, 1.0)].count(1)
     assert share <= 200 * 0.06  # an even share would be 20; a tenth of that, and chance
     rig.servers(*(entry(number) for number in range(1, 11)))
@@ -79,41 +79,41 @@
 def test_server_put_back_is_used_soon_even_where_few_requests_come(seed):
     rig = Rig(seed=seed)
     rig.servers(*(entry(number) for number in range(1, 41)))
-    rig.do(ServerByHand(7, True))
+    rig.do(ServerAdminDown(7, True))
     rig.run(1000.0)
-    rig.do(ServerByHand(7, False))
+    rig.do(ServerAdminDown(7, False))
     names = many(rig, 20, 200.0)
     assert [rig.sent[name][0] for name in names].count(7) >= 1
 
 
 def test_put_back_what_was_not_out_changes_nothing_and_one_out_before_it_is_listed_stays_out(rig):
-    assert rig.do(ServerByHand(1, False)) == []
-    rig.do(ServerByHand(3, True))
+    assert rig.do(ServerAdminDown(1, False)) == []
+    rig.do(ServerAdminDown(3, True))
     rig.servers(entry(1), entry(2), entry(3))
     assert 3 not in used(rig)
 
 
 def test_servers_out_are_bounded(rig):
     for number in range(1, 2000):
-        rig.do(ServerByHand(number, True))
+        rig.do(ServerAdminDown(number, True))
     assert len(rig.gateway.by_hand) == MOST_OUT
 
 
 def test_draining_server_that_is_put_back_stays_unused(rig):
     rig.servers(entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
-    rig.do(ServerByHand(1, True))
-    rig.do(ServerByHand(1, False))
+    rig.do(ServerAdminDown(1, True))
+    rig.do(ServerAdminDown(1, False))
     assert used(rig) == {2}
 
 
-def admits(rig: Rig) -> list[Admit]:
+def admits(rig: Rig) -> list[SetServing]:
     """What is told of clients from now on."""
-    found: list[Admit] = []
+    found: list[SetServing] = []
     plain = rig.do
 
     def do(event):
         actions = plain(event)
-        found.extend(action for action in actions if isinstance(action, Admit))
+        found.extend(action for action in actions if isinstance(action, SetServing))
         return actions
 
     rig.do = do
@@ -122,32 +122,32 @@
 
 def test_drain_tells_the_front_at_once_serves_on_and_closes_in_time(rig):
     told = admits(rig)
-    rig.do(Drain(True))
-    assert told == [Admit(False, inf)]
+    rig.do(DrainChanged(True))
+    assert told == [SetServing(False, inf)]
     rig.finish(rig.ask())
     rig.run(1999.0)
     assert [admit.serving for admit in told] == [False] * 3 and told[-1].linger_ms == 0.0
-    assert not rig.do(Drain(True))
+    assert not rig.do(DrainChanged(True))
 
 
 def test_drain_that_is_over_takes_clients_again_and_its_timers_do_nothing(rig):
     told = admits(rig)
-    rig.do(Drain(True))
+    rig.do(DrainChanged(True))
     rig.run(100.0)
-    rig.do(Drain(False))
+    rig.do(DrainChanged(False))
     rig.run(5000.0)
-    assert told == [Admit(False, inf), Admit(True, inf)]
+    assert told == [SetServing(False, inf), SetServing(True, inf)]
     assert rig.ask() in rig.sent
 
 
 def test_request_that_comes_late_in_a_drain_is_refused_at_once_with_advice():
     rig = rig_with(limits=Limits(can_advise_retry=True, max_retry_after_ms=2000.0))
     rig.servers(entry(1))
-    rig.do(Drain(True))
+    rig.do(DrainChanged(True))
     rig.run(2000.0)
     actions = rig.do(Request("late", "safe", "free", "c", 4000.0))
-    assert [type(a) for a in actions] == [Refuse] and actions[0].retry_after_ms > 0.0
-    rig.do(Drain(False))
+    assert [type(a) for a in actions] == [Reject] and actions[0].retry_after_ms > 0.0
+    rig.do(DrainChanged(False))
     assert rig.ask() in rig.sent
 
 
@@ -162,7 +162,7 @@
             busy.send(call(1))
             half.send(call(4)[:20])
             await server.until(lambda: len(server.commands) == 2)
-            gateway.driver.post(Drain(True))
+            gateway.driver.post(DrainChanged(True))
             assert (await front.ask(resp("PING"))).startswith("-DRAINING")
             assert await idle.ask(call(3)) == b"0000000000000003"  # served on
             assert await idle.reply() is None and await half.reply() is None
@@ -171,7 +171,7 @@
             assert await busy.reply() == b"late" and await busy.reply() is None
             late = await gateway.peer()
             assert (await late.ask(resp("PING"))).startswith("-DRAINING")
-            gateway.driver.post(Drain(False))
+            gateway.driver.post(DrainChanged(False))
             peer = await gateway.peer()
             assert await peer.ask(resp("PING")) == b"PONG"
             assert await peer.ask(call(5)) == b"0000000000000005"
@@ -188,13 +188,13 @@
             peer = await gateway.peer()
             for number in range(1, 7):
                 await peer.ask(call(number))
-            gateway.driver.post(ServerByHand(1, True))
+            gateway.driver.post(ServerAdminDown(1, True))
             await server.until(lambda: server.ended == len(server.writers))
             before = len(server.commands)
             for number in range(7, 20):
                 assert await peer.ask(call(number))
             assert len(server.commands) == before
-            gateway.driver.post(ServerByHand(1, False))
+            gateway.driver.post(ServerAdminDown(1, False))
             assert gateway.servers.hosts[1].ready
 
     run(test())
--- a/tests/test_connection_news.py
+++ b/tests/test_connection_news.py
@@ -6,7 +6,7 @@
 from conftest import SETTINGS, Rig, entry
 from fakes import FakeServer, array, call, node, run, until
 
-from quota_gateway import CloseIdle, Linked, ServerByHand, Status
+from quota_gateway import CloseIdle, IdleConnectionChanged, ServerAdminDown, Status
 from quota_gateway.net import servers as module
 from quota_gateway.net.admin_commands import Operators
 from quota_gateway.net.discovery import Roster
@@ -31,16 +31,16 @@
 
 def test_among_servers_of_like_cost_one_with_an_idle_connection_comes_first():
     rig = a_rig(0.05)
-    rig.do(Linked(4, True))
+    rig.do(IdleConnectionChanged(4, True))
     assert set(chosen(rig)) == {4}
-    rig.do(Linked(4, False))
-    rig.do(Linked(2, True))
+    rig.do(IdleConnectionChanged(4, False))
+    rig.do(IdleConnectionChanged(2, True))
     assert set(chosen(rig)) == {2}
 
 
 def test_where_a_handshake_costs_nothing_idle_connections_do_not_count():
     rig = a_rig(0.0)
-    rig.do(Linked(4, True))
+    rig.do(IdleConnectionChanged(4, True))
     assert set(chosen(rig)) == {1, 2, 3, 4, 5, 6}
 
 
@@ -50,7 +50,7 @@
 
 def test_server_that_is_busy_or_fails_loses_in_spite_of_its_idle_connection():
     rig = a_rig(0.05, count=2)
-    rig.do(Linked(1, True))
+    rig.do(IdleConnectionChanged(1, True))
     names = [rig.ask() for _ in range(4)]
     assert {rig.sent[name][0] for name in names} == {1, 2}
     for name in names:
@@ -65,7 +65,7 @@
 
 def test_news_of_a_server_that_nobody_lists_is_ignored():
     rig = a_rig(0.05)
-    assert not rig.do(Linked(99, True))
+    assert not rig.do(IdleConnectionChanged(99, True))
 
 
 @pytest.mark.usefixtures("no_rest")
@@ -75,7 +75,7 @@
         async with node(server) as gateway:
             known, told = gateway.driver.gateway.servers, []
             post = gateway.servers.on_linked
-            gateway.servers.on_linked = lambda news: (told.append(news.idle), post(news))
+            gateway.servers.on_linked = lambda news: (told.append(news.has_idle), post(news))
             peer, other = await gateway.peer(), await gateway.peer()
             assert await peer.ask(call(2)) == b"v" and told == [True] and known[1].linked
             peer.send(call(1))  # in use
@@ -91,7 +91,7 @@
             server.writers[-1].close()  # its end comes
             await until(lambda: not known[1].linked)
             assert await other.ask(call(5)) == b"v" and known[1].linked
-            gateway.driver.post(ServerByHand(1, True))
+            gateway.driver.post(ServerAdminDown(1, True))
             assert not known[1].linked
 
     run(test())
@@ -128,10 +128,10 @@
     async def test():
         servers = [FakeServer(lambda words: None), FakeServer(lambda words: array(b"v"))]
         async with node(*servers, most_connections=1) as gateway:
-            gateway.driver.post(ServerByHand(1, True))
+            gateway.driver.post(ServerAdminDown(1, True))
             peer = await gateway.peer()
             assert await peer.ask(call(2)) == b"v"
-            gateway.driver.post(ServerByHand(1, False))
+            gateway.driver.post(ServerAdminDown(1, False))
             gateway.servers.look()
             ping = module.Attempt(lambda: b"*1\r\n$4\r\nPING\r\n", lambda reply: None)
             gateway.servers.start(1, ping)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,7 +9,7 @@
 import pytest
 from fakes import SETTINGS, FakeServer, Raw, array, call, node, resp, run, until
 
-from quota_gateway import Admit, Plan
+from quota_gateway import Plan, SetServing
 from quota_gateway.net import clients as module
 from quota_gateway.net.clients import MOST_PIPELINED
 
@@ -38,7 +38,7 @@
 
 CLOSES = {
     "stop": lambda clients: clients.stop_listening(),
-    "drain": lambda clients: clients.admit(Admit(False, 0.0)),
+    "drain": lambda clients: clients.admit(SetServing(False, 0.0)),
     "fewer connections": lambda clients: clients.retell(SETTINGS, 1),
 }
 
@@ -316,7 +316,9 @@
 @pytest.mark.parametrize("kind", ["read", "post", "buy"])
 def test_time_that_a_command_waited_behind_as_many_as_may_be_in_hand_is_not_given_again(kind):
     first = range(MOST_PIPELINED)
-    classes = tuple(replace(one, aim_ms=60_000.0, deadline_ms=60_000.0) for one in SETTINGS.classes)
+    classes = tuple(
+        replace(one, latency_objective_ms=60_000.0, deadline_ms=60_000.0) for one in SETTINGS.classes
+    )
 
     async def test():
         fake = FakeServer(lambda words: array(b"v") if int(words[2], 16) not in first else None)
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -9,7 +9,7 @@
 from test_net_driver import Script, scripted
 from test_net_servers import Ends
 
-from quota_gateway import Effect, KeyScope, Limits, ListKind, Send, ServerState, Status
+from quota_gateway import Idempotency, IdempotencyScope, Limits, ListKind, Send, ServerState, Status
 from quota_gateway.net import servers as module
 
 KINDS = ["read", "post", "buy"]
@@ -68,7 +68,7 @@
                 case "drain":
                     gateway.told(fake.entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
                 case "gone":
-                    gateway.told(fake.entry(1, state=ServerState.GONE), kind=ListKind.CHANGES)
+                    gateway.told(fake.entry(1, state=ServerState.REMOVED), kind=ListKind.CHANGES)
                 case "restart":  # the process that was connected to is another's by now: asked for anew
                     gateway.told(fake.entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
                     gateway.told(fake.entry(1, started_ms=1.0), kind=ListKind.CHANGES)
@@ -120,9 +120,9 @@
 
 
 @pytest.mark.parametrize("limits", LIMITS)
-@pytest.mark.parametrize("scope", list(KeyScope))
+@pytest.mark.parametrize("scope", list(IdempotencyScope))
 def test_repeat_is_not_written_once_its_window_has_ended_while_it_was_connected_for(limits, scope):
-    key = replace(SETTINGS.classes[1], key_scope=scope, key_memory_ms=1000.0)
+    key = replace(SETTINGS.classes[1], idempotency_scope=scope, idempotency_window_ms=1000.0)
 
     async def test():
         fake = FakeServer(lambda words: b"")  # takes the command and hangs up: it may have run
@@ -136,7 +136,7 @@
             await until(lambda: len(gate.sockets) == 2)
             ahead(gateway, 1500.0)
             gate.open.set()
-            assert await raw.read(5) == (b"-BUSY" if scope is KeyScope.ALL else b"-ERR ")
+            assert await raw.read(5) == (b"-BUSY" if scope is IdempotencyScope.ALL else b"-ERR ")
             await settled(gateway)
             assert len(fake.commands) == 1
 
@@ -148,7 +148,7 @@
     async def test():
         answers = iter([b"", array(b"v")])
         fake = FakeServer(lambda words: next(answers))
-        key = replace(SETTINGS.classes[1], key_memory_ms=memory_ms)
+        key = replace(SETTINGS.classes[1], idempotency_window_ms=memory_ms)
         async with node(fake, classes=(SETTINGS.classes[0], key, SETTINGS.classes[2])) as gateway:
             raw = Raw(port(gateway))
             raw.send(call(1, "post"))
@@ -364,4 +364,4 @@
 
 
 def test_effects_of_the_table_are_all_there():
-    assert {item.effect for item in SETTINGS.classes} == set(Effect)
+    assert {item.idempotency for item in SETTINGS.classes} == set(Idempotency)
--- a/tests/test_discovery_herd.py
+++ b/tests/test_discovery_herd.py
@@ -68,7 +68,7 @@
 
 def test_list_that_must_be_asked_for_is_no_error_as_the_watch_is_kept(caplog):
     async def test():
-        async with node(**{"discovery": DiscoveryMode.ASK}) as gateway:
+        async with node(**{"discovery": DiscoveryMode.POLL}) as gateway:
             gateway.told(kind=ListKind.CACHED)
             gateway.driver._at(0.0, lambda _: None, None)
             while gateway.driver.timers:
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -5,7 +5,7 @@
 import pytest
 from conftest import SETTINGS, Rig, entry
 
-from quota_gateway import ListKind, Outcome, Request, Status
+from quota_gateway import AttemptEnded, ListKind, Request, Status
 
 
 def play(rig: Rig, width: int, count: int = 40) -> None:
@@ -35,7 +35,7 @@
     rig.servers(entry(1))
     for _ in range(3):
         name = rig.ask()
-        rig.do(Outcome(name, 0, 1, Status.OK, 50.0, True, load=load))
+        rig.do(AttemptEnded(name, 0, 1, Status.OK, 50.0, True, load=load))
     assert rig.ask() in rig.sent
 
 
@@ -62,4 +62,4 @@
     rig.servers(kind=ListKind.CACHED)
     name = rig.ask(patience=300.0)
     rig.run(299.0)
-    assert rig.answers[name] == "Refuse"
+    assert rig.answers[name] == "Reject"
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -12,8 +12,8 @@
 from fakes import Peer
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_peer_process import call_of
 from test_fault_bench import ROOT, SCENARIO, run
+from test_peer_process import call_of
 
 from quota_gateway.failover.__main__ import main
 from quota_gateway.failover.connection_record import HALF, Pair, Record, RecordError
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -10,7 +10,16 @@
 from conftest import PLANS, Rig, entry, rig_with
 from fakes import FakeServer, Raw, array, call, node, row, run, until
 
-from quota_gateway import Drain, Elsewhere, HandOver, OtherGone, Plan, ServerByHand, Status, state_document
+from quota_gateway import (
+    DrainChanged,
+    HotRestartBegun,
+    PeerExited,
+    PeerUsage,
+    Plan,
+    ServerAdminDown,
+    Status,
+    state_document,
+)
 from quota_gateway.net import hot_restart as module
 from quota_gateway.net.clients import Client
 from quota_gateway.net.discovery import Discovery
@@ -25,7 +34,7 @@
 
 def next_rig(old: Rig) -> Rig:
     """The process that takes over: the same settings and list, other numbers for the servers."""
-    old.do(HandOver())
+    old.do(HotRestartBegun())
     document = json.loads(json.dumps(state_document.save(old.gateway, NAMES)))
     new = Rig(old.settings, seed=2)
     new.now = old.now
@@ -69,12 +78,12 @@
     names = [old.ask("capped") for _ in range(2)]  # a slice of two
     new = next_rig(old)
     assert sent(new, 1, plan="capped") == 0
-    told = [a for a in old.finish(names[0]) if isinstance(a, Elsewhere)]
-    assert told[-1].in_hand == 1
+    told = [a for a in old.finish(names[0]) if isinstance(a, PeerUsage)]
+    assert told[-1].in_flight == 1
     for news in told:
         new.do(news)
     assert len(new.sent) == 1
-    new.do(OtherGone())
+    new.do(PeerExited())
     assert sent(new, 1, plan="capped") == 1
 
 
@@ -84,7 +93,7 @@
     name = old.ask("metered", units=1)
     new = next_rig(old)
     for action in old.finish(name, used=70.0, units=4):
-        if isinstance(action, Elsewhere):
+        if isinstance(action, PeerUsage):
             new.do(action)
     (customer,) = new.gateway.customers.values()
     assert customer.used == 0.7
@@ -100,9 +109,9 @@
         old.finish(name, Status.ERROR if bad else Status.OK)
         if bad and len(old.sent[name]) > 1:
             old.finish(name)
-    old.do(ServerByHand(2, True))
+    old.do(ServerAdminDown(2, True))
     old.run(100.0)
-    old.do(ServerByHand(2, False))
+    old.do(ServerAdminDown(2, False))
     new = next_rig(old)
     one, two = new.gateway.servers[11], new.gateway.servers[12]
     assert one.marks == old.gateway.servers[1].marks and one.marks
@@ -127,7 +136,7 @@
     old = Rig()
     old.servers(entry(1), entry(2))
     sent(old, 3, plan="metered")
-    old.do(HandOver())
+    old.do(HotRestartBegun())
     document = state_document.save(old.gateway, NAMES)
     document[path[0]] = value
     new = Rig()
@@ -180,7 +189,7 @@
             busy.send(call(1))
             await server.until(lambda: len(server.commands) == 1)
             assert await idle.ask(call(2)) == b"0000000000000002"
-            old.driver.post(ServerByHand(9, True))
+            old.driver.post(ServerAdminDown(9, True))
             old.handover.offer()
             assert await new.handover.take()
             connections = len(server.writers)
@@ -222,15 +231,15 @@
         async with process(tmp_path, server, other) as old, process(tmp_path) as new:
             roster = old.discovery.roster
             roster.pin("s-2")
-            old.driver.post(ServerByHand(roster.number("s-2"), True))
-            old.driver.post(Drain(True))
+            old.driver.post(ServerAdminDown(roster.number("s-2"), True))
+            old.driver.post(DrainChanged(True))
             old.handover.offer()
             assert await new.handover.take()
             assert new.handover.wanted() == {"out": ["s-2"], "drained": True}
-            new.driver.post(Drain(False))
+            new.driver.post(DrainChanged(False))
             await new.handover.share()
             assert not old.driver.gateway.draining
-            old.driver.post(ServerByHand(roster.number("s-2"), False))
+            old.driver.post(ServerAdminDown(roster.number("s-2"), False))
             await old.handover.share()
             assert new.handover.wanted() == {"out": [], "drained": False}
             kept = json.loads((tmp_path / KEPT).read_text())
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -18,7 +18,7 @@
 
 
 def test_discovery_that_must_be_asked_is_asked_and_asked_again():
-    rig = rig_with(discovery=DiscoveryMode.ASK)
+    rig = rig_with(discovery=DiscoveryMode.POLL)
     asked = []
     plain = rig.do
     rig.do = lambda event: (lambda acts: asked.extend(a for a in acts if isinstance(a, Subscribe)) or acts)(
@@ -56,7 +56,7 @@
         "settings random classes plans customers servers flights parked timers tokens now started_at ends_at "
         "gateways changes latency retries young pool marks quick sends by_hand drains handed pooled draining "
         "left ready cold logged tally actions handlers handle share ceiling_level retry_parked relist "
-        "in_hand reserved_units arm most_worth first_latency fresh_ceiling news_ms tally_at"
+        "in_hand reserved_units arm highest_priority_weight first_latency fresh_ceiling news_ms tally_at"
     )
     rig = Rig()
     rig.servers(entry(1))
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -7,7 +7,7 @@
 from conftest import Rig, entry, rig_with
 from fakes import FakeServer, call, node, resp, run, until
 
-from quota_gateway import Limits, Outcome, Status, StreamStarted
+from quota_gateway import AttemptEnded, Limits, Status, StreamStarted
 from quota_gateway.net import clients as clients_module
 from quota_gateway.net import servers as servers_module
 from quota_gateway.net.declared_lengths import LONG, LONGEST_VALUE, long_value
@@ -285,7 +285,7 @@
     rig.do(StreamStarted(name, 0, rig.sent[name][0], 50.0))
     rig.run(10_000.0)
     assert len(rig.sent[name]) == 1 and name not in rig.answers
-    rig.do(Outcome(name, 0, rig.sent[name][0], Status.RESET, 10_000.0, closed=True))
+    rig.do(AttemptEnded(name, 0, rig.sent[name][0], Status.RESET, 10_000.0, closed=True))
     assert len(rig.sent[name]) == 1 and not rig.gateway.flights
 
 
@@ -296,5 +296,5 @@
     rig.do(StreamStarted(name, 0, server.id, 50.0))
     pool = rig.gateway.pool
     rig.run(3900.0)
-    rig.do(Outcome(name, 0, server.id, Status.OK, 3900.0, closed=True))
+    rig.do(AttemptEnded(name, 0, server.id, Status.OK, 3900.0, closed=True))
     assert rig.gateway.pool == pool and rig.gateway.latency["safe"] < before
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -49,7 +49,7 @@
             assert target == "/discovery/hosts?watch=1&from=43"
             watch.write(chunk(listing(50, row("s-1", 7), reset=True)))
             told, addresses = await news.get()
-            assert told.kind is ListKind.FULL and addresses == {1: ("127.0.0.1", 7)}
+            assert told.kind is ListKind.COMPLETE and addresses == {1: ("127.0.0.1", 7)}
 
     run(test())
 
@@ -250,7 +250,7 @@
     roster = module.Roster()
     roster.read({"generation": 1, "reset": True, "instances": [row("s-1", 1), row("s-2", 2)]})
     told, _ = roster.read({"generation": 2, "reset": False, "instances": [row("s-1", 1, "Gone")]})
-    assert told.entries[0].state is ServerState.GONE and set(roster.numbers) == {"s-2"}
+    assert told.entries[0].state is ServerState.REMOVED and set(roster.numbers) == {"s-2"}
     (second,) = roster.numbers.values()
     roster.read({"generation": 3, "reset": False, "instances": [row("s-2", 2, "Gone")]})
     roster.read({"generation": 3, "reset": False, "instances": [row("s-4", 4)]})
@@ -264,7 +264,7 @@
 TOLD_S = 6.0  # after a watch fell silent, or after a change: then it counts as told
 
 
-def fleet(size: int, mode=DiscoveryMode.ASK):
+def fleet(size: int, mode=DiscoveryMode.POLL):
     return [Discovery(("127.0.0.1", 1), lambda *_: None, seed, size, mode) for seed in range(size)]
 
 
@@ -306,7 +306,7 @@
     async def test():
         fake = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         answered = asyncio.Event()
-        discovery = Discovery(fake.sockets[0].getsockname(), lambda *_: None, 1, 200, DiscoveryMode.ASK)
+        discovery = Discovery(fake.sockets[0].getsockname(), lambda *_: None, 1, 200, DiscoveryMode.POLL)
         pause_s = discovery.pause_s
 
         def asked(silent, took_s):
@@ -357,7 +357,7 @@
                 target, watch = await fake.watch()
                 assert target == "/discovery/hosts?watch=1&from=5"
             watch.write(chunk(listing(6, row("s-1", 1, "Gone"))))
-            assert (await news.get())[0].entries[0].state is ServerState.GONE
+            assert (await news.get())[0].entries[0].state is ServerState.REMOVED
 
     run(test())
 
--- a/tests/test_net_driver.py
+++ b/tests/test_net_driver.py
@@ -6,13 +6,13 @@
 from fakes import FakeServer, array, call, node, run, until
 
 from quota_gateway import (
+    AttemptEnded,
     Cancel,
-    ClientGone,
+    ClientDisconnected,
     Fail,
     ListKind,
     Log,
-    Outcome,
-    Refuse,
+    Reject,
     Request,
     Send,
     ServerEntry,
@@ -39,7 +39,7 @@
         return actions
 
     def outcomes(self):
-        return [(e.attempt, e.status, e.closed) for e in self.events if isinstance(e, Outcome)]
+        return [(e.attempt, e.status, e.closed) for e in self.events if isinstance(e, AttemptEnded)]
 
 
 def scripted(gateway, script, wait_ms=60_000.0):
@@ -56,8 +56,8 @@
             sends = []
             script = Script(
                 Request=lambda e: [Send("r", 9), Send("r", 9), Log("after both")],
-                Outcome=lambda e: (
-                    sends.append(gateway.driver.calls["r"].sends) or ([Refuse("r")] if e.attempt == 1 else [])
+                AttemptEnded=lambda e: (
+                    sends.append(gateway.driver.calls["r"].sends) or ([Reject("r")] if e.attempt == 1 else [])
                 ),
             )
             answers = scripted(gateway, script)
@@ -71,7 +71,7 @@
 def test_only_the_first_final_answer_goes_out_and_advice_is_in_whole_milliseconds():
     async def test():
         async with node() as gateway:
-            script = Script(Request=lambda e: [Refuse("r", 249.6), Fail("r"), Refuse("r"), Send("r", 1)])
+            script = Script(Request=lambda e: [Reject("r", 249.6), Fail("r"), Reject("r"), Send("r", 1)])
             assert scripted(gateway, script) == [b"-BUSY 250\r\n"]
             assert script.outcomes() == [] and not gateway.driver.calls
 
@@ -83,7 +83,7 @@
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
             script = Script(
-                Request=lambda e: [Send("r", 1), Fail("r"), Refuse("r"), Send("r", 1), Cancel("r", 0)]
+                Request=lambda e: [Send("r", 1), Fail("r"), Reject("r"), Send("r", 1), Cancel("r", 0)]
             )
             assert scripted(gateway, script) == [b"-ERR failed\r\n"]
             assert sorted(script.outcomes(), key=lambda outcome: outcome[0]) == [
@@ -100,7 +100,8 @@
         server, other = FakeServer(lambda words: None), FakeServer(lambda words: None)
         async with node(server, other) as gateway:
             script = Script(
-                Request=lambda e: [Send("r", 1)], Outcome=lambda e: [Send("r", 2)] if e.attempt == 0 else []
+                Request=lambda e: [Send("r", 1)],
+                AttemptEnded=lambda e: [Send("r", 2)] if e.attempt == 0 else [],
             )
             scripted(gateway, script)
             await server.until(lambda: len(server.commands) == 1)
@@ -117,7 +118,7 @@
     async def test():
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
-            script = Script(Request=lambda e: [Send("r", 1, 200.0)], Outcome=lambda e: [Fail("r")])
+            script = Script(Request=lambda e: [Send("r", 1, 200.0)], AttemptEnded=lambda e: [Fail("r")])
             answers = scripted(gateway, script)
             await server.until(lambda: server.ended == 1)
             assert script.outcomes() == [(0, Status.TIMEOUT, False)] and answers == [b"-ERR failed\r\n"]
@@ -137,7 +138,9 @@
             server.writers[0].write(array(b"late"))
             await until(lambda: bool(script.outcomes()))
             assert script.outcomes() == [(0, Status.OK, True)] and answers == []
-            assert [e for e in script.events if isinstance(e, ClientGone)] == [ClientGone("r")]
+            assert [e for e in script.events if isinstance(e, ClientDisconnected)] == [
+                ClientDisconnected("r")
+            ]
             assert not gateway.driver.calls
 
     run(test())
@@ -203,7 +206,7 @@
             await server.start()
             _, address = server.entry(1)
             started = gateway.driver.clock() - 5_000.0  # half of the warm-up
-            gateway.told((ServerEntry(1, "a", started_ms=started), address), kind=ListKind.FULL)
+            gateway.told((ServerEntry(1, "a", started_ms=started), address), kind=ListKind.COMPLETE)
             (known,) = gateway.driver.gateway.servers.values()
             assert 0.59 < gateway.driver.gateway.warming.warmth(known) < 1.0
             await asyncio.sleep(0)
--- a/tests/test_net_servers.py
+++ b/tests/test_net_servers.py
@@ -55,7 +55,7 @@
     "answer, status",
     [
         (array(b"v"), Status.OK),
-        (b"-BUSY\r\n", Status.FULL),
+        (b"-BUSY\r\n", Status.OVERLOADED),
         (b"-ERR failed\r\n", Status.ERROR),
         (b"", Status.RESET),
         (b"$1\r\nv\r\n", Status.ERROR),
@@ -104,7 +104,7 @@
     assert read(module.ServerError("ERR failed used=120 util=0.5,queue=3")) == Reply(
         Status.ERROR, None, 120.0, None, (0.5, 3.0)
     )
-    assert read(module.ServerError("BUSY used=9")) == Reply(Status.FULL, None, 9.0)
+    assert read(module.ServerError("BUSY used=9")) == Reply(Status.OVERLOADED, None, 9.0)
     assert read([b"v", b"used=x,,=,nan", b"util=0.5"]) == Reply(Status.OK, b"v")
     for figure in (b"nan", b"inf", b"-1", b"1e999"):
         assert read([b"v", b"used=%b,cost=%b" % (figure, figure)]) == Reply(Status.OK, b"v")
@@ -116,7 +116,7 @@
         gone.server.close()
         await gone.server.wait_closed()
         async with node(server) as gateway:
-            gateway.told(gone.entry(1), kind=ListKind.FULL)
+            gateway.told(gone.entry(1), kind=ListKind.COMPLETE)
             peer = await gateway.peer()
             gateway.told(server.entry(2), kind=ListKind.CHANGES)
             for number in range(8):
@@ -204,7 +204,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
+@pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
 def test_no_first_byte_to_a_server_that_drains_or_goes_while_it_is_connected_to(state):
     async def test():
         server = FakeServer()
@@ -217,7 +217,7 @@
             gateway.servers.start(1, ends.attempt())
             assert await ends.status() is Status.CONNECT_FAILED
             await until(connection.task.done)
-            gateway.told(server.entry(2), kind=ListKind.FULL)
+            gateway.told(server.entry(2), kind=ListKind.COMPLETE)
             gateway.servers.start(2, ends.attempt())
             assert await ends.status() is Status.OK
             assert len(server.commands) == 1
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -10,15 +10,15 @@
 from hypothesis import strategies as st
 
 from quota_gateway import (
-    Effect,
-    HandOver,
+    HotRestartBegun,
+    Idempotency,
     ListKind,
-    NewSettings,
     Plan,
     Request,
     RequestClass,
     ServerList,
     ServerState,
+    SettingsChanged,
     Status,
     state_document,
 )
@@ -92,28 +92,30 @@
     assert pressure.size == 10.0 and not pressure.full()
     pressure.young = {(str(n), 0) for n in range(10)}
     assert pressure.full()
-    pressure.answered(server, kind, 0.1 * kind.aim_ms)
+    pressure.answered(server, kind, 0.1 * kind.latency_objective_ms)
     assert pressure.size == pytest.approx(10.035) and 1 in pressure.latencies.quick[kind.name]
-    pressure.answered(server, kind, 0.9 * kind.aim_ms)
+    pressure.answered(server, kind, 0.9 * kind.latency_objective_ms)
     assert pressure.size == pytest.approx(9.735) and not pressure.latencies.quick[kind.name]
 
 
 @pytest.mark.parametrize(
     "effect, scope, age, first, wanted, told",
     [
-        (Effect.SAFE, "all", 9e9, True, (), True),
-        (Effect.UNSAFE, "all", 0.0, True, None, False),
-        (Effect.UNSAFE, "all", 0.0, False, (), True),
-        (Effect.KEYED, "all", 100.0, True, (), True),
-        (Effect.KEYED, "zone", 100.0, True, ("b",), False),
-        (Effect.KEYED, "cell", 100.0, True, ("b", 7), False),
-        (Effect.KEYED, "zone", 3000.0, True, None, False),
-        (Effect.KEYED, "cell", 3000.0, False, (), True),
+        (Idempotency.IDEMPOTENT, "all", 9e9, True, (), True),
+        (Idempotency.NOT_IDEMPOTENT, "all", 0.0, True, None, False),
+        (Idempotency.NOT_IDEMPOTENT, "all", 0.0, False, (), True),
+        (Idempotency.WITH_KEY, "all", 100.0, True, (), True),
+        (Idempotency.WITH_KEY, "zone", 100.0, True, ("b",), False),
+        (Idempotency.WITH_KEY, "cell", 100.0, True, ("b", 7), False),
+        (Idempotency.WITH_KEY, "zone", 3000.0, True, None, False),
+        (Idempotency.WITH_KEY, "cell", 3000.0, False, (), True),
     ],
 )
 def test_where_a_request_may_go_again_and_what_its_client_is_told(effect, scope, age, first, wanted, told):
-    scopes = {item.key_scope.value: item.key_scope for item in SETTINGS.classes}
-    kind = RequestClass("k", 1000.0, 4000.0, effect, key_scope=scopes[scope], key_memory_ms=3000.0)
+    scopes = {item.idempotency_scope.value: item.idempotency_scope for item in SETTINGS.classes}
+    kind = RequestClass(
+        "k", 1000.0, 4000.0, effect, idempotency_scope=scopes[scope], idempotency_window_ms=3000.0
+    )
     made = flight(kind)
     made.maybe_ran = (Server(entry(1, "b", cell=7), 0.0), 1000.0) if first else None
     assert group(made, 1000.0 + age) == wanted and harmless(made) is told
@@ -131,7 +133,7 @@
     states = (ServerState.READY, ServerState.DRAINING)
     fleet.update(
         ServerList(
-            ListKind.FULL,
+            ListKind.COMPLETE,
             tuple(
                 entry(
                     n,
@@ -224,13 +226,13 @@
 
 
 def test_settings_that_change_between_two_attempts_keep_the_class_and_lift_no_bound():
-    kind = replace(SETTINGS.classes[2], key_memory_ms=3000.0)
+    kind = replace(SETTINGS.classes[2], idempotency_window_ms=3000.0)
     rig = Rig(replace(SETTINGS, classes=(SETTINGS.classes[0], kind), gateways=1))
     rig.servers(entry(1, "a"), entry(2, "a"), entry(3, "b"))
     name = rig.ask("only-cap", kind.name, width=1)
     zone = "b" if rig.sent[name] == [3] else "a"
     rig.do(
-        NewSettings(
+        SettingsChanged(
             replace(
                 rig.gateway.settings,
                 classes=SETTINGS.classes[:1],
@@ -250,7 +252,7 @@
     document = json.loads((RECORDINGS / "handover-before-package.json").read_text())
     names = {name: number for number, name in enumerate(document["servers"])}
     plans = tuple(Plan(name, rate=1.0, burst=2.0) for name in {row[0]: 0 for row in document["customers"]})
-    classes = tuple(RequestClass(name, 500.0, 4000.0, Effect.SAFE) for name in document["latency"])
+    classes = tuple(RequestClass(name, 500.0, 4000.0, Idempotency.IDEMPOTENT) for name in document["latency"])
     rig = Rig(replace(SETTINGS, plans=plans, classes=classes, gateways=6))
     rig.servers(*(entry(number) for number in names.values()))
     state_document.load(rig.gateway, document, names)
@@ -274,7 +276,7 @@
     names = {number: f"s-{number}" for number in range(60)}
     for rig in (old, new):
         rig.servers(*(entry(number, started_ms=900.0) for number in names), kind=ListKind.CACHED)
-    old.do(HandOver())
+    old.do(HotRestartBegun())
     state_document.load(
         new.gateway, state_document.save(old.gateway, names), {name: number for number, name in names.items()}
     )
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -6,7 +6,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quota_gateway import ClientGone, Effect, ListKind, NewSettings, Outcome, ServerState, Status
+from quota_gateway import (
+    AttemptEnded,
+    ClientDisconnected,
+    Idempotency,
+    ListKind,
+    ServerState,
+    SettingsChanged,
+    Status,
+)
 
 NAMES = [item.name for item in SETTINGS.classes]
 MAYBE = {Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED}
@@ -58,9 +66,9 @@
         assert len(sent) == before + 1 <= 3 and not self.out.get(name) and name not in self.over
         assert sent[-1] in self.ready and self.now < deadline
         if self.maybe.get(name) is not None:
-            assert kind.effect is not Effect.UNSAFE
-            if kind.effect is Effect.KEYED:
-                assert self.now - self.maybe[name] < kind.key_memory_ms
+            assert kind.idempotency is not Idempotency.NOT_IDEMPOTENT
+            if kind.idempotency is Idempotency.WITH_KEY:
+                assert self.now - self.maybe[name] < kind.idempotency_window_ms
         self.out[name] = (len(sent) - 1, sent[-1], self.now)
         if before == 0 and plan == "ceiling":
             self.refill()
@@ -72,8 +80,8 @@
         assert self.now <= deadline + 8.0 and name not in self.over
         self.over.add(name)
         doubt = self.maybe.get(name) is not None or self.out.get(name)
-        if self.answers[name] == "Refuse" and doubt:
-            assert kind.effect is Effect.SAFE or kind.name == "keyed-all"
+        if self.answers[name] == "Reject" and doubt:
+            assert kind.idempotency is Idempotency.IDEMPOTENT or kind.name == "keyed-all"
 
     def refill(self):
         """The share of the ceiling's store as it should be at most."""
@@ -86,7 +94,7 @@
         ceiling = next(plan for plan in SETTINGS.plans if plan.name == "ceiling")
         rate, burst = ceiling.ceiling_rate * factor, ceiling.ceiling_burst * factor
         self.do(
-            NewSettings(
+            SettingsChanged(
                 replace(
                     SETTINGS,
                     gateways=gateways,
@@ -120,7 +128,7 @@
         elif step[0] == "leave" and (held := [n for n in self.info if n not in self.over]):
             name = held[step[1] % len(held)]
             self.over.add(name)
-            self.do(ClientGone(name))
+            self.do(ClientDisconnected(name))
         elif step[0] == "end" and (out := [n for n, o in self.out.items() if o]):
             self.end(out[step[1] % len(out)], step[2])
 
@@ -132,7 +140,7 @@
         closed = status is Status.OK or name in self.over
         if closed:
             self.over.add(name)
-        self.do(Outcome(name, number, server, status, self.now - sent, closed))
+        self.do(AttemptEnded(name, number, server, status, self.now - sent, closed))
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
--- a/tests/test_quota_meter.py
+++ b/tests/test_quota_meter.py
@@ -5,13 +5,13 @@
 import pytest
 from conftest import SETTINGS, Rig, entry, rig_with
 
-from quota_gateway import ClientGone, Limits, Plan, Refuse, Request, Status
+from quota_gateway import ClientDisconnected, Limits, Plan, Reject, Request, Status
 
 
 @pytest.fixture
 def even() -> Rig:
     """A gateway whose classes are all worth the same: each may have the whole band."""
-    made = rig_with(classes=tuple(replace(item, worth=1.0) for item in SETTINGS.classes))
+    made = rig_with(classes=tuple(replace(item, priority_weight=1.0) for item in SETTINGS.classes))
     made.servers(entry(1), entry(2))
     return made
 
@@ -60,7 +60,7 @@
 def test_hold_past_the_deadline_is_a_refusal_and_costs_no_excess(rig):
     for _ in range(4):
         rig.ask("metered")
-    assert rig.answers.get(rig.ask("metered", patience=200.0)) == "Refuse"
+    assert rig.answers.get(rig.ask("metered", patience=200.0)) == "Reject"
     assert rig.gateway.customers["metered", "c"].excess == 4000.0
 
 
@@ -105,7 +105,7 @@
 
 def test_held_request_whose_client_left_gives_its_units_back(rig):
     names = [rig.ask("metered") for _ in range(6)]
-    rig.do(ClientGone(names[5]))
+    rig.do(ClientDisconnected(names[5]))
     assert rig.gateway.customers["metered", "c"].excess == 5000.0
     rig.run(4000.0)
     assert names[5] not in rig.sent
@@ -131,7 +131,7 @@
 
 def test_unknown_plan_or_class_is_refused_and_logged_once(rig):
     first = [rig.ask("nope"), rig.ask("nope"), rig.ask("free", class_name="nope")]
-    assert [rig.answers[name] for name in first] == ["Refuse"] * 3
+    assert [rig.answers[name] for name in first] == ["Reject"] * 3
 
 
 def test_customers_are_forgotten_once_as_new(rig):
@@ -178,7 +178,7 @@
     return name
 
 
-@pytest.mark.parametrize("width, answer", [(60, "Refuse"), (2, None)])
+@pytest.mark.parametrize("width, answer", [(60, "Reject"), (2, None)])
 def test_a_marked_retry_is_refused_under_a_thin_slice_only(width, answer):
     rig = thin_rig(width)
     assert rig.answers.get(ask_thin(rig, is_retry=True)) == answer
@@ -190,12 +190,12 @@
     rig.run(5000.0)  # older than four meter periods, not than one drained request
     assert ask_thin(rig) in rig.sent
     rig.run(100.0)
-    assert rig.answers[ask_thin(rig)] == "Refuse", "three asked: more than the slice and two requests"
+    assert rig.answers[ask_thin(rig)] == "Reject", "three asked: more than the slice and two requests"
 
 
 @pytest.mark.parametrize("over_cost, passed", [(0.0, 1), (0.2, 0)])
 def test_a_thin_slice_grows_less_where_going_beyond_the_quota_costs(over_cost, passed):
-    plans = tuple(replace(plan, over_cost=over_cost) for plan in SETTINGS.plans)
+    plans = tuple(replace(plan, overuse_cost=over_cost) for plan in SETTINGS.plans)
     rig = thin_rig(settings=replace(SETTINGS, plans=plans))
     rig.finish(ask_thin(rig), used=0.0)
     rig.run(1000.0)
@@ -210,7 +210,7 @@
         rig.finish(ask_thin(rig), used=used)
         rig.run(wait)
         second, third = ask_thin(rig), ask_thin(rig)
-        assert rig.answers[third] == "Refuse"
+        assert rig.answers[third] == "Reject"
         assert (second in rig.sent) == (wait > 6000.0)  # the first has drained by then
 
 
@@ -232,9 +232,9 @@
 
 
 CAPS = (
-    Plan("cap", max_in_flight=2, over_cost=1.0),
+    Plan("cap", max_in_flight=2, overuse_cost=1.0),
     Plan("free-beyond", max_in_flight=2),
-    Plan("both", rate=1e6, burst=1e6, max_in_flight=2, over_cost=1.0),
+    Plan("both", rate=1e6, burst=1e6, max_in_flight=2, overuse_cost=1.0),
 )
 
 
@@ -252,7 +252,7 @@
             out += 1
             rig.finish(name, latency=1.0)
         else:
-            assert rig.answers[name] == "Refuse"  # at once, and nothing is left of it
+            assert rig.answers[name] == "Reject"  # at once, and nothing is left of it
         customer.used, customer.used_at = heard
     assert not rig.gateway.hand.flights
     return out
@@ -277,7 +277,7 @@
     rig = rig_with(plans=CAPS, gateways=60, limits=limits)
     rig.servers(entry(1), entry(2))
     rig.finish(rig.ask("cap", width=60), used=10_000.0)
-    (refusal,) = [a for a in rig.do(Request("r", "safe", "cap", "c", 4000.0, 1, 60)) if isinstance(a, Refuse)]
+    (refusal,) = [a for a in rig.do(Request("r", "safe", "cap", "c", 4000.0, 1, 60)) if isinstance(a, Reject)]
     assert refusal.retry_after_ms == SETTINGS.meter_period_ms
 
 
@@ -287,7 +287,7 @@
 def test_small_requests_do_not_pass_in_the_room_of_a_large_one_where_all_gateways_together_go_beyond(
     over_cost, sent
 ):
-    plan = Plan("thin", rate=1.0, burst=4.0, over_cost=over_cost)  # of 60 gateways
+    plan = Plan("thin", rate=1.0, burst=4.0, overuse_cost=over_cost)  # of 60 gateways
     rig = rig_with(plans=(plan,), gateways=60)
     rig.servers(entry(1), entry(2))
     names = [rig.ask("thin", units=units, width=60) for units in (1, 4, 1, 1)]
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -14,7 +14,7 @@
 from fakes import FakeServer, array, call, node, resp, run, until
 from test_config import GOOD
 
-from quota_gateway import Drain
+from quota_gateway import DrainChanged
 from quota_gateway.config import read, read_file
 from quota_gateway.net import admin
 from quota_gateway.net import reload as module
@@ -383,7 +383,7 @@
             first = made.reload.config
             made.plan(refill=3.0, most_at_once=5.0)
             await made.tell("RELOAD CONFIRM 30")
-            made.driver.post(Drain(True))
+            made.driver.post(DrainChanged(True))
             made.reload.trial.ends = 0.0
             made.reload._time_is_up()
             await until(lambda: made.reload.config is first)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,14 +7,14 @@
 
 from quota_gateway import Limits, ListKind, Log, ServerState, Status
 
-RAN_NOT = [Status.FULL, Status.CONNECT_FAILED]
+RAN_NOT = [Status.OVERLOADED, Status.CONNECT_FAILED]
 MAY_HAVE_RUN = [Status.ERROR, Status.TIMEOUT, Status.RESET]
 
 
 # 1. One final answer
 
 
-@pytest.mark.parametrize("class_name, answer", [("safe", "Refuse"), ("keyed", "Fail"), ("unsafe", "Fail")])
+@pytest.mark.parametrize("class_name, answer", [("safe", "Reject"), ("keyed", "Fail"), ("unsafe", "Fail")])
 def test_silent_attempt_is_answered_before_the_client_leaves(rig, class_name, answer):
     name = rig.ask(class_name=class_name, patience=300.0)
     rig.run(299.0)
@@ -27,7 +27,7 @@
     rig.run(290.0)
     assert name not in rig.answers
     rig.run(9.0)
-    assert rig.answers[name] == "Refuse" and name not in rig.sent
+    assert rig.answers[name] == "Reject" and name not in rig.sent
 
 
 def test_held_request_goes_when_a_server_comes():
@@ -67,14 +67,14 @@
     rig = Rig()
     rig.servers(entry(1))
     name = rig.ask(class_name="unsafe")
-    rig.finish(name, Status.FULL)
+    rig.finish(name, Status.OVERLOADED)
     rig.run(4000.0)
-    assert rig.answers[name] == "Refuse"
+    assert rig.answers[name] == "Reject"
 
 
 def test_unsafe_after_a_proof_then_a_doubt_is_failed(rig):
     name = rig.ask(class_name="unsafe")
-    rig.finish(name, Status.FULL)
+    rig.finish(name, Status.OVERLOADED)
     rig.finish(name, Status.RESET)
     assert rig.answers[name] == "Fail"
 
@@ -117,7 +117,7 @@
 # 3. Drains
 
 
-@pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
+@pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
 def test_nothing_goes_to_a_draining_server(rig, state):
     rig.servers(entry(1, state=state), kind=ListKind.CHANGES)
     assert {rig.sent[rig.ask()][0] for _ in range(3)} == {2}
@@ -279,7 +279,7 @@
     rig.servers(entry(1, state=ServerState.DRAINING), entry(2, state=ServerState.DRAINING))
     name = rig.ask(patience=300.0)
     rig.run(299.0)
-    assert rig.answers[name] == "Refuse" and name not in rig.sent
+    assert rig.answers[name] == "Reject" and name not in rig.sent
 
 
 # Beyond the rules: pressure over all servers, at any number of gateways
@@ -358,7 +358,7 @@
 
 
 def full(rig: Rig, name: str) -> None:
-    rig.finish(name, Status.FULL)
+    rig.finish(name, Status.OVERLOADED)
 
 
 def test_a_server_silent_for_one_class_keeps_the_others():
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quota_gateway import HandOver, Limits, NewSettings, Plan, Status, state_document
+from quota_gateway import HotRestartBegun, Limits, Plan, SettingsChanged, Status, state_document
 from quota_gateway.policy import customers, settings_change
 
 QUOTA = Plan("q", rate=2.0, burst=8.0)
@@ -24,7 +24,7 @@
 
 
 def tell(rig: Rig, **changes) -> None:
-    rig.do(NewSettings(replace(rig.gateway.settings, **changes)))
+    rig.do(SettingsChanged(replace(rig.gateway.settings, **changes)))
 
 
 def sent(rig: Rig, count: int, **more) -> list[str]:
@@ -69,7 +69,7 @@
     rig.run(20.0)
     tell(rig, plans=(Plan("other"),))
     before = rig.ask(plan="q")
-    assert rig.answers[before] == "Refuse" and before not in rig.sent  # as an unknown plan
+    assert rig.answers[before] == "Reject" and before not in rig.sent  # as an unknown plan
     rig.run(480.0)
     tell(rig, plans=(QUOTA, Plan("other")))
     rig.ask(plan="q", units=1.0)
@@ -126,7 +126,7 @@
     waiting = rig.ask("q")
     assert waiting not in rig.answers and waiting not in rig.gateway.parked
     tell(rig, plans=(Plan("other"),))
-    assert rig.answers[rig.ask("q")] == "Refuse"
+    assert rig.answers[rig.ask("q")] == "Reject"
     rig.finish(out[0])
     assert held[0] in rig.sent
     rig.finish(held[0])
@@ -141,12 +141,14 @@
     one, two = rig.ask(class_name="unsafe"), rig.ask(class_name="brief")
     tell(
         rig,
-        classes=tuple(replace(item, effect=CLASSES[0].effect) for item in CLASSES if item.name != "brief"),
+        classes=tuple(
+            replace(item, idempotency=CLASSES[0].idempotency) for item in CLASSES if item.name != "brief"
+        ),
     )
-    assert rig.answers[rig.ask(class_name="brief")] == "Refuse"
+    assert rig.answers[rig.ask(class_name="brief")] == "Reject"
     rig.finish(one, Status.RESET)
     assert rig.answers[one] == "Fail" and len(rig.sent[one]) == 1  # still one that must not be repeated
-    rig.finish(two, Status.FULL)
+    rig.finish(two, Status.OVERLOADED)
     assert len(rig.sent[two]) == 2
     rig.finish(two)
     rig.run(5000.0)
@@ -269,7 +271,17 @@
     sent(rig, 3, plan="metered")
     gateway = rig.gateway
     monkeypatch.setattr(type(gateway.pressure), "means", lambda self, kinds: 1 / 0)
-    watched = ("settings", "classes", "plans", "latency", "quick", "most_worth", "gateways", "pool", "cold")
+    watched = (
+        "settings",
+        "classes",
+        "plans",
+        "latency",
+        "quick",
+        "highest_priority_weight",
+        "gateways",
+        "pool",
+        "cold",
+    )
     before = {name: getattr(gateway, name) for name in watched}
     with pytest.raises(ZeroDivisionError):
         tell(rig, classes=(replace(CLASSES[0], name="new"),), gateways=7)
@@ -283,7 +295,7 @@
     for plan in ("q", "c", "gone"):
         sent(old, 1, plan=plan, customer=plan)
     old.run(1000.0)  # drained at the old rate of one unit a second, up to the moment of handing over
-    old.do(HandOver())
+    old.do(HotRestartBegun())
     document = state_document.save(old.gateway, {1: "s-1", 2: "s-2"})
     lower = Plan("c", ceiling_rate=2.0, ceiling_burst=4.0)
     new = rig_with(gateways=8, plans=(replace(QUOTA, rate=0.1), lower))
@@ -298,7 +310,7 @@
 def test_a_way_back_after_taking_over_keeps_what_has_been_used():
     old = a_rig(QUOTA)
     sent(old, 4, plan="q")
-    old.do(HandOver())
+    old.do(HotRestartBegun())
     new = Rig(old.settings, seed=2)
     new.now = old.now
     new.servers(entry(1), entry(2))
@@ -315,6 +327,6 @@
     rig = a_rig(limits=Limits(max_attempts=3, can_cancel=True))
     name = rig.ask()
     tell(rig, limits=Limits(max_attempts=1))
-    rig.finish(name, Status.FULL)
-    assert rig.answers[name] == "Refuse" and len(rig.sent[name]) == 1
+    rig.finish(name, Status.OVERLOADED)
+    assert rig.answers[name] == "Reject" and len(rig.sent[name]) == 1
     assert SETTINGS.limits.max_attempts == 3
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -11,27 +11,27 @@
 from hypothesis import Phase, example, given, settings
 from hypothesis import strategies as st
 
-from quota_gateway import Outcome, Refuse, Request, Send, ServerList, Status
+from quota_gateway import AttemptEnded, Reject, Request, Send, ServerList, Status
 from quota_gateway.simulation.__main__ import main
 from quota_gateway.simulation.baselines import AllIn, TwoChoices
 from quota_gateway.simulation.day import IN_TIME, Day
 from quota_gateway.simulation.world import Kind, Machines, Tariff, Trouble, World, WorldError, load
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
-SAFE = Kind("read", aim=300.0, deadline=1200.0, work=20.0)
-UNSAFE = Kind("buy", aim=300.0, deadline=1200.0, work=20.0, effect="unsafe")
+IDEMPOTENT = Kind("read", aim=300.0, deadline=1200.0, work=20.0)
+NOT_IDEMPOTENT = Kind("buy", aim=300.0, deadline=1200.0, work=20.0, effect="unsafe")
 PLAN = Tariff("basis", customers=10, rate=20.0, burst=40.0)
 CEILING = Tariff("hard", customers=3, rate=5.0, burst=5.0, use=3.0, ceiling_rate=6.0, ceiling_burst=6.0)
 
 
 def world(**more) -> World:
-    kinds = {"kinds": (SAFE, UNSAFE), "tariffs": (PLAN,)}
+    kinds = {"kinds": (IDEMPOTENT, NOT_IDEMPOTENT), "tariffs": (PLAN,)}
     return World(**{"gateways": 2, "machines": Machines(6), "seconds": 6.0, **kinds, **more})
 
 
 class Twice(AllIn):
     def handle(self, now_ms, event):
-        return [Refuse(event.request_id)] * 2 if isinstance(event, Request) else super().handle(now_ms, event)
+        return [Reject(event.request_id)] * 2 if isinstance(event, Request) else super().handle(now_ms, event)
 
 
 class Mute(AllIn):
@@ -41,15 +41,15 @@
 
 class Again(AllIn):
     def handle(self, now_ms, event):
-        if isinstance(event, Outcome) and event.status is Status.ERROR and event.attempt == 0:
+        if isinstance(event, AttemptEnded) and event.status is Status.ERROR and event.attempt == 0:
             return [Send(event.request_id, event.server)]
         return super().handle(now_ms, event)
 
 
 class Shrugs(AllIn):
     def handle(self, now_ms, event):
-        failed = isinstance(event, Outcome) and event.status is Status.ERROR
-        return [Refuse(event.request_id)] if failed else super().handle(now_ms, event)
+        failed = isinstance(event, AttemptEnded) and event.status is Status.ERROR
+        return [Reject(event.request_id)] if failed else super().handle(now_ms, event)
 
 
 class Deaf(AllIn):
@@ -136,7 +136,7 @@
     made = world(
         machines=Machines(6, cores=1, slowest=0.3, fastest=2.0),
         gateways=1,
-        kinds=(SAFE,),
+        kinds=(IDEMPOTENT,),
         tariffs=(Tariff("basis", customers=15, rate=20.0, burst=40.0),),
     )
     one, two = (sum(Day(made, seed, make).run().served for seed in range(3)) for make in (AllIn, TwoChoices))
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -2,32 +2,32 @@
 
 from conftest import Rig, entry, rig_with
 
-from quota_gateway import Limits, Log, Plan, Refuse, Stopping
+from quota_gateway import Limits, Log, Plan, Reject, ShutdownBegun
 
 
 def test_all_in_hand_and_all_that_comes_is_answered_before_the_end(rig):
     out = [rig.ask(class_name=name) for name in ("safe", "unsafe")]
     rig.run(100.0)
-    rig.do(Stopping(1000.0))
+    rig.do(ShutdownBegun(1000.0))
     late = rig.ask(class_name="safe")
     rig.run(990.0)
     assert not rig.answers
     rig.run(10.0)
-    assert rig.answers == {out[0]: "Refuse", out[1]: "Fail", late: "Refuse"}
+    assert rig.answers == {out[0]: "Reject", out[1]: "Fail", late: "Reject"}
 
 
 def test_stopping_does_not_prolong_a_shorter_wait(rig):
-    rig.do(Stopping(1000.0))
+    rig.do(ShutdownBegun(1000.0))
     name = rig.ask(patience=100.0)
     rig.run(100.0)
-    assert rig.answers == {name: "Refuse"}
+    assert rig.answers == {name: "Reject"}
 
 
 def test_hold_past_the_end_of_the_gateway_is_refused_at_once(rig):
     for _ in range(4):
         rig.ask("metered")
-    rig.do(Stopping(150.0))
-    assert rig.answers.get(rig.ask("metered")) == "Refuse"  # it would be held for 200 ms
+    rig.do(ShutdownBegun(150.0))
+    assert rig.answers.get(rig.ask("metered")) == "Reject"  # it would be held for 200 ms
 
 
 def test_refusal_over_quota_tells_when_the_bucket_has_drained_so_that_coming_back_then_is_sent_at_once():
@@ -57,7 +57,7 @@
     def do(event):
         nonlocal refused
         actions = plain(event)
-        refused += sum(isinstance(action, Refuse) for action in actions)
+        refused += sum(isinstance(action, Reject) for action in actions)
         for action in actions:
             if isinstance(action, Log):
                 lines.append((action.text, refused))
@@ -82,7 +82,7 @@
 
     def do(event):
         actions = plain(event)
-        told.update({a.request_id: a.retry_after_ms for a in actions if isinstance(a, Refuse)})
+        told.update({a.request_id: a.retry_after_ms for a in actions if isinstance(a, Reject)})
         return actions
 
     rig.do = do
@@ -95,14 +95,14 @@
     assert told[retry] > 0.0
 
 
-def first_refusal(rig: Rig) -> Refuse:
+def first_refusal(rig: Rig) -> Reject:
     """Ask for one customer, at one moment, until it is refused."""
-    found: list[Refuse] = []
+    found: list[Reject] = []
     plain = rig.do
 
     def do(event):
         actions = plain(event)
-        found.extend(action for action in actions if isinstance(action, Refuse))
+        found.extend(action for action in actions if isinstance(action, Reject))
         return actions
 
     rig.do = do
