--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -7,11 +7,11 @@
 from quota_gateway.api import Plan, Request, RequestClass
 from quota_gateway.policy.attempts import Attempts
 from quota_gateway.policy.customers import Customers
-from quota_gateway.state import Context, Customer, Flight
+from quota_gateway.state import Context, Customer, PendingRequest
 
 
 class Admission:
-    """Owns who waits for the end of a hold, and who is parked (``Hand.parked``)."""
+    """Owns who waits for the end of a hold, and who is parked (``InFlightRequests.parked``)."""
 
     def __init__(self, context: Context, customers: Customers, attempts: Attempts) -> None:
         self.context = context
@@ -50,73 +50,75 @@
             return
         turn = self.context.random.random()
         epoch = self.customers.epochs.epoch
-        flight = Flight(event, kind, plan, customer, now, turn, epoch)
-        before = customer.excess, customer.touched
+        pending = PendingRequest(event, kind, plan, customer, now, turn, epoch)
+        before = customer.excess_milliunits, customer.excess_updated_ms
         hold = self.meter.take(customer, plan, event.units, now)
         if hold and hold >= min(event.client_timeout_ms, answers.ends_at - now, self._longest_hold(kind)):
-            customer.excess, customer.touched = before
+            customer.excess_milliunits, customer.excess_updated_ms = before
             self._refuse(event, customer, plan, "quota")
             return
-        self.hand.take(flight)
+        self.hand.take(pending)
         answers.handover.tell(customer, event.units)
-        answers.limit(flight)
+        answers.limit(pending)
         if hold > 0.0:
-            flight.waiting = True
-            self.context.arm(hold, self._end_hold, flight)
+            pending.release_timer_armed = True
+            self.context.arm(hold, self._end_hold, pending)
         else:
-            self._release(flight)
+            self._release(pending)
 
     def _refuse(self, event: Request, customer: Customer, plan: Plan, why: str) -> None:
         self.answers.count(why, plan)
         advice = self.meter.advice(customer, plan, event.units, self.context.now)
         self.answers.refuse(event.request_id, advice if plan.rate else self.context.settings.meter_period_ms)
 
-    def _end_hold(self, flight: Flight) -> None:
-        flight.waiting = False
-        if not flight.closed and flight.sends == 0:
-            self._release(flight)
+    def _end_hold(self, pending: PendingRequest) -> None:
+        pending.release_timer_armed = False
+        if not pending.answered and pending.attempts_started == 0:
+            self._release(pending)
 
-    def _release(self, flight: Flight) -> None:
+    def _release(self, pending: PendingRequest) -> None:
         """First send: within the in-flight cap and the ceiling, to a server; else parked until it may go."""
         now = self.context.now
-        wait = self.ceilings.wait(flight, now)
-        if wait >= flight.deadline - now:
-            self.answers.give_up(flight, "ceiling")
+        wait = self.ceilings.wait(pending, now)
+        if wait >= pending.deadline_ms - now:
+            self.answers.give_up(pending, "ceiling")
             return
-        held = wait or self.ceilings.capped(flight, now) or self.pressure.full(flight.turn)
-        server = None if held else self.choice.first(flight)
+        held = wait or self.ceilings.capped(pending, now) or self.pressure.full(pending.slow_start_draw)
+        server = None if held else self.choice.first(pending)
         if server:
-            self.hand.parked.pop(flight.request.request_id, None)
-            self.attempts.send(flight, server)
+            self.hand.parked.pop(pending.request.request_id, None)
+            self.attempts.send(pending, server)
         else:
-            self._park(flight, wait)
+            self._park(pending, wait)
 
-    def _park(self, flight: Flight, wait: float) -> None:
+    def _park(self, pending: PendingRequest, wait: float) -> None:
         """Hold what can't go now; the least worth for its work is refused when more wait than go at once: a
         queue must not outlast the aim. Harm: a short burst over few servers is refused needlessly."""
         parked = self.hand.parked
-        if flight.request.request_id not in parked:
-            last = flight.arrived + self._useful(flight.kind) - self.context.now
-            self.context.arm(max(0.0, last), self._end_park, flight)
-        parked[flight.request.request_id] = flight
+        if pending.request.request_id not in parked:
+            last = pending.arrived_ms + self._useful(pending.request_class) - self.context.now
+            self.context.arm(max(0.0, last), self._end_park, pending)
+        parked[pending.request.request_id] = pending
         if self.choice.fleet.servers and len(parked) > max(1.0, self.pressure.size):
             self.answers.give_up(min(parked.values(), key=self.pressure.value), "crowded")
-        if wait and not flight.closed and not flight.waiting:
-            flight.waiting = True  # one timer each: every outcome tries all that are parked again
-            self.context.arm(wait + self.context.settings.tick_ms, self._end_hold, flight)
+        if wait and not pending.answered and not pending.release_timer_armed:
+            pending.release_timer_armed = (
+                True  # one timer each: every outcome tries all that are parked again
+            )
+            self.context.arm(wait + self.context.settings.tick_ms, self._end_hold, pending)
 
-    def _end_park(self, flight: Flight) -> None:
-        if flight.sends == 0 and self.choice.fleet.ready:
+    def _end_park(self, pending: PendingRequest) -> None:
+        if pending.attempts_started == 0 and self.choice.fleet.ready:
             now = self.context.now
-            capped = self.ceilings.capped(flight, now)
-            short = self.ceilings.wait(flight, now) > 0.0
+            capped = self.ceilings.capped(pending, now)
+            short = self.ceilings.wait(pending, now) > 0.0
             cause = "cap" if capped else "ceiling" if short else "pool"
-            self.answers.give_up(flight, f"waited: {cause}")
+            self.answers.give_up(pending, f"waited: {cause}")
 
     def retry_parked(self) -> None:
         """Whatever waits may go now: try it, what is worth most first."""
         if not self.hand.parked:
             return
-        for flight in sorted(self.hand.parked.values(), key=self.pressure.value, reverse=True):
-            if not flight.closed:
-                self._release(flight)
+        for pending in sorted(self.hand.parked.values(), key=self.pressure.value, reverse=True):
+            if not pending.answered:
+                self._release(pending)
--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -6,7 +6,7 @@
 from quota_gateway.policy.responses import Answers
 from quota_gateway.policy.retry_policy import window
 from quota_gateway.policy.server_selection import Choice
-from quota_gateway.state import Context, Flight, Server
+from quota_gateway.state import Context, PendingRequest, Server
 
 RETRY_SHARE = 0.2  # further attempts per first one, over time: bounds what failures can add to the load
 RETRY_STORE = 10.0  # further attempts saved up at most
@@ -26,96 +26,96 @@
         self.hand = answers.hand
         self.retries = RETRY_STORE
 
-    def send(self, flight: Flight, server: Server) -> None:
+    def send(self, pending: PendingRequest, server: Server) -> None:
         """Send an attempt; its server, its customer and the budgets are charged."""
-        request_id = flight.request.request_id
+        request_id = pending.request.request_id
         now = self.context.now
-        if flight.sends == 0:
-            self.ceilings.draw(flight, now)
+        if pending.attempts_started == 0:
+            self.ceilings.draw(pending, now)
             self.retries = min(RETRY_STORE, self.retries + RETRY_SHARE)
         else:
             self.retries -= 1.0
-        number = self.hand.send(flight, server, now)
+        number = self.hand.send(pending, server, now)
         self.context.decay.sends += 1
         self.pressure.young.add((request_id, number))
-        self.context.actions.append(Send(request_id, server.id, begin_within_ms=window(flight, now)))
-        self.context.arm(SLOW * flight.kind.latency_objective_ms, self._on_slow, (flight, number))
+        self.context.actions.append(Send(request_id, server.id, begin_within_ms=window(pending, now)))
+        self.context.arm(SLOW * pending.request_class.latency_objective_ms, self._on_slow, (pending, number))
 
-    def may_resend(self, flight: Flight) -> bool:
+    def may_resend(self, pending: PendingRequest) -> bool:
         """Whether the number of attempts and the budget allow a further one."""
-        return flight.sends < self.context.limits.max_attempts and self.retries >= 1.0
+        return pending.attempts_started < self.context.limits.max_attempts and self.retries >= 1.0
 
     def ended(self, event: AttemptEnded) -> bool:
         """An attempt has ended: judge it, then answer or send again. False if nobody knows it."""
         known = self.hand.end(event)
         if known is None:
             return False
-        flight, server, sent = known
+        pending, server, sent = known
         self.pressure.young.discard((event.request_id, event.attempt))
-        self.health.judge(flight, server, event.status)
+        self.health.judge(pending, server, event.status)
         served = event.status is Status.OK
         self.choice.reports.take(server, event.load)
         if event.metered_use_percent is not None:
-            self.answers.meter.read(flight.customer, event.metered_use_percent, self.context.now)
-            self.answers.handover.tell(flight.customer, 0.0, event.metered_use_percent)
-        if served and not flight.streaming:
-            self.pressure.answered(server, flight.kind, event.latency_ms)
-        if served and event.final_units is not None and not flight.closed:
-            self.answers.settle(flight.customer, flight.request.units, event.final_units)
-        flight.closed = flight.closed or event.closed or served
-        if not flight.closed:
-            self._again(flight, event.status, (server, sent))
-        self.answers.drop_if_done(flight)
+            self.answers.meter.read(pending.customer, event.metered_use_percent, self.context.now)
+            self.answers.handover.tell(pending.customer, 0.0, event.metered_use_percent)
+        if served and not pending.streaming:
+            self.pressure.answered(server, pending.request_class, event.latency_ms)
+        if served and event.final_units is not None and not pending.answered:
+            self.answers.settle(pending.customer, pending.request.units, event.final_units)
+        pending.answered = pending.answered or event.closed or served
+        if not pending.answered:
+            self._again(pending, event.status, (server, sent))
+        self.answers.drop_if_done(pending)
         return True
 
-    def _again(self, flight: Flight, status: Status, attempt: tuple[Server, float]) -> None:
+    def _again(self, pending: PendingRequest, status: Status, attempt: tuple[Server, float]) -> None:
         """After a failed attempt: another one where class, budget and time allow it, else the answer."""
-        if status not in NEVER_RAN and flight.maybe_ran is None:
-            flight.maybe_ran = attempt
-        if flight.out or flight.streaming:
+        if status not in NEVER_RAN and pending.first_possible_run is None:
+            pending.first_possible_run = attempt
+        if pending.attempts_in_flight or pending.streaming:
             return
-        in_time = status is not Status.NOT_SENT and self.context.now < flight.deadline
-        server = self.choice.again(flight) if in_time and self.may_resend(flight) else None
+        in_time = status is not Status.NOT_SENT and self.context.now < pending.deadline_ms
+        server = self.choice.again(pending) if in_time and self.may_resend(pending) else None
         if server:
-            self.send(flight, server)
+            self.send(pending, server)
         else:
-            self.answers.give_up(flight, status.value)
+            self.answers.give_up(pending, status.value)
 
     def streams(self, event: StreamStarted) -> bool:
         """A long answer has begun: the server has done its work, what the rest takes is the client's pace,
         and tells nothing of it. False if nobody knows the attempt, or it has begun before."""
-        flight = self.hand.flights.get(event.request_id)
-        if flight is None or flight.streaming or event.attempt not in flight.out:
+        pending = self.hand.pending_requests.get(event.request_id)
+        if pending is None or pending.streaming or event.attempt not in pending.attempts_in_flight:
             return False
-        flight.streaming = True
-        server, _ = flight.out[event.attempt]
+        pending.streaming = True
+        server, _ = pending.attempts_in_flight[event.attempt]
         self.pressure.young.discard((event.request_id, event.attempt))
-        self.pressure.answered(server, flight.kind, event.latency_ms)
+        self.pressure.answered(server, pending.request_class, event.latency_ms)
         return True
 
-    def _on_slow(self, which: tuple[Flight, int]) -> None:
+    def _on_slow(self, which: tuple[PendingRequest, int]) -> None:
         """An attempt still out when it is slow tells so before its answer does; it may be taken elsewhere."""
-        flight, number = which
-        request_id = flight.request.request_id
+        pending, number = which
+        request_id = pending.request.request_id
         self.pressure.young.discard((request_id, number))
-        if number not in flight.out or flight.streaming:
+        if number not in pending.attempts_in_flight or pending.streaming:
             return
-        server, sent = flight.out[number]
-        self.health.mark(server, flight.keys[1], failed=True, why="silent")
-        doubted = self.health.doubted(server, flight.keys[1])
+        server, sent = pending.attempts_in_flight[number]
+        self.health.mark(server, pending.failure_keys[1], failed=True, why="silent")
+        doubted = self.health.doubted(server, pending.failure_keys[1])
         if (
-            flight.kind.idempotency is Idempotency.NOT_IDEMPOTENT
-            or flight.closed
-            or len(flight.out) > 1
+            pending.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
+            or pending.answered
+            or len(pending.attempts_in_flight) > 1
             or not doubted
         ):
             return
-        if flight.maybe_ran is None:
-            flight.maybe_ran = (server, sent)
-        if not self.may_resend(flight) or self.pressure.full():
+        if pending.first_possible_run is None:
+            pending.first_possible_run = (server, sent)
+        if not self.may_resend(pending) or self.pressure.full():
             return
-        other = self.choice.again(flight)
+        other = self.choice.again(pending)
         if other and other is not server and self.context.limits.may_duplicate:
-            self.send(flight, other)
+            self.send(pending, other)
         elif other and self.context.limits.can_cancel:
             self.context.actions.append(Cancel(request_id, number))
--- a/quota_gateway/policy/concurrency_limit.py
+++ b/quota_gateway/policy/concurrency_limit.py
@@ -4,7 +4,7 @@
 from math import inf
 
 from quota_gateway.api import RequestClass
-from quota_gateway.state import Context, Flight, Latencies, Server
+from quota_gateway.state import Context, Latencies, PendingRequest, Server
 
 FIRST_LATENCY = 0.2  # of a class's aim: its latency until answers have been seen
 LATENCY_STEP = 0.03  # weight of one answer in a class's mean latency: some thirty answers of memory
@@ -54,10 +54,10 @@
         """How long so many that wait take to have had their turns, each pool of them in a mean latency."""
         return (1.0 + waiting / max(1.0, self.size)) * self.latencies.mean[kind.name]
 
-    def value(self, flight: Flight) -> float:
+    def value(self, pending: PendingRequest) -> float:
         """Worth for the work: what is refused last and released first."""
-        worth = flight.kind.priority_weight * flight.plan.price * flight.request.units
-        return worth / self.latencies.mean[flight.kind.name]
+        worth = pending.request_class.priority_weight * pending.plan.price * pending.request.units
+        return worth / self.latencies.mean[pending.request_class.name]
 
     def answered(self, server: Server, kind: RequestClass, latency_ms: float) -> None:
         """A good answer, or its beginning.
--- a/quota_gateway/policy/customers.py
+++ b/quota_gateway/policy/customers.py
@@ -9,7 +9,7 @@
 from quota_gateway.api import Plan, Request
 from quota_gateway.policy.quota_meter import Meter
 from quota_gateway.policy.rate_ceiling import Ceilings
-from quota_gateway.state import Context, Customer, Epochs, Flight, Key
+from quota_gateway.state import Context, Customer, CustomerKey, Epochs, PendingRequest
 
 MOST_PAST = 32  # changes that customers may lag behind
 MOST_RETIRED = 64  # plans that are gone, but remembered for their customers
@@ -22,7 +22,7 @@
         self.context = context
         self.meter = meter
         self.ceilings = ceilings
-        self.known: OrderedDict[Key, Customer] = OrderedDict()
+        self.known: OrderedDict[CustomerKey, Customer] = OrderedDict()
         self.epochs = Epochs(context.settings.plans, context.settings.gateways, MOST_RETIRED)
 
     def find(self, request: Request, plan: Plan) -> Customer:
@@ -36,11 +36,11 @@
             self.known[key] = customer = Customer(key, now, fresh, epoch)
         else:
             self.known.move_to_end(key)
-            if customer.epoch != epoch:
+            if customer.settings_epoch != epoch:
                 self.catch_up(customer)
-        customer.span = request.gateway_span
-        customer.width = min(request.gateway_span, self.epochs.gateways)
-        customer.largest = max(customer.largest, request.units)
+        customer.requested_gateways = request.gateway_span
+        customer.serving_gateways = min(request.gateway_span, self.epochs.gateways)
+        customer.largest_request_units = max(customer.largest_request_units, request.units)
         self._forget_one(now)
         return customer
 
@@ -50,15 +50,17 @@
             key = next(iter(self.known))
             old = self.known[key]
             plan = self.epochs.plan(key[0])
-            if old.epoch != self.epochs.epoch:
+            if old.settings_epoch != self.epochs.epoch:
                 self.catch_up(old)
-            if old.held or old.elsewhere:
+            if old.pending_count or old.peer_in_flight:
                 self.known.move_to_end(key)  # its row holds the cap; those behind it need not wait for it
                 continue
             if plan is None:  # gone for so long that it is forgotten
                 del self.known[key]
                 return
-            full = self.ceilings.level(old, plan, now) >= self.ceilings.fresh_level(plan, old.width, now)
+            full = self.ceilings.level(old, plan, now) >= self.ceilings.fresh_level(
+                plan, old.serving_gateways, now
+            )
             if not full or not self.meter.as_new(old, plan, now):
                 return
             if len(self.known) > 1:
@@ -67,15 +69,17 @@
     def catch_up(self, customer: Customer) -> None:
         """Bring a customer up to the last change, through each that it lags behind."""
         name = customer.key[0]
-        for past, gateways in self.epochs.behind(customer.epoch):
+        for past, gateways in self.epochs.behind(customer.settings_epoch):
             if plan := past.plans.get(name):
                 self.meter.drain(customer, plan, past.until, past.news_ms)
-                if past.until > customer.ceiling_at:
-                    self.ceilings.bring(customer, customer.strict or plan, past.until)
-            customer.width = max(1, min(customer.span, gateways))
-        customer.epoch = self.epochs.epoch
+                if past.until > customer.ceiling_updated_ms:
+                    self.ceilings.bring(customer, customer.transition_plan or plan, past.until)
+            customer.serving_gateways = max(1, min(customer.requested_gateways, gateways))
+        customer.settings_epoch = self.epochs.epoch
         if plan := self.epochs.plan(name):
-            customer.ceiling = min(customer.ceiling, plan.ceiling_burst / customer.width)
+            customer.ceiling_level_units = min(
+                customer.ceiling_level_units, plan.ceiling_burst / customer.serving_gateways
+            )
 
     def turn(self, plans: dict[str, Plan], gateways: int) -> None:
         """Begin a new epoch, in which these plans and this number of gateways hold."""
@@ -88,18 +92,18 @@
         """Bring some of those up to date that lag behind."""
         for key in self.epochs.lagging[-count:]:
             customer = self.known.get(key)
-            if customer and customer.epoch != self.epochs.epoch:
+            if customer and customer.settings_epoch != self.epochs.epoch:
                 self.catch_up(customer)
-            if customer and self.epochs.plan(key[0]) is None and not customer.held:
+            if customer and self.epochs.plan(key[0]) is None and not customer.pending_count:
                 del self.known[key]
         self.epochs.caught_up(count)
 
-    def ended(self, flight: Flight) -> None:
+    def ended(self, pending: PendingRequest) -> None:
         """A request has left: with the last one taken before a change its customer's strict bounds go too."""
-        customer = flight.customer
-        if customer.strict is None or flight.epoch >= customer.strict_epoch:
+        customer = pending.customer
+        if customer.transition_plan is None or pending.settings_epoch >= customer.transition_epoch:
             return
-        customer.older -= 1
-        if customer.older <= 0:
-            self.ceilings.bring(customer, customer.strict, self.context.now)
-            customer.strict = None
+        customer.pending_before_transition -= 1
+        if customer.pending_before_transition <= 0:
+            self.ceilings.bring(customer, customer.transition_plan, self.context.now)
+            customer.transition_plan = None
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -19,7 +19,7 @@
 from quota_gateway.policy.server_selection import Choice
 from quota_gateway.policy.settings_change import Changes
 from quota_gateway.policy.slow_start import Cold
-from quota_gateway.state import Context, Fleet, Hand, Reports, Views
+from quota_gateway.state import Context, Fleet, InFlightRequests, Reports, Views
 
 FADE_MS = 4000.0  # time constant with which figures fade, so that a server is tried again; but see Decay
 
@@ -30,7 +30,7 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.context = context = Context(settings, seed, FADE_MS)
         self.fleet = Fleet(context.random)
-        self.hand = Hand()
+        self.hand = InFlightRequests()
         self.meter = Meter(context)
         self.warming = Cold(context)
         self.health = Health(context)
@@ -86,7 +86,7 @@
     def _on_request(self, event: api.Request) -> None:
         kind = self.context.classes.get(event.class_name)
         plan = self.epochs.plans.get(event.plan)
-        if event.request_id in self.hand.flights:
+        if event.request_id in self.hand.pending_requests:
             return  # it is in hand already, and may have run: a refusal here would be its answer
         if kind is None or plan is None:
             self.context.log_once(f"refused: unknown class {event.class_name!r} or plan {event.plan!r}")
--- a/quota_gateway/policy/hot_restart.py
+++ b/quota_gateway/policy/hot_restart.py
@@ -2,13 +2,13 @@
 
 from quota_gateway.api import PeerExited, PeerUsage
 from quota_gateway.policy.customers import Customers
-from quota_gateway.state import Context, Customer, Hand
+from quota_gateway.state import Context, Customer, InFlightRequests
 
 
 class Handover:
     """Owns whether the next process has taken over."""
 
-    def __init__(self, context: Context, hand: Hand, customers: Customers) -> None:
+    def __init__(self, context: Context, hand: InFlightRequests, customers: Customers) -> None:
         self.context = context
         self.hand = hand
         self.customers = customers
@@ -26,7 +26,7 @@
         if customer is None:
             return False
         self.customers.catch_up(customer)
-        customer.elsewhere = event.in_flight
+        customer.peer_in_flight = event.in_flight
         self.customers.meter.charge(customer, event.charged)
         if event.metered_use_percent is not None:
             self.customers.meter.read(customer, event.metered_use_percent, self.context.now)
@@ -36,5 +36,5 @@
         """The process before this one has ended, or the next one has: this one goes on alone."""
         self.handed = False
         for customer in self.customers.known.values():
-            customer.elsewhere = 0
+            customer.peer_in_flight = 0
         return True
--- a/quota_gateway/policy/outlier_detection.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -1,11 +1,11 @@
 """Health: the share of failures that a server shows, apart for its class and for its plan."""
 
 from quota_gateway.api import Status
-from quota_gateway.state import Context, Flight, Server, Shares
+from quota_gateway.state import Context, PendingRequest, Server, Shares
 
 DOUBT_PRIOR = 1.0  # answers that the share seen at all servers weighs against a server's own
 DOUBTED = 0.5  # share of failures from which a slow attempt is taken elsewhere, and a line is logged
-# Which of a flight's keys a failure speaks of: the whole server, its class, its class of its plan.
+# Which of a pending's keys a failure speaks of: the whole server, its class, its class of its plan.
 FAULTS = {Status.CONNECT_FAILED: 0, Status.RESET: 0, Status.ERROR: 1, Status.OVERLOADED: 2}
 Priors = tuple[float, float]
 
@@ -17,14 +17,14 @@
         self.context = context
         self.shares = Shares(context.decay, DOUBT_PRIOR)
 
-    def judge(self, flight: Flight, server: Server, status: Status) -> None:
+    def judge(self, pending: PendingRequest, server: Server, status: Status) -> None:
         """Note an outcome; attempts that wait in vain are noted as they become slow. A server that turns one
         away as full may do so to its class and plan alone, and others go on there."""
         if status is Status.OK:
-            for key in flight.keys:
+            for key in pending.failure_keys:
                 self.mark(server, key, failed=False)
         elif status in FAULTS:
-            self.mark(server, flight.keys[FAULTS[status]], failed=True, why=status.value)
+            self.mark(server, pending.failure_keys[FAULTS[status]], failed=True, why=status.value)
 
     def mark(self, server: Server, key: str, failed: bool, why: str = "") -> None:
         """Note how an attempt went, for its server and for all."""
@@ -37,11 +37,11 @@
         prior = self.shares.prior(key or server.zone)
         return self.shares.worst(server, (key,), (prior,)) >= DOUBTED
 
-    def priors(self, flight: Flight) -> Priors:
+    def priors(self, pending: PendingRequest) -> Priors:
         """What all servers showed to the request's class and plan: the same for each that is compared."""
-        return self.shares.prior(flight.keys[1]), self.shares.prior(flight.keys[2])
+        return self.shares.prior(pending.failure_keys[1]), self.shares.prior(pending.failure_keys[2])
 
-    def doubt(self, flight: Flight, server: Server, priors: Priors) -> float:
+    def doubt(self, pending: PendingRequest, server: Server, priors: Priors) -> float:
         """How likely the request fails there, 0 to 1.
 
         Guards against silent, half-working and refusing servers, for all requests or a class or plan: who was
@@ -49,4 +49,4 @@
         come after those that answered. Nothing is closed: the best of bad servers still gets work. Harm: slow
         answers by chance turn requests away from a good server."""
         shares = self.shares
-        return shares.worst(server, flight.keys, (shares.prior(server.zone), *priors))
+        return shares.worst(server, pending.failure_keys, (shares.prior(server.zone), *priors))
--- a/quota_gateway/policy/rate_ceiling.py
+++ b/quota_gateway/policy/rate_ceiling.py
@@ -4,7 +4,7 @@
 
 from quota_gateway.api import Plan
 from quota_gateway.policy.quota_meter import Meter
-from quota_gateway.state import Context, Customer, Epochs, Flight
+from quota_gateway.state import Context, Customer, Epochs, PendingRequest
 
 CAP_NEWS = 2.0  # times that a rate's reading is news: few gateways hear of one customer's attempts twice
 CAP_POWER = 3.0  # of the overuse: gateways without a reading let theirs out all the same
@@ -34,47 +34,49 @@
 
     def level(self, customer: Customer, plan: Plan, at: float) -> float:
         """Units in this gateway's share of the ceiling's store."""
-        refill = plan.ceiling_rate / customer.width * (at - customer.ceiling_at) / 1000.0
-        return min(plan.ceiling_burst / customer.width, customer.ceiling + refill)
+        refill = plan.ceiling_rate / customer.serving_gateways * (at - customer.ceiling_updated_ms) / 1000.0
+        return min(plan.ceiling_burst / customer.serving_gateways, customer.ceiling_level_units + refill)
 
-    def wait(self, flight: Flight, now: float) -> float:
+    def wait(self, pending: PendingRequest, now: float) -> float:
         """Milliseconds until this gateway's share of the ceiling holds the request's units, or inf."""
-        customer = flight.customer
-        units = flight.request.units
-        plan = customer.strict or flight.plan
+        customer = pending.customer
+        units = pending.request.units
+        plan = customer.transition_plan or pending.plan
         if not plan.ceiling_rate:
             return 0.0
-        if units > plan.ceiling_burst / customer.width:
+        if units > plan.ceiling_burst / customer.serving_gateways:
             return inf
         short = units - self.level(customer, plan, now)
-        return max(0.0, short) * 1000.0 * customer.width / plan.ceiling_rate
+        return max(0.0, short) * 1000.0 * customer.serving_gateways / plan.ceiling_rate
 
-    def draw(self, flight: Flight, now: float) -> None:
+    def draw(self, pending: PendingRequest, now: float) -> None:
         """The request is sent on: its units leave the store."""
-        plan = flight.customer.strict or flight.plan
+        plan = pending.customer.transition_plan or pending.plan
         if plan.ceiling_rate:
-            self.bring(flight.customer, plan, now)
-            flight.customer.ceiling -= flight.request.units
+            self.bring(pending.customer, plan, now)
+            pending.customer.ceiling_level_units -= pending.request.units
 
     def bring(self, customer: Customer, plan: Plan, at: float) -> None:
         """Bring a customer's share up to a moment by this plan."""
-        customer.ceiling = self.level(customer, plan, at)
-        customer.ceiling_at = at
+        customer.ceiling_level_units = self.level(customer, plan, at)
+        customer.ceiling_updated_ms = at
 
-    def capped(self, flight: Flight, now: float) -> bool:
+    def capped(self, pending: PendingRequest, now: float) -> bool:
         """Whether this gateway's slice of the customer's attempts at once, at least one, is out."""
-        customer = flight.customer
-        cap = (customer.strict or flight.plan).max_in_flight
+        customer = pending.customer
+        cap = (customer.transition_plan or pending.plan).max_in_flight
         if not cap:
             return False
-        return customer.out + customer.elsewhere >= max(1, int(cap * self.meter.share(customer, now)))
+        return customer.attempts_in_flight + customer.peer_in_flight >= max(
+            1, int(cap * self.meter.share(customer, now))
+        )
 
     def overused(self, customer: Customer, plan: Plan, now: float) -> bool:
         """Whether a request stays in by the late reading of a cap: by chance, the likelier the more is out.
 
         Guards against a cap below one for each gateway, which slices can't keep: a customer whom all of them
         serve is beyond it with nearly all it asks. Harm: a peak that is over holds a few back."""
-        thin = not plan.rate and plan.overuse_cost and 0 < plan.max_in_flight < customer.width
-        if not thin or now - customer.used_at > CAP_NEWS * self.meter.news_ms:
+        thin = not plan.rate and plan.overuse_cost and 0 < plan.max_in_flight < customer.serving_gateways
+        if not thin or now - customer.metered_use_at_ms > CAP_NEWS * self.meter.news_ms:
             return False
-        return self.context.random.random() * float(customer.used**CAP_POWER) > 1.0
+        return self.context.random.random() * float(customer.metered_use_ratio**CAP_POWER) > 1.0
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -6,7 +6,7 @@
 from quota_gateway.policy.concurrency_limit import Pressure
 from quota_gateway.policy.hot_restart import Handover
 from quota_gateway.policy.retry_policy import harmless
-from quota_gateway.state import Context, Customer, Flight, Tally
+from quota_gateway.state import Context, Customer, PendingRequest, Tally
 
 ANSWER_TICKS = 2.0  # ticks before the client's deadline of the last answer: one to fire, one to spare
 TALLY_MS = 5000.0  # between two lines that tell what was given up, and why
@@ -31,22 +31,22 @@
         advised = min(limits.max_retry_after_ms, advice_ms) if limits.can_advise_retry else 0.0
         self.context.actions.append(Reject(request_id, advised))
 
-    def limit(self, flight: Flight) -> None:
+    def limit(self, pending: PendingRequest) -> None:
         """Arm the final answer: before the client's deadline, and before this gateway is ended."""
-        flight.deadline = min(flight.deadline, self.ends_at)
-        last = flight.deadline - self.context.now - ANSWER_TICKS * self.context.settings.tick_ms
-        self.context.arm(max(0.0, last), self._on_deadline, flight)
+        pending.deadline_ms = min(pending.deadline_ms, self.ends_at)
+        last = pending.deadline_ms - self.context.now - ANSWER_TICKS * self.context.settings.tick_ms
+        self.context.arm(max(0.0, last), self._on_deadline, pending)
 
     def stop(self, event: ShutdownBegun) -> None:
         """Guards against losing requests whose clients would wait longer than this gateway will live."""
         self.ends_at = self.context.now + event.within_ms
-        for flight in list(self.hand.flights.values()):
-            if not flight.closed and flight.deadline > self.ends_at:
-                self.limit(flight)
+        for pending in list(self.hand.pending_requests.values()):
+            if not pending.answered and pending.deadline_ms > self.ends_at:
+                self.limit(pending)
 
-    def _on_deadline(self, flight: Flight) -> None:
-        if not flight.streaming:
-            self.give_up(flight, "deadline")
+    def _on_deadline(self, pending: PendingRequest) -> None:
+        if not pending.streaming:
+            self.give_up(pending, "deadline")
 
     def count(self, why: str, plan: Plan) -> None:
         """Count what is given up; a line every few seconds tells it."""
@@ -57,38 +57,38 @@
                 f"parked {len(self.hand.parked)}"
             )
 
-    def give_up(self, flight: Flight, why: str) -> None:
+    def give_up(self, pending: PendingRequest, why: str) -> None:
         """The final answer: a refusal where a retry is proven harmless, else a failure."""
-        if flight.closed:
+        if pending.answered:
             return
-        flight.closed = True
-        self.count(why, flight.plan)
-        if harmless(flight):
-            self.refuse(flight.request.request_id, self._come_back(flight))
+        pending.answered = True
+        self.count(why, pending.plan)
+        if harmless(pending):
+            self.refuse(pending.request.request_id, self._come_back(pending))
         else:
-            self.context.actions.append(Fail(flight.request.request_id))
-        self.let_go(flight)
+            self.context.actions.append(Fail(pending.request.request_id))
+        self.let_go(pending)
 
-    def _come_back(self, flight: Flight) -> float:
+    def _come_back(self, pending: PendingRequest) -> float:
         """When it may come again: the quota has room then, and those that wait here now have had a turn."""
-        turns = self.pressure.turns_ms(flight.kind, len(self.hand.parked))
-        return max(turns, self.meter.advice(flight.customer, flight.plan, 0.0, self.context.now))
+        turns = self.pressure.turns_ms(pending.request_class, len(self.hand.parked))
+        return max(turns, self.meter.advice(pending.customer, pending.plan, 0.0, self.context.now))
 
     def gone(self, event: ClientDisconnected) -> None:
         """The client has left: nothing is owed any more."""
-        flight = self.hand.flights.get(event.request_id)
-        if flight and not flight.closed:
-            flight.closed = True
-            self.let_go(flight)
+        pending = self.hand.pending_requests.get(event.request_id)
+        if pending and not pending.answered:
+            pending.answered = True
+            self.let_go(pending)
 
-    def let_go(self, flight: Flight) -> None:
+    def let_go(self, pending: PendingRequest) -> None:
         """It is over. What was never sent on leaves no excess: guards against holds of clients that left."""
-        if flight.sends == 0:
-            self.settle(flight.customer, flight.request.units, 0.0)
+        if pending.attempts_started == 0:
+            self.settle(pending.customer, pending.request.units, 0.0)
         if self.context.limits.can_cancel:
-            request_id = flight.request.request_id
-            self.context.actions.extend(Cancel(request_id, number) for number in flight.out)
-        self.drop_if_done(flight)
+            request_id = pending.request.request_id
+            self.context.actions.extend(Cancel(request_id, number) for number in pending.attempts_in_flight)
+        self.drop_if_done(pending)
 
     def settle(self, customer: Customer, guess: float, true: float) -> None:
         """Put a guess of units right."""
@@ -96,10 +96,10 @@
         self.meter.charge(customer, units)
         self.handover.tell(customer, units)
 
-    def drop_if_done(self, flight: Flight) -> None:
+    def drop_if_done(self, pending: PendingRequest) -> None:
         """Forget a request that has its answer and no attempt out."""
-        if not flight.closed:
+        if not pending.answered:
             return
-        if self.hand.drop(flight):
-            self.customers.ended(flight)
-        self.handover.tell(flight.customer, 0.0)
+        if self.hand.drop(pending):
+            self.customers.ended(pending)
+        self.handover.tell(pending.customer, 0.0)
--- a/quota_gateway/policy/server_selection.py
+++ b/quota_gateway/policy/server_selection.py
@@ -5,7 +5,7 @@
 from quota_gateway.policy.outlier_detection import Health, Priors
 from quota_gateway.policy.retry_policy import group
 from quota_gateway.policy.slow_start import Cold
-from quota_gateway.state import Flight, Reports, Server
+from quota_gateway.state import PendingRequest, Reports, Server
 
 QUEUE_WEIGHT = 1.0  # requests out that one reported as waiting stands for
 CROSS_WEIGHT = 10.0  # how many times its price a zone crossing weighs against a mean latency
@@ -27,49 +27,51 @@
         self.decay = self.context.decay
         self.random = self.context.random
 
-    def cost(self, flight: Flight, server: Server, priors: Priors) -> float:
+    def cost(self, pending: PendingRequest, server: Server, priors: Priors) -> float:
         """The wait expected at a server, in mean latencies."""
-        load = 1.0 + len(server.out)
+        load = 1.0 + len(server.attempts_in_flight)
         settings = self.context.settings
-        if server.queue:
-            load += QUEUE_WEIGHT * server.queue * self.decay.left(server.queue_at)
-        doubt = self.health.doubt(flight, server, priors)
+        if server.reported_queue:
+            load += QUEUE_WEIGHT * server.reported_queue * self.decay.left(server.reported_queue_at)
+        doubt = self.health.doubt(pending, server, priors)
         cost = self.latencies.ratio(server) * load * (1.0 + DOUBT_COST * doubt)
-        if self.reports.linking and not server.linked:
+        if self.reports.linking and not server.has_idle_connection:
             cost += DOUBT_COST * settings.handshake_price  # as a failure, and paid once however busy it is
         cost *= self.cold.warmth(server)  # who comes in the turn of a cold server should take it
         if server.zone != settings.zone:
             cost *= 1.0 + CROSS_WEIGHT * settings.cross_zone_price
         return cost * (1.0 + SPREAD * self.random.random())
 
-    def first(self, flight: Flight) -> Server | None:
+    def first(self, pending: PendingRequest) -> Server | None:
         """For a first attempt: one that is owed a turn, or the best that the request may go to."""
         if owed := self.fleet.due(self.context.now):
             return owed
         few = self.fleet.ready
         if len(few) > 2 * SAMPLE:
-            turns = self.fleet.in_phase((1.0 - flight.turn) % 1.0, self.cold.widest_turn(len(few)))
-            few = [*self.random.sample(few, SAMPLE), *self._quick(flight), *turns]
-        return self._best(flight, few)
+            turns = self.fleet.in_phase(
+                (1.0 - pending.slow_start_draw) % 1.0, self.cold.widest_turn(len(few))
+            )
+            few = [*self.random.sample(few, SAMPLE), *self._quick(pending), *turns]
+        return self._best(pending, few)
 
-    def again(self, flight: Flight) -> Server | None:
+    def again(self, pending: PendingRequest) -> Server | None:
         """For a further attempt: one in its group not tried yet; a request with a key may try one again."""
-        key = group(flight, self.context.now)
+        key = group(pending, self.context.now)
         if key is None:
             return None
-        others = self.fleet.others(key, flight.tried)
-        if not others and flight.kind.idempotency is Idempotency.WITH_KEY:
+        others = self.fleet.others(key, pending.tried_servers)
+        if not others and pending.request_class.idempotency is Idempotency.WITH_KEY:
             others = self.fleet.others(key, ())
         if len(others) <= 2 * SAMPLE:
-            return self._best(flight, list(others))
-        quick = [server for server in self._quick(flight) if server in others]
-        return self._best(flight, self.random.sample(others, SAMPLE) + quick)
+            return self._best(pending, list(others))
+        quick = [server for server in self._quick(pending) if server in others]
+        return self._best(pending, self.random.sample(others, SAMPLE) + quick)
 
-    def _quick(self, flight: Flight) -> list[Server]:
-        return list(self.latencies.quick[flight.kind.name].values())
+    def _quick(self, pending: PendingRequest) -> list[Server]:
+        return list(self.latencies.quick[pending.request_class.name].values())
 
-    def _best(self, flight: Flight, few: list[Server]) -> Server | None:
+    def _best(self, pending: PendingRequest, few: list[Server]) -> Server | None:
         ready = len(self.fleet.ready)
-        priors = self.health.priors(flight)
-        few = [server for server in few if server.ready and self.cold.in_turn(flight, server, ready)]
-        return min(few, key=lambda server: self.cost(flight, server, priors), default=None)
+        priors = self.health.priors(pending)
+        few = [server for server in few if server.is_ready and self.cold.in_turn(pending, server, ready)]
+        return min(few, key=lambda server: self.cost(pending, server, priors), default=None)
--- a/quota_gateway/policy/settings_change.py
+++ b/quota_gateway/policy/settings_change.py
@@ -8,7 +8,7 @@
 from quota_gateway.policy.endpoint_list import Lists
 from quota_gateway.policy.hot_restart import Handover
 from quota_gateway.policy.outlier_detection import Health
-from quota_gateway.state import Key
+from quota_gateway.state import CustomerKey
 
 SETTLE_MS = 4000.0  # the platform gives a change of configuration so long: others may go by the old one
 STEP = 100  # customers brought up to date in a step
@@ -50,7 +50,7 @@
         others must have heard of it too: until then this gateway's share grows by nothing."""
         settings = event.settings
         plans = {item.name: item for item in settings.plans}
-        kinds = (flight.kind for flight in self.hand.flights.values())
+        kinds = (pending.request_class for pending in self.hand.pending_requests.values())
         latency = self.pressure.means([*settings.classes, *kinds])
         gateways = max(self.epochs.gateways, settings.gateways)
         bounds = self._bounds(plans)
@@ -85,14 +85,14 @@
             if self.epochs.lagging:
                 self.context.arm(self.context.settings.tick_ms, self._sweep, epoch)
 
-    def _bounds(self, plans: dict[str, Plan]) -> dict[Key, Plan]:
+    def _bounds(self, plans: dict[str, Plan]) -> dict[CustomerKey, Plan]:
         """For customers with something in hand whose ceiling or cap changes: the stricter of old and new."""
-        bounds: dict[Key, Plan] = {}
-        for flight in self.hand.flights.values():
-            old = flight.plan
-            customer = flight.customer
+        bounds: dict[CustomerKey, Plan] = {}
+        for pending in self.hand.pending_requests.values():
+            old = pending.plan
+            customer = pending.customer
             new = plans.get(old.name, old)
-            strict = bounds.get(customer.key) or customer.strict
+            strict = bounds.get(customer.key) or customer.transition_plan
             bound = stricter(new, stricter(old, strict or old))
             if strict or any(
                 getattr(bound, name) != getattr(plan, name) for name in BOUNDS for plan in (old, new)
@@ -100,18 +100,18 @@
                 bounds[customer.key] = bound
         return bounds
 
-    def _keep_in_hand(self, bounds: dict[Key, Plan]) -> None:
+    def _keep_in_hand(self, bounds: dict[CustomerKey, Plan]) -> None:
         """Bring up to date whoever has something in hand; until that has ended the stricter bounds hold."""
-        for flight in self.hand.flights.values():
-            self.customers.catch_up(flight.customer)
-            if flight.customer.key in bounds:
-                flight.customer.older = 0
-        for flight in self.hand.flights.values():
-            customer = flight.customer
+        for pending in self.hand.pending_requests.values():
+            self.customers.catch_up(pending.customer)
+            if pending.customer.key in bounds:
+                pending.customer.pending_before_transition = 0
+        for pending in self.hand.pending_requests.values():
+            customer = pending.customer
             if customer.key in bounds:
-                customer.strict = bounds[customer.key]
-                customer.strict_epoch = self.epochs.epoch
-                customer.older += 1
+                customer.transition_plan = bounds[customer.key]
+                customer.transition_epoch = self.epochs.epoch
+                customer.pending_before_transition += 1
 
     def hand_over(self, _: HotRestartBegun) -> None:
         """The next process takes over, and may go by other settings: all are brought up to this moment."""
@@ -119,4 +119,4 @@
         self._turn(self.epochs.plans, self.epochs.gateways)
         self._keep_in_hand({})
         self.customers.step(len(self.epochs.lagging))
-        self.context.log(f"handed over with {len(self.hand.flights)} requests in hand")
+        self.context.log(f"handed over with {len(self.hand.pending_requests)} requests in hand")
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -1,11 +1,14 @@
 """What the decisions keep their figures in: rows, tables, fading, timers, counts. Decides nothing."""
 
 from quota_gateway.state.context import Context
+from quota_gateway.state.customer import Customer
 from quota_gateway.state.endpoints import Fleet, Group
 from quota_gateway.state.estimates import Latencies, Reports, Shares
-from quota_gateway.state.in_flight import Hand
+from quota_gateway.state.in_flight import InFlightRequests
 from quota_gateway.state.outcome_counters import Tally
-from quota_gateway.state.rows import Customer, Flight, Key, Mark, Moment, Server
+from quota_gateway.state.pending_request import PendingRequest
+from quota_gateway.state.records import CustomerKey, FailureRecord, Moment
+from quota_gateway.state.server import Server
 from quota_gateway.state.settings_epochs import Epochs
 from quota_gateway.state.views import Views
 
@@ -14,12 +17,12 @@
     "Customer",
     "Epochs",
     "Fleet",
-    "Flight",
+    "PendingRequest",
     "Group",
-    "Hand",
-    "Key",
+    "InFlightRequests",
+    "CustomerKey",
     "Latencies",
-    "Mark",
+    "FailureRecord",
     "Moment",
     "Reports",
     "Server",
--- a/quota_gateway/state/decay.py
+++ b/quota_gateway/state/decay.py
@@ -4,7 +4,7 @@
 
 from math import exp, inf
 
-from quota_gateway.state.rows import Moment
+from quota_gateway.state.records import Moment
 
 
 class Decay:
--- a/quota_gateway/state/endpoints.py
+++ b/quota_gateway/state/endpoints.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from quota_gateway.api import ListKind, ServerEntry, ServerList, ServerState
-from quota_gateway.state.rows import Server
+from quota_gateway.state.server import Server
 
 Group = tuple[()] | tuple[str] | tuple[str, int]  # all servers, those of a zone, of a cell in a zone
 
@@ -68,39 +68,39 @@
         elif server is None:
             self.servers[entry.server] = Server(entry, self.random.random())
         else:
-            if entry.started_ms > server.started:
+            if entry.started_ms > server.started_ms:
                 server.reset()
             server.update(entry)
         if entry.server in self.out and entry.server in self.servers:
-            self.servers[entry.server].ready = False
+            self.servers[entry.server].is_ready = False
 
     def _remove(self, number: int) -> None:
         server = self.servers.pop(number, None)
         if server:
-            server.ready = False
+            server.is_ready = False
 
     def take_out(self, number: int) -> None:
         """A server is out by hand, listed or not."""
         self.out.add(number)
         if server := self.servers.get(number):
-            server.ready = False
+            server.is_ready = False
 
     def put_back(self, number: int, started: float, owed_at: float) -> None:
         """It may serve again, as one that has just started, and is to be used by that time (ms)."""
         self.out.discard(number)
         if server := self.servers.get(number):
             server.reset()
-            server.started = server.back = started
-            server.owed_at = owed_at
-            server.ready = server.listed
+            server.started_ms = server.restored_ms = started
+            server.must_be_used_by_ms = owed_at
+            server.is_ready = server.is_listed_ready
 
     def relist(self, cold: Callable[[Server], bool]) -> None:
         """Note which servers are ready, and which of them are cold."""
-        self.ready = [server for server in self.servers.values() if server.ready]
+        self.ready = [server for server in self.servers.values() if server.is_ready]
         self.cold = [server for server in self.ready if cold(server)]
-        self.owed = [server for server in self.cold if server.owed_at < inf]
+        self.owed = [server for server in self.cold if server.must_be_used_by_ms < inf]
         self._groups = {}
-        self._phases = sorted((server.phase, place) for place, server in enumerate(self.cold))
+        self._phases = sorted((server.slow_start_phase, place) for place, server in enumerate(self.cold))
 
     def others(self, key: Group, tried: Collection[int]) -> Others:
         """The ready servers of a group but for those tried. A group is made once for each list."""
@@ -124,4 +124,6 @@
 
     def due(self, now: float) -> Server | None:
         """A cold server that was put back by hand and must be used by now; the first of the list."""
-        return next((server for server in self.owed if server.ready and server.owed_at <= now), None)
+        return next(
+            (server for server in self.owed if server.is_ready and server.must_be_used_by_ms <= now), None
+        )
--- a/quota_gateway/state/estimates.py
+++ b/quota_gateway/state/estimates.py
@@ -8,7 +8,8 @@
 from quota_gateway.state.context import Context
 from quota_gateway.state.decay import Decay
 from quota_gateway.state.endpoints import Fleet
-from quota_gateway.state.rows import NEVER, Mark, Server, keys
+from quota_gateway.state.records import NEVER, FailureRecord, failure_keys
+from quota_gateway.state.server import Server
 
 
 class Shares:
@@ -17,12 +18,12 @@
     def __init__(self, decay: Decay, prior: float) -> None:
         self.decay = decay
         self.prior_weight = prior  # outcomes that the share of all weighs against a server's own
-        self.marks: dict[str, Mark] = {}  # of all servers together
+        self.marks: dict[str, FailureRecord] = {}  # of all servers together
 
     def note(self, server: Server, key: str, everywhere: str, failed: bool) -> None:
         """One outcome at a server, under its key there and the one for all servers."""
         moment = self.decay.moment()
-        for marks, name in ((server.marks, key), (self.marks, everywhere)):
+        for marks, name in ((server.failure_records, key), (self.marks, everywhere)):
             bad, seen, then = marks.get(name, (0.0, 0.0, NEVER))
             fade = self.decay.left(then)
             marks[name] = (bad * fade + failed, seen * fade + 1.0, moment)
@@ -35,7 +36,7 @@
     def worst(self, server: Server, names: Sequence[str], priors: Sequence[float]) -> float:
         """The largest share of failures, 0 to 1, expected at a server under these keys with their priors."""
         worst = 0.0
-        marks = server.marks
+        marks = server.failure_records
         weight = self.prior_weight
         for name, prior in zip(names, priors, strict=True):
             mark = marks.get(name)
@@ -50,8 +51,8 @@
 
     def keep(self, classes: Iterable[str], plans: Iterable[str], servers: Iterable[Server]) -> None:
         """Forget every key of a class or plan that is not among these: bounded however many come and go."""
-        known = {key for kind in classes for plan in ("", *plans) for key in keys(kind, plan)}
-        for marks in [self.marks, *(server.marks for server in servers)]:
+        known = {key for kind in classes for plan in ("", *plans) for key in failure_keys(kind, plan)}
+        for marks in [self.marks, *(server.failure_records for server in servers)]:
             for key in [key for key in marks if key.startswith("class ") and key not in known]:
                 del marks[key]
 
@@ -77,14 +78,14 @@
         mean = self.mean[name]
         self.mean[name] = mean + self.mean_step * (latency_ms - mean)
         ratio = self.ratio(server)
-        server.ratio = ratio + self.ratio_step * (latency_ms / mean - ratio)
-        server.ratio_at = self.decay.moment()
+        server.latency_ratio = ratio + self.ratio_step * (latency_ms / mean - ratio)
+        server.latency_ratio_at = self.decay.moment()
 
     def ratio(self, server: Server) -> float:
         """A server's latency in mean latencies, as far as it has not faded."""
-        if server.ratio == 1.0:
+        if server.latency_ratio == 1.0:
             return 1.0
-        return 1.0 + (server.ratio - 1.0) * self.decay.left(server.ratio_at)
+        return 1.0 + (server.latency_ratio - 1.0) * self.decay.left(server.latency_ratio_at)
 
     def note_quick(self, server: Server, name: str, quick: bool) -> None:
         """Whether a server's last answer to a class was quick; the longest known gives way."""
@@ -108,8 +109,8 @@
         """A report, in the order of the settings' fields, or none."""
         if load:
             report = dict(zip(self.context.settings.load_fields, load, strict=False))
-            server.queue = report.get("queue") or 0.0
-            server.queue_at = self.context.decay.moment()
+            server.reported_queue = report.get("queue") or 0.0
+            server.reported_queue_at = self.context.decay.moment()
 
     def probed(self, event: HealthCheckResult) -> None:
         """A report without a request."""
@@ -120,4 +121,4 @@
         """News of the connections to a server."""
         self.linking = True
         if server := self.fleet.servers.get(event.server):
-            server.linked = event.has_idle
+            server.has_idle_connection = event.has_idle
--- a/quota_gateway/state/in_flight.py
+++ b/quota_gateway/state/in_flight.py
@@ -5,62 +5,65 @@
 from math import inf
 
 from quota_gateway.api import AttemptEnded
-from quota_gateway.state.rows import Customer, Flight, Key, Server
+from quota_gateway.state.customer import Customer
+from quota_gateway.state.pending_request import PendingRequest
+from quota_gateway.state.records import CustomerKey
+from quota_gateway.state.server import Server
 
 
-class Hand:
+class InFlightRequests:
     """Requests in hand by id; ``parked`` are those of them that wait for a server or a turn."""
 
     def __init__(self) -> None:
-        self.flights: dict[str, Flight] = {}
-        self.parked: dict[str, Flight] = {}
+        self.pending_requests: dict[str, PendingRequest] = {}
+        self.parked: dict[str, PendingRequest] = {}
 
-    def take(self, flight: Flight) -> None:
+    def take(self, pending: PendingRequest) -> None:
         """A request is in hand from now on."""
-        self.flights[flight.request.request_id] = flight
-        flight.customer.held += 1
+        self.pending_requests[pending.request.request_id] = pending
+        pending.customer.pending_count += 1
 
-    def drop(self, flight: Flight) -> bool:
+    def drop(self, pending: PendingRequest) -> bool:
         """It has its answer: parked no more, and forgotten (true) once no attempt is out."""
-        request_id = flight.request.request_id
+        request_id = pending.request.request_id
         self.parked.pop(request_id, None)
-        if flight.out or request_id not in self.flights:
+        if pending.attempts_in_flight or request_id not in self.pending_requests:
             return False
-        del self.flights[request_id]
-        flight.customer.held -= 1
+        del self.pending_requests[request_id]
+        pending.customer.pending_count -= 1
         return True
 
-    def send(self, flight: Flight, server: Server, now: float) -> int:
+    def send(self, pending: PendingRequest, server: Server, now: float) -> int:
         """An attempt goes out; its number, from 0."""
-        number = flight.sends
-        flight.sends += 1
-        flight.tried.add(server.id)
-        flight.out[number] = (server, now)
-        flight.customer.out += 1
-        server.out.add((flight.request.request_id, number))
-        server.owed_at = inf
+        number = pending.attempts_started
+        pending.attempts_started += 1
+        pending.tried_servers.add(server.id)
+        pending.attempts_in_flight[number] = (server, now)
+        pending.customer.attempts_in_flight += 1
+        server.attempts_in_flight.add((pending.request.request_id, number))
+        server.must_be_used_by_ms = inf
         return number
 
-    def end(self, event: AttemptEnded) -> tuple[Flight, Server, float] | None:
+    def end(self, event: AttemptEnded) -> tuple[PendingRequest, Server, float] | None:
         """An attempt is over: its request, its server, and when it was sent; None if it is not known."""
-        flight = self.flights.get(event.request_id)
-        if flight is None or event.attempt not in flight.out:
+        pending = self.pending_requests.get(event.request_id)
+        if pending is None or event.attempt not in pending.attempts_in_flight:
             return None
-        server, sent = flight.out.pop(event.attempt)
-        server.out.discard((event.request_id, event.attempt))
-        flight.customer.out -= 1
-        return flight, server, sent
+        server, sent = pending.attempts_in_flight.pop(event.attempt)
+        server.attempts_in_flight.discard((event.request_id, event.attempt))
+        pending.customer.attempts_in_flight -= 1
+        return pending, server, sent
 
     def places(self, customer: Customer) -> int:
         """Places under the in-flight cap that a customer's requests here hold, or will."""
-        mine = (flight for flight in self.flights.values() if flight.customer is customer)
-        return sum(max(len(flight.out), 0 if flight.closed else 1) for flight in mine)
+        mine = (pending for pending in self.pending_requests.values() if pending.customer is customer)
+        return sum(max(len(pending.attempts_in_flight), 0 if pending.answered else 1) for pending in mine)
 
-    def reserved_units(self) -> dict[Key, float]:
+    def reserved_units(self) -> dict[CustomerKey, float]:
         """Units still to be drawn from ceilings here, by customer."""
-        units: dict[Key, float] = {}
-        for flight in self.flights.values():
-            if not flight.closed and not flight.sends:
-                key = flight.customer.key
-                units[key] = units.get(key, 0.0) + flight.request.units
+        units: dict[CustomerKey, float] = {}
+        for pending in self.pending_requests.values():
+            if not pending.answered and not pending.attempts_started:
+                key = pending.customer.key
+                units[key] = units.get(key, 0.0) + pending.request.units
         return units
--- /dev/null
+++ b/quota_gateway/state/records.py
@@ -0,0 +1,20 @@
+"""Small records that several parts of the decisions' state share."""
+
+from __future__ import annotations
+
+from math import inf
+
+# Clock time (ms), and how many attempts this gateway had started by then: estimates fade by both.
+Moment = tuple[float, int]
+NEVER: Moment = (-inf, 0)
+
+# Failures and all outcomes, both faded to the moment at which they were last recorded.
+FailureRecord = tuple[float, float, Moment]
+
+# A customer's plan and name.
+CustomerKey = tuple[str, str]
+
+
+def failure_keys(class_name: str, plan_name: str) -> tuple[str, str, str]:
+    """Keys of a request's failure records: of the server as a whole, its class, its class and plan."""
+    return ("", f"class {class_name}", f"class {class_name} of plan {plan_name}")
--- a/quota_gateway/state/settings_epochs.py
+++ b/quota_gateway/state/settings_epochs.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from quota_gateway.api import Plan
-from quota_gateway.state.rows import Key
+from quota_gateway.state.records import CustomerKey
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
         self.most_retired = most_retired
         self.epoch = 0
         self.past: list[Past] = []
-        self.lagging: list[Key] = []
+        self.lagging: list[CustomerKey] = []
         self.retired: dict[str, Plan] = {}  # plans that are gone, the newest of them
 
     def plan(self, name: str) -> Plan | None:
@@ -41,7 +41,7 @@
         plans: dict[str, Plan],
         gateways: int,
         news_ms: float,
-        keys: Iterable[Key],
+        keys: Iterable[CustomerKey],
     ) -> None:
         """Begin a new epoch. The customers with these keys lag behind from now on."""
         before = self.retired | self.plans
--- a/quota_gateway/state/views.py
+++ b/quota_gateway/state/views.py
@@ -27,7 +27,7 @@
     highest_priority_weight = _alias("context.highest_priority_weight")
     logged = _alias("context.logged")
     sends = _alias("context.decay.sends")
-    flights = _alias("hand.flights")
+    pending_requests = _alias("hand.pending_requests")
     parked = _alias("hand.parked")
     servers = _alias("fleet.servers")
     ready = _alias("fleet.ready")
--- a/quota_gateway/state_document.py
+++ b/quota_gateway/state_document.py
@@ -1,25 +1,30 @@
-"""What one process of a gateway knows, as a document for the next one. Decides nothing.
+"""State document: what one process of a gateway knows, as JSON for the process that follows it.
 
-Servers go by name in it, as the numbers of one process mean nothing to another. A document is read whole
-before any of it is used: one that is torn or foreign leaves the gateway as it was.
+Decides nothing. Servers go by id in it, as the numbers of one process mean nothing to another. A document is
+read completely before any of it is used: a truncated or foreign one leaves the gateway as it was.
 
-Versions hand over both ways. What a later version adds stands behind or beside what was there, is passed over
-here, and must not be needed: what it means without it is what an earlier version meant.
+Versions hand over in both directions, so the keys below never change. What a later version adds stands behind
+or beside what was there, is skipped here, and must not be needed: without it a document means what it meant
+to the earlier version.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
 from itertools import islice
 from math import isnan
 from typing import Any
 
 from quota_gateway.policy.gateway import Gateway
-from quota_gateway.state.rows import Customer, Key, Mark, Moment, Server
+from quota_gateway.state.customer import Customer
+from quota_gateway.state.records import CustomerKey, FailureRecord, Moment
+from quota_gateway.state.server import Server
 
-MOST_CUSTOMERS = 20_000  # of a document, the last touched: some 4 MB
-FIGURES = (
+MAX_CUSTOMERS = 20_000  # the most recently used: some 4 MB
+# Columns of a customer's row, behind its plan and name, by their names in version 1 of the document.
+CUSTOMER_COLUMNS = (
     "excess",
     "touched",
     "largest",
@@ -35,14 +40,46 @@
 Document = dict[str, Any]
 
 
-def save(gateway: Gateway, names: Mapping[int, str]) -> Document:
-    """The state after ``HandOver``: what is still to be done here is reserved in it."""
-    reserved = gateway.hand.reserved_units()
-    newest = islice(reversed(gateway.customers.values()), MOST_CUSTOMERS)
-    rows = [_customer(gateway, customer, reserved) for customer in newest]
+@dataclass(frozen=True, slots=True)
+class ServerState:
+    """A server's part of the document."""
+
+    latency_ratio: float
+    latency_ratio_at: Moment
+    reported_queue: float
+    reported_queue_at: Moment
+    failure_records: dict[str, FailureRecord]
+    slow_start_phase: float
+    restored_ms: float
+    must_be_used_by_ms: float
+    started_ms: float
+
+    def apply(self, server: Server) -> None:
+        """Make the server's row say the same. Its start counts only where an operator's decision set it."""
+        server.latency_ratio = self.latency_ratio
+        server.latency_ratio_at = self.latency_ratio_at
+        server.reported_queue = self.reported_queue
+        server.reported_queue_at = self.reported_queue_at
+        server.failure_records = self.failure_records
+        server.slow_start_phase = self.slow_start_phase
+        server.restored_ms = self.restored_ms
+        server.must_be_used_by_ms = self.must_be_used_by_ms
+        if self.restored_ms:
+            server.started_ms = max(server.started_ms, self.started_ms)
+
+
+def save(gateway: Gateway, server_ids: Mapping[int, str]) -> Document:
+    """The gateway's state after ``HotRestartBegun``: what this process still has to do is reserved in it."""
+    reserved_units = gateway.hand.reserved_units()
+    newest = islice(reversed(gateway.customers.values()), MAX_CUSTOMERS)
+    rows = [_write_customer(gateway, customer, reserved_units) for customer in newest]
     return {
         "customers": rows[::-1],
-        "servers": {names[s.id]: _server(s) for s in gateway.servers.values() if s.id in names},
+        "servers": {
+            server_ids[server.id]: _write_server(server)
+            for server in gateway.servers.values()
+            if server.id in server_ids
+        },
         "latency": gateway.latency,
         "pool": gateway.pool,
         "retries": gateway.retries,
@@ -50,83 +87,153 @@
         "started_at": gateway.started_at,
         "marks": gateway.marks,
         "fresh": gateway.fresh,
-        "quick": {kind: [names[n] for n in known if n in names] for kind, known in gateway.quick.items()},
+        "quick": {
+            class_name: [server_ids[number] for number in servers if number in server_ids]
+            for class_name, servers in gateway.quick.items()
+        },
     }
 
 
-def _customer(gateway: Gateway, customer: Customer, reserved: Mapping[tuple[str, str], float]) -> list[Any]:
-    row = [getattr(customer, name) for name in FIGURES]
-    row[FIGURES.index("ceiling")] -= reserved.get(customer.key, 0.0)
-    row[FIGURES.index("elsewhere")] = gateway.hand.places(customer)
-    return [*customer.key, *row]
-
-
-def _server(server: Server) -> Document:
-    return {
-        "ratio": server.ratio,
-        "ratio_at": server.ratio_at,
-        "queue": server.queue,
-        "queue_at": server.queue_at,
-        "marks": server.marks,
-        "phase": server.phase,
-        "back": server.back,
-        "owed_at": server.owed_at,
-        "started": server.started,
+def load(gateway: Gateway, document: Document, server_numbers: Mapping[str, int]) -> None:
+    """Continue from a document. Raises ValueError, KeyError, TypeError or AttributeError if it is none."""
+    customers = _read_customers(gateway, document["customers"])
+    latency = {
+        class_name: _number(document["latency"].get(class_name, mean))
+        for class_name, mean in gateway.latency.items()
     }
-
-
-def load(gateway: Gateway, document: Document, numbers: Mapping[str, int]) -> None:
-    """Go on from a document. Raises ValueError, KeyError, TypeError or AttributeError if it is none."""
-    customers: OrderedDict[Key, Customer] = OrderedDict()
-    for plan, name, *row in document["customers"]:
-        if plan in gateway.plans:
-            made = Customer((str(plan), str(name)), 0.0, 0.0, gateway.epochs.epoch)
-            if len(row) < len(FIGURES):
-                raise ValueError("a customer's row that breaks off")
-            for field, value in zip(FIGURES, row, strict=False):
-                setattr(made, field, _number(value))
-            made.span = max(1, int(made.width))
-            made.elsewhere = int(made.elsewhere)
-            # The process before may have gone by other settings: no share is larger than it is here.
-            made.width = min(made.span, gateway.gateways)
-            made.ceiling = min(made.ceiling, gateway.plans[plan].ceiling_burst / made.width)
-            customers[made.key] = made
-    latency = {kind: _number(document["latency"].get(kind, mean)) for kind, mean in gateway.latency.items()}
     servers = {
-        numbers[name]: _read_server(row)
-        for name, row in document["servers"].items()
-        if numbers.get(name) in gateway.servers
+        server_numbers[server_id]: _read_server(row)
+        for server_id, row in document["servers"].items()
+        if server_numbers.get(server_id) in gateway.servers
     }
-    marks = _marks(document["marks"])
-    figures = [_number(document[name]) for name in ("pool", "retries", "sends", "started_at")]
-    quick = {
-        kind: [numbers[name] for name in document["quick"].get(kind, ()) if name in numbers]
-        for kind in gateway.quick
+    failure_records = _read_failure_records(document["marks"])
+    concurrency_limit = _number(document["pool"])
+    retry_tokens = _number(document["retries"])
+    attempts_started = int(_number(document["sends"]))
+    started_at_ms = _number(document["started_at"])
+    quick_servers = {
+        class_name: [
+            server_numbers[server_id]
+            for server_id in document["quick"].get(class_name, ())
+            if server_id in server_numbers
+        ]
+        for class_name in gateway.quick
     }
-    fresh = {
-        str(name): (_number(level), _number(at))
-        for name, (level, at, *_) in document.get("fresh", {}).items()
+    unseen_levels = {
+        str(plan): (_number(level), _number(at))
+        for plan, (level, at, *_) in document.get("fresh", {}).items()
     }
+
     # All of it could be read: from here on nothing fails.
-    gateway.fresh = fresh
+    gateway.fresh = unseen_levels
     gateway.customers = customers
     gateway.latency = latency
-    gateway.marks = marks
-    gateway.pool = figures[0]
-    gateway.retries = figures[1]
-    gateway.started_at = figures[3]
-    gateway.sends = int(figures[2])
-    for number, row in servers.items():
-        server = gateway.servers[number]
-        started = max(server.started, row.pop("started") if row["back"] else 0.0)
-        for field, value in row.items():
-            setattr(server, field, value)
-        server.started = started
-    for kind, known in quick.items():
-        gateway.quick[kind] = {n: gateway.servers[n] for n in known if n in gateway.servers}
+    gateway.marks = failure_records
+    gateway.pool = concurrency_limit
+    gateway.retries = retry_tokens
+    gateway.sends = attempts_started
+    gateway.started_at = started_at_ms
+    for number, state in servers.items():
+        state.apply(gateway.servers[number])
+    for class_name, numbers in quick_servers.items():
+        gateway.quick[class_name] = {
+            number: gateway.servers[number] for number in numbers if number in gateway.servers
+        }
     gateway.lists.relist()
 
 
+def _write_customer(
+    gateway: Gateway, customer: Customer, reserved_units: Mapping[CustomerKey, float]
+) -> list[Any]:
+    """A customer's row, in the order of ``CUSTOMER_COLUMNS``."""
+    return [
+        *customer.key,
+        customer.excess_milliunits,
+        customer.excess_updated_ms,
+        customer.largest_request_units,
+        customer.serving_gateways,
+        customer.metered_use_ratio,
+        customer.metered_use_at_ms,
+        customer.ceiling_level_units - reserved_units.get(customer.key, 0.0),
+        customer.ceiling_updated_ms,
+        customer.demand_units,
+        customer.demand_updated_ms,
+        gateway.hand.places(customer),
+    ]
+
+
+def _read_customers(gateway: Gateway, rows: Iterable[Any]) -> OrderedDict[CustomerKey, Customer]:
+    """Customers of the plans that this process knows, in the order of their rows."""
+    customers: OrderedDict[CustomerKey, Customer] = OrderedDict()
+    for plan, name, *columns in rows:
+        if plan in gateway.plans:
+            customer = _read_customer(gateway, (str(plan), str(name)), columns)
+            customers[customer.key] = customer
+    return customers
+
+
+def _read_customer(gateway: Gateway, key: CustomerKey, columns: list[Any]) -> Customer:
+    if len(columns) < len(CUSTOMER_COLUMNS):
+        raise ValueError("a customer's row that breaks off")
+    (
+        excess,
+        excess_updated,
+        largest_request,
+        gateways,
+        metered_use,
+        metered_use_at,
+        ceiling_level,
+        ceiling_updated,
+        demand,
+        demand_updated,
+        in_flight,
+    ) = map(_number, columns[: len(CUSTOMER_COLUMNS)])
+    customer = Customer(key, 0.0, 0.0, gateway.epochs.epoch)
+    customer.excess_milliunits = excess
+    customer.excess_updated_ms = excess_updated
+    customer.largest_request_units = largest_request
+    customer.metered_use_ratio = metered_use
+    customer.metered_use_at_ms = metered_use_at
+    customer.ceiling_updated_ms = ceiling_updated
+    customer.demand_units = demand
+    customer.demand_updated_ms = demand_updated
+    customer.peer_in_flight = int(in_flight)
+    # The process before may have gone by other settings: no quota share is larger than it is here.
+    customer.requested_gateways = max(1, int(gateways))
+    customer.serving_gateways = min(customer.requested_gateways, gateway.gateways)
+    largest_share = gateway.plans[key[0]].ceiling_burst / customer.serving_gateways
+    customer.ceiling_level_units = min(ceiling_level, largest_share)
+    return customer
+
+
+def _write_server(server: Server) -> Document:
+    return {
+        "ratio": server.latency_ratio,
+        "ratio_at": server.latency_ratio_at,
+        "queue": server.reported_queue,
+        "queue_at": server.reported_queue_at,
+        "marks": server.failure_records,
+        "phase": server.slow_start_phase,
+        "back": server.restored_ms,
+        "owed_at": server.must_be_used_by_ms,
+        "started": server.started_ms,
+    }
+
+
+def _read_server(row: Document) -> ServerState:
+    return ServerState(
+        latency_ratio=_number(row["ratio"]),
+        latency_ratio_at=_moment(row["ratio_at"]),
+        reported_queue=_number(row["queue"]),
+        reported_queue_at=_moment(row["queue_at"]),
+        failure_records=_read_failure_records(row["marks"]),
+        slow_start_phase=_number(row["phase"]),
+        restored_ms=_number(row["back"]),
+        must_be_used_by_ms=_number(row["owed_at"]),
+        started_ms=_number(row["started"]),
+    )
+
+
 def _number(value: Any) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)) or isnan(value):
         raise ValueError(f"{value!r} is no number")
@@ -134,21 +241,12 @@
 
 
 def _moment(value: Any) -> Moment:
-    at, sends, *_ = value
-    return _number(at), int(_number(sends))
+    at_ms, attempts_started, *_ = value
+    return _number(at_ms), int(_number(attempts_started))
 
 
-def _marks(rows: Any) -> dict[str, Mark]:
+def _read_failure_records(rows: Any) -> dict[str, FailureRecord]:
     return {
-        str(key): (_number(bad), _number(seen), _moment(then)) for key, (bad, seen, then, *_) in rows.items()
-    }
-
-
-def _read_server(row: Document) -> Document:
-    names = ("ratio", "queue", "phase", "back", "owed_at", "started")
-    read: Document = {name: _number(row[name]) for name in names}
-    return read | {
-        "ratio_at": _moment(row["ratio_at"]),
-        "queue_at": _moment(row["queue_at"]),
-        "marks": _marks(row["marks"]),
+        str(key): (_number(failures), _number(outcomes), _moment(recorded_at))
+        for key, (failures, outcomes, recorded_at, *_) in rows.items()
     }
--- a/tests/test_discovery_herd.py
+++ b/tests/test_discovery_herd.py
@@ -21,7 +21,7 @@
 
 
 def out(rig: Rig) -> int:
-    return sum(len(server.out) for server in rig.gateway.servers.values())
+    return sum(len(server.attempts_in_flight) for server in rig.gateway.servers.values())
 
 
 def test_gateways_that_start_at_once_put_little_out_before_anything_is_known():
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -96,8 +96,8 @@
         if isinstance(action, PeerUsage):
             new.do(action)
     (customer,) = new.gateway.customers.values()
-    assert customer.used == 0.7
-    assert customer.excess == old.gateway.customers["metered", "c"].excess > 1000.0
+    assert customer.metered_use_ratio == 0.7
+    assert customer.excess_milliunits == old.gateway.customers["metered", "c"].excess_milliunits > 1000.0
 
 
 def test_server_known_to_fail_before_is_doubted_after_and_one_put_back_is_still_cold():
@@ -114,8 +114,8 @@
     old.do(ServerAdminDown(2, False))
     new = next_rig(old)
     one, two = new.gateway.servers[11], new.gateway.servers[12]
-    assert one.marks == old.gateway.servers[1].marks and one.marks
-    assert two.started == old.gateway.servers[2].started > 0.0
+    assert one.failure_records == old.gateway.servers[1].failure_records and one.failure_records
+    assert two.started_ms == old.gateway.servers[2].started_ms > 0.0
 
 
 @pytest.mark.parametrize(
@@ -129,7 +129,7 @@
         (("marks",), {"a": [1]}),
         (("latency",), None),
         (("quick",), []),
-        (("customers",), [["metered", "c", *["x"] * len(state_document.FIGURES)]]),
+        (("customers",), [["metered", "c", *["x"] * len(state_document.CUSTOMER_COLUMNS)]]),
     ],
 )
 def test_document_that_is_none_is_an_error_and_changes_nothing(path, value):
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -74,7 +74,7 @@
             assert await peer.reply() == VALUE
             assert await peer.ask(call(2)) == b"v"
             assert len(server.writers) == 1 and not gateway.driver.calls and not gateway.servers.passing
-            assert [c.used for c in gateway.driver.gateway.customers.values()] == [0.4]
+            assert [c.metered_use_ratio for c in gateway.driver.gateway.customers.values()] == [0.4]
 
     run(test())
 
@@ -286,7 +286,7 @@
     rig.run(10_000.0)
     assert len(rig.sent[name]) == 1 and name not in rig.answers
     rig.do(AttemptEnded(name, 0, rig.sent[name][0], Status.RESET, 10_000.0, closed=True))
-    assert len(rig.sent[name]) == 1 and not rig.gateway.flights
+    assert len(rig.sent[name]) == 1 and not rig.gateway.pending_requests
 
 
 def test_slow_client_does_not_make_its_server_look_slow(rig):
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -29,7 +29,7 @@
 from quota_gateway.policy.rate_ceiling import Ceilings
 from quota_gateway.policy.retry_policy import group, harmless
 from quota_gateway.policy.slow_start import Cold
-from quota_gateway.state import Context, Customer, Fleet, Flight, Server
+from quota_gateway.state import Context, Customer, Fleet, PendingRequest, Server
 
 RECORDINGS = Path(__file__).parent / "recordings"
 METERED, CAPPED = (next(p for p in SETTINGS.plans if p.name == name) for name in ("metered", "only-cap"))
@@ -41,9 +41,9 @@
     return made
 
 
-def flight(kind: RequestClass, now=1000.0, turn=0.5, name="r") -> Flight:
+def pending(kind: RequestClass, now=1000.0, turn=0.5, name="r") -> PendingRequest:
     request = Request(name, kind.name, "free", "c", 4000.0)
-    return Flight(request, kind, Plan("free"), Customer(("free", "c"), now, 0.0, 0), now, turn, 0)
+    return PendingRequest(request, kind, Plan("free"), Customer(("free", "c"), now, 0.0, 0), now, turn, 0)
 
 
 # ---- Each decision without the others
@@ -51,7 +51,7 @@
 
 def test_the_meter_holds_then_refuses_and_drains():
     meter, customer = Meter(context()), Customer(("metered", "c"), 0.0, 0.0, 0)
-    customer.width, customer.largest = 2, 1.0
+    customer.serving_gateways, customer.largest_request_units = 2, 1.0
     holds = [meter.take(customer, METERED, 1.0, 0.0) for _ in range(9)]  # a slice of 5 a second, burst 4
     assert holds == [0.0] * 4 + [200.0, 400.0, 600.0, 800.0, float("inf")]
     assert meter.advice(customer, METERED, 1.0, 0.0) == 1000.0 and not meter.as_new(customer, METERED, 1599.0)
@@ -62,20 +62,20 @@
     made = context(now=0.0)
     ceilings = Ceilings(made, Meter(made))
     plan = Plan("x", ceiling_rate=10.0, ceiling_burst=20.0, max_in_flight=1)
-    waiting = flight(SETTINGS.classes[0])
+    waiting = pending(SETTINGS.classes[0])
     waiting.plan, waiting.customer = plan, Customer(("x", "c"), 0.0, ceilings.fresh_level(plan, 1, 0.0), 0)
     assert ceilings.wait(waiting, 0.0) == 100.0 and ceilings.wait(waiting, 100.0) == 0.0
     ceilings.draw(waiting, 100.0)
     assert ceilings.level(waiting.customer, plan, 100.0) == 0.0
     assert not ceilings.capped(waiting, 0.0)
-    waiting.customer.out = 1
+    waiting.customer.attempts_in_flight = 1
     assert ceilings.capped(waiting, 0.0)
 
 
 def test_health_tells_a_class_from_a_server_and_forgets():
     made = context()
     health, bad, good = Health(made), Server(entry(1), 0.1), Server(entry(2), 0.2)
-    one, other = (flight(kind) for kind in SETTINGS.classes[:2])
+    one, other = (pending(kind) for kind in SETTINGS.classes[:2])
     for _ in range(4):
         health.judge(one, bad, Status.ERROR)
         health.judge(one, good, Status.OK)
@@ -116,8 +116,8 @@
     kind = RequestClass(
         "k", 1000.0, 4000.0, effect, idempotency_scope=scopes[scope], idempotency_window_ms=3000.0
     )
-    made = flight(kind)
-    made.maybe_ran = (Server(entry(1, "b", cell=7), 0.0), 1000.0) if first else None
+    made = pending(kind)
+    made.first_possible_run = (Server(entry(1, "b", cell=7), 0.0), 1000.0) if first else None
     assert group(made, 1000.0 + age) == wanted and harmless(made) is told
 
 
@@ -147,7 +147,7 @@
         )
     )
     fleet.relist(lambda server: cold.warmth(server) < 1.0)
-    asked, ready = flight(SETTINGS.classes[0], turn=turn), [s for s in fleet.servers.values() if s.ready]
+    asked, ready = pending(SETTINGS.classes[0], turn=turn), [s for s in fleet.servers.values() if s.is_ready]
     tried = {n for n in range(size) if made.random.random() < 0.1}
     for key in [(), ("a",), ("b", 1), ("c",)]:
         wanted = [s for s in ready if s.id not in tried and key == (s.zone, s.cell)[: len(key)]]
@@ -220,8 +220,10 @@
     for number in range(3000):
         made.begin(100.0 * number)
         found = book.find(Request(str(number), "safe", "metered", f"c{number}", 1000.0, 1.0), METERED)
-        found.held = 1 if number % 1000 == 0 else 0  # one that waits for hours stops nobody else's row
-    held = [customer.key[1] for customer in book.known.values() if customer.held]
+        found.pending_count = (
+            1 if number % 1000 == 0 else 0
+        )  # one that waits for hours stops nobody else's row
+    held = [customer.key[1] for customer in book.known.values() if customer.pending_count]
     assert sorted(held) == ["c0", "c1000", "c2000"] and 40 <= len(book.known) <= 48
 
 
@@ -243,9 +245,9 @@
     rig.finish(name, Status.RESET)  # resent under its own class, which is gone: within its zone, by its key
     assert len(rig.sent[name]) == 2 and (rig.sent[name][1] == 3) == (zone == "b")
     (mine,) = (c for c in rig.gateway.customers.values() if c.key[0] == "only-cap")
-    assert mine.strict and mine.strict.max_in_flight == 2
+    assert mine.transition_plan and mine.transition_plan.max_in_flight == 2
     rig.finish(name)
-    assert mine.strict is None and rig.answers[name] == "Ok"
+    assert mine.transition_plan is None and rig.answers[name] == "Ok"
 
 
 def test_what_a_process_of_the_version_before_wrote_is_read():
@@ -256,11 +258,21 @@
     rig = Rig(replace(SETTINGS, plans=plans, classes=classes, gateways=6))
     rig.servers(*(entry(number) for number in names.values()))
     state_document.load(rig.gateway, document, names)
-    columns = ("excess", "touched", "largest", "width", "used", "used_at", "asked", "asked_at", "elsewhere")
-    kept = [state_document.FIGURES.index(name) + 2 for name in columns]
+    columns = {
+        "excess": "excess_milliunits",
+        "touched": "excess_updated_ms",
+        "largest": "largest_request_units",
+        "width": "serving_gateways",
+        "used": "metered_use_ratio",
+        "used_at": "metered_use_at_ms",
+        "asked": "demand_units",
+        "asked_at": "demand_updated_ms",
+        "elsewhere": "peer_in_flight",
+    }
+    kept = [state_document.CUSTOMER_COLUMNS.index(name) + 2 for name in columns]
     rows = {tuple(row[:2]): [row[place] for place in kept] for row in document["customers"]}
     assert {
-        key: [getattr(one, name) for name in columns] for key, one in rig.gateway.customers.items()
+        key: [getattr(one, name) for name in columns.values()] for key, one in rig.gateway.customers.items()
     } == rows
     assert list(rig.gateway.customers) == [tuple(row[:2]) for row in document["customers"]]
     assert rig.gateway.pool == document["pool"] and rig.gateway.latency == document["latency"]
@@ -282,7 +294,7 @@
     )
     cold, fleet = new.gateway.warming, new.gateway.fleet
     for turn in (number / 500 for number in range(500)):
-        asked = flight(SETTINGS.classes[0], turn=turn)
+        asked = pending(SETTINGS.classes[0], turn=turn)
         turns = [server for server in fleet.cold if cold.in_turn(asked, server, 60)]
         near = fleet.in_phase((1.0 - turn) % 1.0, cold.widest_turn(60))
         assert [server for server in near if cold.in_turn(asked, server, 60)] == turns
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -73,7 +73,7 @@
             decisions.gateways,
             decisions.pool,
             decisions.epochs.epoch,
-            {k: (c.excess, c.touched) for k, c in decisions.customers.items()},
+            {k: (c.excess_milliunits, c.excess_updated_ms) for k, c in decisions.customers.items()},
             clients.commands,
             clients.most_connections,
             servers.readings,
@@ -135,7 +135,7 @@
             assert made.reload.revision == before + 100
             assert len(answers) >= 4 and all(answer == b"%016x" % number for number, answer in answers)
             assert len({number for number, _ in answers}) == len(answers)
-            assert not made.driver.calls and not made.driver.gateway.flights
+            assert not made.driver.calls and not made.driver.gateway.pending_requests
 
     run(test())
 
@@ -291,7 +291,7 @@
             assert (await made.tell("RELOAD")).startswith("YES")
             assert (await made.tell("ROLLBACK")).startswith("YES")
             (customer,) = made.driver.gateway.customers.values()
-            assert customer.excess > 3990.0
+            assert customer.excess_milliunits > 3990.0
             assert [await peer.ask(call(number)) for number in range(6, 16)][-1] == "-BUSY"
 
     run(test())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -94,7 +94,7 @@
 
 def test_keyed_is_failed_outside_its_window(rig):
     name = rig.ask(class_name="keyed", patience=3900.0)
-    rig.gateway.flights[name].tried.clear()  # the window alone decides
+    rig.gateway.pending_requests[name].tried_servers.clear()  # the window alone decides
     rig.now += 3000.0
     rig.finish(name, Status.ERROR)
     assert len(rig.sent[name]) == 1 and rig.answers[name] == "Fail"
@@ -265,7 +265,7 @@
         name = rig.ask(patience=100.0)
         rig.run(100.0)
         rig.finish(name, Status.CANCELLED, latency=98.0)
-    assert not any(server.marks for server in rig.gateway.servers.values())
+    assert not any(server.failure_records for server in rig.gateway.servers.values())
 
 
 def test_an_id_in_hand_is_not_answered_by_its_repeat(rig):
@@ -354,7 +354,9 @@
 def silent(rig: Rig, name: str) -> None:
     rig.run(500.0)  # half of the aim
     rig.finish(name, Status.RESET, latency=500.0)
-    rig.gateway.servers[0].marks.pop("", None)  # what a reset says of the whole server is not meant here
+    rig.gateway.servers[0].failure_records.pop(
+        "", None
+    )  # what a reset says of the whole server is not meant here
 
 
 def full(rig: Rig, name: str) -> None:
@@ -399,8 +401,8 @@
 def test_of_a_large_fleet_few_servers_are_compared():
     rig, compared = fleet(300), []
     cost = rig.gateway.choice.cost
-    rig.gateway.choice.cost = lambda flight, server, priors: (
-        compared.append(server) or cost(flight, server, priors)
+    rig.gateway.choice.cost = lambda pending, server, priors: (
+        compared.append(server) or cost(pending, server, priors)
     )
     for _ in range(50):
         rig.finish(rig.ask())
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -42,12 +42,12 @@
 def test_excess_drains_at_the_old_rate_up_to_the_change_and_at_the_new_one_after_it():
     rig = a_rig(QUOTA)
     sent(rig, 4, plan="q")
-    assert customer(rig).excess == 4000.0
+    assert customer(rig).excess_milliunits == 4000.0
     rig.run(1000.0)  # the slice drains 1 unit a second
     tell(rig, plans=(replace(QUOTA, rate=4.0),))
     rig.run(500.0)  # and 2 units a second now
     rig.ask(plan="q", units=0.5)
-    assert customer(rig).excess == pytest.approx(4000.0 - 1000.0 - 1000.0 + 500.0)
+    assert customer(rig).excess_milliunits == pytest.approx(4000.0 - 1000.0 - 1000.0 + 500.0)
 
 
 def test_nobody_gets_a_fresh_burst_however_often_the_settings_change():
@@ -60,7 +60,7 @@
         changing.run(10.0)
     names = [len(sent(rig, 20, plan="q")) for rig in (plain, changing)]
     assert names[0] == names[1] < 20
-    assert customer(plain).excess == pytest.approx(customer(changing).excess)
+    assert customer(plain).excess_milliunits == pytest.approx(customer(changing).excess_milliunits)
 
 
 def test_plan_that_goes_and_comes_back_finds_its_customers_as_they_were():
@@ -73,7 +73,7 @@
     rig.run(480.0)
     tell(rig, plans=(QUOTA, Plan("other")))
     rig.ask(plan="q", units=1.0)
-    assert customer(rig).excess == pytest.approx(4000.0 - 500.0 + 1000.0)
+    assert customer(rig).excess_milliunits == pytest.approx(4000.0 - 500.0 + 1000.0)
 
 
 def test_state_of_idle_customers_is_caught_up_in_steps_and_comes_to_the_same():
@@ -84,13 +84,13 @@
             rig.finish(name)
     held = list(rig.gateway.customers.values())
     tell(rig, plans=(replace(QUOTA, rate=1.0),))
-    assert sum(one.epoch == 1 for one in held) == 0  # none is touched in the step of the change
+    assert sum(one.settings_epoch == 1 for one in held) == 0  # none is touched in the step of the change
     tell(rig, plans=(replace(QUOTA, rate=0.5),))
     rig.run(4.0)
-    assert 0 < sum(one.epoch == 2 for one in held) < count
+    assert 0 < sum(one.settings_epoch == 2 for one in held) < count
     rig.run(1000.0)
-    assert all(one.epoch == 2 for one in held) and not rig.gateway.epochs.past
-    assert {one.excess for one in held} == {2000.0} and len(held) == count
+    assert all(one.settings_epoch == 2 for one in held) and not rig.gateway.epochs.past
+    assert {one.excess_milliunits for one in held} == {2000.0} and len(held) == count
 
 
 def test_what_is_remembered_of_plans_and_changes_is_bounded():
@@ -109,7 +109,9 @@
     assert len(gateway.customers) <= customers.MOST_RETIRED + 1
     tell(rig)
     assert len(gateway.latency) == len(gateway.quick) == len(CLASSES) + 1
-    assert all(len(marks) <= 20 for marks in [gateway.marks, *(s.marks for s in gateway.servers.values())])
+    assert all(
+        len(marks) <= 20 for marks in [gateway.marks, *(s.failure_records for s in gateway.servers.values())]
+    )
 
 
 # ---- What is in hand
@@ -133,7 +135,9 @@
     rig.run(600.0)
     assert waiting in rig.sent
     rig.finish(waiting)
-    assert {rig.answers[name] for name in (*out, *held, waiting)} == {"Ok"} and not rig.gateway.flights
+    assert {rig.answers[name] for name in (*out, *held, waiting)} == {
+        "Ok"
+    } and not rig.gateway.pending_requests
 
 
 def test_class_removed_or_of_another_effect_leaves_what_is_in_hand_as_it_was_taken():
@@ -152,7 +156,7 @@
     assert len(rig.sent[two]) == 2
     rig.finish(two)
     rig.run(5000.0)
-    assert rig.answers[two] == "Ok" and not rig.gateway.flights
+    assert rig.answers[two] == "Ok" and not rig.gateway.pending_requests
 
 
 def test_ceiling_halved_with_attempts_out_holds_for_all_that_still_comes():
@@ -172,9 +176,9 @@
     (name,) = sent(rig, 1, plan="q")
     tell(rig, plans=(replace(CEILING, ceiling_rate=100.0, ceiling_burst=200.0),))
     rig.run(1000.0)
-    assert customer(rig).strict.ceiling_burst == 20.0
+    assert customer(rig).transition_plan.ceiling_burst == 20.0
     rig.finish(name)
-    assert customer(rig).strict is None
+    assert customer(rig).transition_plan is None
     assert len(sent(rig, 11, plan="q")) == 10  # what the old one had filled, and no more
     rig.run(200.0)
     assert len(rig.sent) == 12
@@ -190,10 +194,12 @@
     for name in names + more:
         rig.finish(name)
     rig.run(10.0)
-    assert sum(len(flight.out) for flight in rig.gateway.flights.values()) <= cap // 2
+    assert (
+        sum(len(pending.attempts_in_flight) for pending in rig.gateway.pending_requests.values()) <= cap // 2
+    )
     for name in [name for name in rig.sent if name not in rig.answers]:
         rig.finish(name)
-    while rig.gateway.flights:
+    while rig.gateway.pending_requests:
         for name in [name for name in rig.sent if name not in rig.answers]:
             rig.finish(name)
         rig.run(1.0)
@@ -208,13 +214,13 @@
     assert len(sent(rig, 20, plan="q", width=8)) == 2
     pool = rig.gateway.pool
     tell(rig, gateways=8)
-    assert customer(rig).width == 8 and rig.gateway.pool == pool / 2
+    assert customer(rig).serving_gateways == 8 and rig.gateway.pool == pool / 2
     tell(rig, gateways=2)
     rig.run(settings_change.SETTLE_MS - 1.0)
     rig.ask(plan="q", width=8)
-    assert customer(rig).width == 8
+    assert customer(rig).serving_gateways == 8
     rig.run(1.0)
-    assert customer(rig).width == 2 and rig.gateway.pool == pytest.approx(pool * 2)
+    assert customer(rig).serving_gateways == 2 and rig.gateway.pool == pytest.approx(pool * 2)
 
 
 def test_another_change_before_the_others_have_heard_begins_the_wait_anew():
@@ -304,7 +310,9 @@
     state_document.load(new.gateway, document, {"s-1": 1, "s-2": 2})
     found = new.gateway.customers
     assert set(found) == {("q", "q"), ("c", "c")}
-    assert found["q", "q"].excess == 0.0 and found["c", "c"].ceiling == 2.0  # of 4, shared by two
+    assert (
+        found["q", "q"].excess_milliunits == 0.0 and found["c", "c"].ceiling_level_units == 2.0
+    )  # of 4, shared by two
 
 
 def test_a_way_back_after_taking_over_keeps_what_has_been_used():
@@ -319,7 +327,7 @@
     )
     tell(new, plans=(replace(QUOTA, rate=8.0),))
     tell(new, plans=(QUOTA,))
-    assert customer(new).excess == 4000.0
+    assert customer(new).excess_milliunits == 4000.0
     assert len(sent(new, 20, plan="q")) == 0
 
 
