--- /dev/null
+++ b/quota_gateway/errors.py
@@ -0,0 +1,31 @@
+"""The package's errors: one tree, so that an edge can catch what it maps and nothing else.
+
+Each message tells what failed, where, and what is done about it. Errors of the socket library are mapped to
+these where the socket is used.
+"""
+
+from __future__ import annotations
+
+
+class GatewayError(Exception):
+    """Base of every error that this package raises."""
+
+
+class ConfigurationError(GatewayError, ValueError):
+    """A configuration that can't be used; the one in force stays."""
+
+
+class ProtocolError(GatewayError, ValueError):
+    """A peer's bytes are not the protocol; its connection is closed or its message rejected."""
+
+
+class PeerProcessError(GatewayError):
+    """The other process of this gateway sent what is no message, or broke off; this one goes on alone."""
+
+
+class DiscoveryError(GatewayError):
+    """Discovery can't be reached or its answer can't be used; the list that is known stays in use."""
+
+
+class RestartError(GatewayError):
+    """Nothing could be taken over from the process before; this one starts with empty state."""
