--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -6,7 +6,7 @@
 from quota_gateway.policy.concurrency_limit import Pressure
 from quota_gateway.policy.hot_restart import Handover
 from quota_gateway.policy.retry_policy import harmless
-from quota_gateway.state import Context, Customer, PendingRequest, Tally
+from quota_gateway.state import Context, Customer, OutcomeCounters, PendingRequest
 
 ANSWER_TICKS = 2.0  # ticks before the client's deadline of the last answer: one to fire, one to spare
 TALLY_MS = 5000.0  # between two lines that tell what was given up, and why
@@ -23,7 +23,7 @@
         self.customers = handover.customers
         self.meter = handover.customers.meter
         self.ends_at = inf  # of this gateway
-        self.tally = Tally(TALLY_MS)
+        self.tally = OutcomeCounters(TALLY_MS)
 
     def refuse(self, request_id: str, advice_ms: float) -> None:
         """Refuse, with the advice to come again after so long, where the settings allow to give any."""
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -4,8 +4,9 @@
 from quota_gateway.state.customer import Customer
 from quota_gateway.state.endpoints import Fleet, Group
 from quota_gateway.state.estimates import Latencies, Reports, Shares
+from quota_gateway.state.give_up_reason import GiveUpReason
 from quota_gateway.state.in_flight import InFlightRequests
-from quota_gateway.state.outcome_counters import Tally
+from quota_gateway.state.outcome_counters import OutcomeCounters
 from quota_gateway.state.pending_request import PendingRequest
 from quota_gateway.state.records import CustomerKey, FailureRecord, Moment
 from quota_gateway.state.server import Server
@@ -27,6 +28,7 @@
     "Reports",
     "Server",
     "Shares",
-    "Tally",
+    "OutcomeCounters",
+    "GiveUpReason",
     "Views",
 ]
--- /dev/null
+++ b/quota_gateway/state/give_up_reason.py
@@ -0,0 +1,44 @@
+"""Why a request was given up: rejected or failed by this gateway, without a server's response."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+
+from quota_gateway.api import Status
+
+
+class GiveUpReason(StrEnum):
+    """Reasons as they appear in the log line and as keys of ``reasons`` in the admin endpoint's figures.
+
+    Operators' scripts read the values: a member may be renamed, its value may not.
+    """
+
+    # By the customer's limits, as the request arrived or as it was about to be sent.
+    THIN_SHARE_RETRY = "thin"  # a retry of a customer whose quota share is below one request
+    OVER_QUOTA = "quota"
+    OVER_CONCURRENCY_CAP = "cap"
+    OVER_RATE_CEILING = "ceiling"
+
+    # While it was queued.
+    QUEUE_FULL = "crowded"
+    QUEUED_FOR_CONCURRENCY_CAP = "waited: cap"
+    QUEUED_FOR_RATE_CEILING = "waited: ceiling"
+    QUEUED_FOR_CONCURRENCY_LIMIT = "waited: pool"
+
+    # By this gateway's life or the request's own.
+    GATEWAY_DRAINED = "drained"
+    DEADLINE_EXCEEDED = "deadline"
+
+    # By how its last attempt ended.
+    ATTEMPT_ERROR = "error"
+    ATTEMPT_OVERLOADED = "full"
+    ATTEMPT_TIMEOUT = "timeout"
+    ATTEMPT_CONNECT_FAILED = "connect_failed"
+    ATTEMPT_RESET = "reset"
+    ATTEMPT_CANCELLED = "cancelled"
+    ATTEMPT_NOT_SENT = "not_sent"
+
+    @classmethod
+    def of_attempt(cls, status: Status) -> GiveUpReason:
+        """Reason for a request whose last attempt ended so. Raises ValueError for ``Status.OK``."""
+        return cls(status.value)
--- a/quota_gateway/state/outcome_counters.py
+++ b/quota_gateway/state/outcome_counters.py
@@ -1,4 +1,4 @@
-"""Counts for the log."""
+"""Counters of requests that were given up, for the log and the admin endpoint."""
 
 from __future__ import annotations
 
@@ -6,23 +6,31 @@
 from math import inf
 
 
-class Tally:
-    """Counts by reason and name, told in one text now and then. As many keys as reasons times names."""
+class OutcomeCounters:
+    """Counts by reason and plan, written to the log in one line every few seconds.
 
-    def __init__(self, every_ms: float) -> None:
-        self.every_ms = every_ms
-        self.at = -inf
-        self.counts: dict[tuple[str, str], int] = {}
+    Bounded by the number of reasons times the number of plans.
+    """
+
+    def __init__(self, log_interval_ms: float) -> None:
+        self.log_interval_ms = log_interval_ms
+        self.last_logged_ms = -inf
+        self.counts: dict[tuple[str, str], int] = {}  # by reason and plan, since the last log line
         self.totals: Counter[str] = Counter()  # by reason, since the start
 
-    def add(self, why: str, name: str, now: float, since: float) -> str:
-        """Count one; the text of all that were counted once the time has come, else nothing."""
-        self.totals[why] += 1
-        self.counts[why, name] = self.counts.get((why, name), 0) + 1
-        self.at = max(self.at, since)
-        if now - self.at < self.every_ms:
+    def add(self, reason: str, plan_name: str, now_ms: float, started_ms: float) -> str:
+        """Count one request; returns the text of a log line once the interval has passed, else "".
+
+        ``started_ms`` is the time of this gateway's first event: the first interval begins there.
+        """
+        self.totals[reason] += 1
+        self.counts[reason, plan_name] = self.counts.get((reason, plan_name), 0) + 1
+        self.last_logged_ms = max(self.last_logged_ms, started_ms)
+        if now_ms - self.last_logged_ms < self.log_interval_ms:
             return ""
-        self.at = now
-        text = ", ".join(f"{why} {name} {n}" for (why, name), n in sorted(self.counts.items()))
+        self.last_logged_ms = now_ms
+        text = ", ".join(
+            f"{reason} {plan_name} {count}" for (reason, plan_name), count in sorted(self.counts.items())
+        )
         self.counts.clear()
         return text
--- a/quota_gateway/state/views.py
+++ b/quota_gateway/state/views.py
@@ -48,7 +48,7 @@
     retries = _alias("attempts.retries")
     handed = _alias("handover.handed")
     pooled = _alias("reports.linking")
-    tally_at = _alias("answers.tally.at")
+    tally_at = _alias("answers.tally.last_logged_ms")
     tally = _alias("answers.tally")
     tokens = _alias("context.tokens")
     drains = _alias("operators.drains")
--- /dev/null
+++ b/tests/test_outcome_counters.py
@@ -0,0 +1,60 @@
+"""Counters of requests given up: operators read their texts; their log line is rate-limited."""
+
+import json
+from collections import Counter
+
+import pytest
+
+from quota_gateway import Status
+from quota_gateway.state import GiveUpReason, OutcomeCounters
+
+
+def test_texts_of_the_reasons_are_those_that_operators_scripts_read():
+    assert {reason.value for reason in GiveUpReason} == {
+        "thin",
+        "quota",
+        "cap",
+        "ceiling",
+        "crowded",
+        "waited: cap",
+        "waited: ceiling",
+        "waited: pool",
+        "drained",
+        "deadline",
+        "error",
+        "full",
+        "timeout",
+        "connect_failed",
+        "reset",
+        "cancelled",
+        "not_sent",
+    }
+
+
+@pytest.mark.parametrize("status", [status for status in Status if status is not Status.OK])
+def test_every_failed_attempt_has_a_reason_with_its_status_text(status):
+    assert GiveUpReason.of_attempt(status).value == status.value
+
+
+def test_an_attempt_that_was_served_is_no_reason():
+    with pytest.raises(ValueError, match="ok"):
+        GiveUpReason.of_attempt(Status.OK)
+
+
+def test_line_comes_once_an_interval_and_counts_what_came_since_the_last():
+    counters = OutcomeCounters(log_interval_ms=5000.0)
+    assert counters.add(GiveUpReason.OVER_QUOTA, "basis", now_ms=1000.0, started_ms=1000.0) == ""
+    assert counters.add(GiveUpReason.OVER_QUOTA, "basis", now_ms=5999.0, started_ms=1000.0) == ""
+    line = counters.add(GiveUpReason.QUEUE_FULL, "campus", now_ms=6000.0, started_ms=1000.0)
+    assert line == "crowded campus 1, quota basis 2"
+    assert counters.add(GiveUpReason.QUEUE_FULL, "campus", now_ms=6001.0, started_ms=1000.0) == ""
+    line = counters.add(GiveUpReason.QUEUE_FULL, "campus", now_ms=11_000.0, started_ms=1000.0)
+    assert line == "crowded campus 2"
+
+
+def test_totals_are_kept_over_lines_and_written_by_their_texts():
+    counters = OutcomeCounters(log_interval_ms=0.0)
+    for _ in range(3):
+        counters.add(GiveUpReason.QUEUED_FOR_CONCURRENCY_LIMIT, "basis", now_ms=1.0, started_ms=0.0)
+    assert counters.totals == Counter({"waited: pool": 3})
+    assert json.dumps(dict(counters.totals)) == '{"waited: pool": 3}'
