--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -6,19 +6,24 @@
 
 from quota_gateway.api import Plan, Request, RequestClass
 from quota_gateway.policy.attempts import Attempts
+from quota_gateway.policy.concurrency_cap import ConcurrencyCap
 from quota_gateway.policy.customers import Customers
+from quota_gateway.policy.quota_meter import Hold, RejectOverQuota
 from quota_gateway.state import Context, Customer, PendingRequest
 
 
 class Admission:
     """Owns who waits for the end of a hold, and who is parked (``InFlightRequests.parked``)."""
 
-    def __init__(self, context: Context, customers: Customers, attempts: Attempts) -> None:
+    def __init__(
+        self, context: Context, customers: Customers, cap: ConcurrencyCap, attempts: Attempts
+    ) -> None:
         self.context = context
         self.customers = customers
         self.attempts = attempts
         self.meter = customers.meter
-        self.ceilings = customers.ceilings
+        self.ceiling = customers.ceiling
+        self.cap = cap
         self.answers = attempts.answers
         self.pressure = attempts.pressure
         self.choice = attempts.choice
@@ -44,33 +49,40 @@
         now = self.context.now
         answers = self.answers
         customer = self.customers.find(event, plan)
-        if event.is_retry and self.meter.thin(customer, plan):
+        if event.is_retry and self.meter.has_thin_share(customer, plan):
             self._refuse(event, customer, plan, "thin")
             return
-        if self.ceilings.overused(customer, plan, now):
+        if self.cap.rejects_for_overuse(customer, plan, now):
             self._refuse(event, customer, plan, "cap")
             return
         turn = self.context.random.random()
         epoch = self.customers.epochs.epoch
         pending = PendingRequest(event, kind, plan, customer, now, turn, epoch)
-        before = customer.excess_milliunits, customer.excess_updated_ms
-        hold = self.meter.take(customer, plan, event.units, now)
-        if hold and hold >= min(event.client_timeout_ms, answers.ends_at - now, self._longest_hold(kind)):
-            customer.excess_milliunits, customer.excess_updated_ms = before
+        self.meter.record_demand(customer, plan, event.units, now)
+        decision = self.meter.decide(customer, plan, event.units, now)
+        if isinstance(decision, RejectOverQuota) or (
+            isinstance(decision, Hold) and self._is_too_long(decision, event, kind)
+        ):
             self._refuse(event, customer, plan, "quota")
             return
+        self.meter.apply(customer, decision, now)
         self.hand.take(pending)
         answers.handover.tell(customer, event.units)
         answers.limit(pending)
-        if hold > 0.0:
+        if isinstance(decision, Hold):
             pending.release_timer_armed = True
-            self.context.arm(hold, self._end_hold, pending)
+            self.context.arm(decision.delay_ms, self._end_hold, pending)
         else:
             self._release(pending)
 
+    def _is_too_long(self, hold: Hold, event: Request, kind: RequestClass) -> bool:
+        """Whether a hold outlasts the client, this gateway or its use."""
+        gateway_left_ms = self.answers.ends_at - self.context.now
+        return hold.delay_ms >= min(event.client_timeout_ms, gateway_left_ms, self._longest_hold(kind))
+
     def _refuse(self, event: Request, customer: Customer, plan: Plan, why: str) -> None:
         self.answers.count(why, plan)
-        advice = self.meter.advice(customer, plan, event.units, self.context.now)
+        advice = self.meter.retry_after_ms(customer, plan, event.units, self.context.now)
         self.answers.refuse(event.request_id, advice if plan.rate else self.context.settings.meter_period_ms)
 
     def _end_hold(self, pending: PendingRequest) -> None:
@@ -81,11 +93,11 @@
     def _release(self, pending: PendingRequest) -> None:
         """First send: within the in-flight cap and the ceiling, to a server; else parked until it may go."""
         now = self.context.now
-        wait = self.ceilings.wait(pending, now)
+        wait = self.ceiling.wait_ms(pending, now)
         if wait >= pending.deadline_ms - now:
             self.answers.give_up(pending, "ceiling")
             return
-        held = wait or self.ceilings.capped(pending, now) or self.pressure.full(pending.slow_start_draw)
+        held = wait or self.cap.is_reached(pending, now) or self.pressure.full(pending.slow_start_draw)
         server = None if held else self.choice.first(pending)
         if server:
             self.hand.parked.pop(pending.request.request_id, None)
@@ -113,8 +125,8 @@
     def _end_park(self, pending: PendingRequest) -> None:
         if pending.attempts_started == 0 and self.choice.fleet.ready:
             now = self.context.now
-            capped = self.ceilings.capped(pending, now)
-            short = self.ceilings.wait(pending, now) > 0.0
+            capped = self.cap.is_reached(pending, now)
+            short = self.ceiling.wait_ms(pending, now) > 0.0
             cause = "cap" if capped else "ceiling" if short else "pool"
             self.answers.give_up(pending, f"waited: {cause}")
 
--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -2,7 +2,7 @@
 
 from quota_gateway.api import AttemptEnded, Cancel, Idempotency, Send, Status, StreamStarted
 from quota_gateway.policy.concurrency_limit import SLOW
-from quota_gateway.policy.rate_ceiling import Ceilings
+from quota_gateway.policy.rate_ceiling import RateCeiling
 from quota_gateway.policy.responses import Answers
 from quota_gateway.policy.retry_policy import window
 from quota_gateway.policy.server_selection import Choice
@@ -16,9 +16,9 @@
 class Attempts:
     """Owns the budget of further attempts; moves requests from attempt to attempt to the answer."""
 
-    def __init__(self, context: Context, ceilings: Ceilings, choice: Choice, answers: Answers) -> None:
+    def __init__(self, context: Context, ceiling: RateCeiling, choice: Choice, answers: Answers) -> None:
         self.context = context
-        self.ceilings = ceilings
+        self.ceiling = ceiling
         self.pressure = answers.pressure
         self.choice = choice
         self.health = choice.health
@@ -31,7 +31,7 @@
         request_id = pending.request.request_id
         now = self.context.now
         if pending.attempts_started == 0:
-            self.ceilings.draw(pending, now)
+            self.ceiling.consume(pending, now)
             self.retries = min(RETRY_STORE, self.retries + RETRY_SHARE)
         else:
             self.retries -= 1.0
@@ -56,7 +56,7 @@
         served = event.status is Status.OK
         self.choice.reports.take(server, event.load)
         if event.metered_use_percent is not None:
-            self.answers.meter.read(pending.customer, event.metered_use_percent, self.context.now)
+            self.answers.meter.record_reading(pending.customer, event.metered_use_percent, self.context.now)
             self.answers.handover.tell(pending.customer, 0.0, event.metered_use_percent)
         if served and not pending.streaming:
             self.pressure.answered(server, pending.request_class, event.latency_ms)
--- a/quota_gateway/policy/customers.py
+++ b/quota_gateway/policy/customers.py
@@ -7,8 +7,8 @@
 from collections import OrderedDict
 
 from quota_gateway.api import Plan, Request
-from quota_gateway.policy.quota_meter import Meter
-from quota_gateway.policy.rate_ceiling import Ceilings
+from quota_gateway.policy.quota_meter import QuotaMeter
+from quota_gateway.policy.rate_ceiling import RateCeiling
 from quota_gateway.state import Context, Customer, CustomerKey, Epochs, PendingRequest
 
 MOST_PAST = 32  # changes that customers may lag behind
@@ -18,10 +18,10 @@
 class Customers:
     """Owns the customers known, as last touched, and the epochs with their plans and numbers of gateways."""
 
-    def __init__(self, context: Context, meter: Meter, ceilings: Ceilings) -> None:
+    def __init__(self, context: Context, meter: QuotaMeter, ceiling: RateCeiling) -> None:
         self.context = context
         self.meter = meter
-        self.ceilings = ceilings
+        self.ceiling = ceiling
         self.known: OrderedDict[CustomerKey, Customer] = OrderedDict()
         self.epochs = Epochs(context.settings.plans, context.settings.gateways, MOST_RETIRED)
 
@@ -32,7 +32,7 @@
         epoch = self.epochs.epoch
         customer = self.known.get(key)
         if customer is None:
-            fresh = self.ceilings.fresh_level(plan, request.gateway_span, now)
+            fresh = self.ceiling.unseen_level_units(plan, request.gateway_span, now)
             self.known[key] = customer = Customer(key, now, fresh, epoch)
         else:
             self.known.move_to_end(key)
@@ -58,10 +58,10 @@
             if plan is None:  # gone for so long that it is forgotten
                 del self.known[key]
                 return
-            full = self.ceilings.level(old, plan, now) >= self.ceilings.fresh_level(
+            full = self.ceiling.level_units(old, plan, now) >= self.ceiling.unseen_level_units(
                 plan, old.serving_gateways, now
             )
-            if not full or not self.meter.as_new(old, plan, now):
+            if not full or not self.meter.is_as_new(old, plan, now):
                 return
             if len(self.known) > 1:
                 del self.known[key]
@@ -71,9 +71,9 @@
         name = customer.key[0]
         for past, gateways in self.epochs.behind(customer.settings_epoch):
             if plan := past.plans.get(name):
-                self.meter.drain(customer, plan, past.until, past.news_ms)
+                self.meter.drain_until(customer, plan, past.until, past.news_ms)
                 if past.until > customer.ceiling_updated_ms:
-                    self.ceilings.bring(customer, customer.transition_plan or plan, past.until)
+                    self.ceiling.refill(customer, customer.transition_plan or plan, past.until)
             customer.serving_gateways = max(1, min(customer.requested_gateways, gateways))
         customer.settings_epoch = self.epochs.epoch
         if plan := self.epochs.plan(name):
@@ -85,8 +85,8 @@
         """Begin a new epoch, in which these plans and this number of gateways hold."""
         if len(self.epochs.past) >= MOST_PAST:
             self.step(len(self.epochs.lagging))
-        self.epochs.turn(self.context.now, plans, gateways, self.meter.news_ms, self.known)
-        self.ceilings.turn(self.epochs, self.context.now)
+        self.epochs.turn(self.context.now, plans, gateways, self.meter.reading_lifetime_ms, self.known)
+        self.ceiling.begin_epoch(self.epochs, self.context.now)
 
     def step(self, count: int) -> None:
         """Bring some of those up to date that lag behind."""
@@ -105,5 +105,5 @@
             return
         customer.pending_before_transition -= 1
         if customer.pending_before_transition <= 0:
-            self.ceilings.bring(customer, customer.transition_plan, self.context.now)
+            self.ceiling.refill(customer, customer.transition_plan, self.context.now)
             customer.transition_plan = None
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -8,14 +8,15 @@
 from quota_gateway import api
 from quota_gateway.policy.admission import Admission
 from quota_gateway.policy.attempts import Attempts
+from quota_gateway.policy.concurrency_cap import ConcurrencyCap
 from quota_gateway.policy.concurrency_limit import Pressure
 from quota_gateway.policy.customers import Customers
 from quota_gateway.policy.endpoint_list import Lists
 from quota_gateway.policy.graceful_shutdown import ELSEWHERE_MS, Operators
 from quota_gateway.policy.hot_restart import Handover
 from quota_gateway.policy.outlier_detection import Health
-from quota_gateway.policy.quota_meter import Meter
-from quota_gateway.policy.rate_ceiling import Ceilings
+from quota_gateway.policy.quota_meter import QuotaMeter
+from quota_gateway.policy.rate_ceiling import RateCeiling
 from quota_gateway.policy.responses import Answers
 from quota_gateway.policy.server_selection import Choice
 from quota_gateway.policy.settings_change import Changes
@@ -32,19 +33,20 @@
         self.context = context = Context(settings, seed, FADE_MS)
         self.fleet = Fleet(context.random)
         self.hand = InFlightRequests()
-        self.meter = Meter(context)
+        self.meter = QuotaMeter(context)
         self.warming = Cold(context)
         self.health = Health(context)
         self.pressure = Pressure(context)
-        self.ceilings = Ceilings(context, self.meter)
-        self.book = Customers(context, self.meter, self.ceilings)
+        self.ceiling = RateCeiling(context)
+        self.cap = ConcurrencyCap(context, self.meter)
+        self.book = Customers(context, self.meter, self.ceiling)
         self.epochs = self.book.epochs
         self.reports = Reports(context, self.fleet)
         self.choice = Choice(self.reports, self.health, self.pressure, self.warming)
         self.handover = Handover(context, self.hand, self.book)
         self.answers = Answers(context, self.pressure, self.handover)
-        self.attempts = Attempts(context, self.ceilings, self.choice, self.answers)
-        self.admission = Admission(context, self.book, self.attempts)
+        self.attempts = Attempts(context, self.ceiling, self.choice, self.answers)
+        self.admission = Admission(context, self.book, self.cap, self.attempts)
         self.retry_parked = self.admission.retry_parked
         self.lists = Lists(self.fleet, self.warming, self.pressure, self.epochs)
         self.operators = Operators(context, self.lists)
--- a/quota_gateway/policy/hot_restart.py
+++ b/quota_gateway/policy/hot_restart.py
@@ -29,7 +29,7 @@
         customer.peer_in_flight = event.in_flight
         self.customers.meter.charge(customer, event.charged)
         if event.metered_use_percent is not None:
-            self.customers.meter.read(customer, event.metered_use_percent, self.context.now)
+            self.customers.meter.record_reading(customer, event.metered_use_percent, self.context.now)
         return True
 
     def end(self, _: PeerExited) -> bool:
--- a/quota_gateway/policy/quota_meter.py
+++ b/quota_gateway/policy/quota_meter.py
@@ -1,134 +1,222 @@
-"""The meter: each customer's excess (thousandths of a unit), and this gateway's slice of its quota."""
+"""Quota meter: whether a customer's request is within its quota, without asking the other gateways.
 
-from math import inf
+Each gateway keeps a leaky bucket for each customer and drains it by its share of the customer's rate. The
+shares are even; a late reading of the customer's use over all gateways may add a bonus to them.
+
+Excess is the bucket's level in milliunits, so that a rate in units a second is also one in milliunits a
+millisecond.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
 
 from quota_gateway.api import Plan
 from quota_gateway.state import Context, Customer
 
-THOUSANDTHS = 1000.0  # of a unit, the unit of the excess
-GROWTH = 0.2  # share of the room that is given out: the meter is late, and all gateways rise on one figure
-THIN_BURST = 2.0, 1.0  # requests by which an unused thin slice's burst grows; where going beyond costs
-NEWS_PERIODS = 4.0  # meter periods a reading stays news: the period, its lateness, a gap in traffic
+MILLIUNITS_PER_UNIT = 1000.0
+REJECT_BURSTS = 2.0  # excess in bursts beyond which a request is rejected; between one and this it is held
+READING_LIFETIME_PERIODS = 4.0  # meter periods: a period, the reading's lateness, a gap in traffic
+UNUSED_QUOTA_BONUS_RATIO = 0.2  # low: readings are late, and all gateways raise their shares by the same one
+# Requests by which the burst of a thin share grows while the customer's quota is wholly unused.
+THIN_BURST_BONUS_REQUESTS = 2.0
+THIN_BURST_BONUS_REQUESTS_IF_OVERUSE_COSTS = 1.0
+
+
+@dataclass(frozen=True, slots=True)
+class Admit:
+    """The request is within the customer's burst. ``excess_milliunits`` is None if its plan has no quota."""
+
+    excess_milliunits: float | None
+
+
+@dataclass(frozen=True, slots=True)
+class Hold:
+    """The request may go once the excess has drained to the burst."""
 
+    delay_ms: float
+    excess_milliunits: float
 
-class Meter:
-    """Owns the excess and the readings of customers' use."""
+
+@dataclass(frozen=True, slots=True)
+class RejectOverQuota:
+    """The excess would be beyond what a hold may bridge."""
+
+
+QuotaDecision = Admit | Hold | RejectOverQuota
+
+ADMIT_WITHOUT_QUOTA = Admit(None)
+REJECT_OVER_QUOTA = RejectOverQuota()
+
+
+class QuotaMeter:
+    """Owns customers' excess, the demand they show here and the late readings of their use."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
 
     @property
-    def news_ms(self) -> float:
-        """How long a reading of the meter is news."""
-        return NEWS_PERIODS * self.context.settings.meter_period_ms
-
-    def _drain_ms(self, customer: Customer, plan: Plan) -> float:
-        """How long the even slice takes to drain the customer's largest request."""
-        return (
-            customer.largest_request_units * customer.serving_gateways * THOUSANDTHS / plan.rate
-            if plan.rate
-            else 0.0
-        )
+    def reading_lifetime_ms(self) -> float:
+        """How long a late reading of a customer's use counts."""
+        return READING_LIFETIME_PERIODS * self.context.settings.meter_period_ms
 
-    def _drain_asked(self, customer: Customer, plan: Plan, at: float) -> float:
-        """What is left of all that the customer asked here, once the even slice has drained it."""
-        drained = plan.rate * (at - customer.demand_updated_ms) / customer.serving_gateways / THOUSANDTHS
-        return max(0.0, customer.demand_units - drained)
+    # ---- The admission rule
 
-    def thin(self, customer: Customer, plan: Plan) -> bool:
-        """Whether the even slice is less than a request, in its burst and in all the time that news lasts.
+    def decide(self, customer: Customer, plan: Plan, units: float, now_ms: float) -> QuotaDecision:
+        """Whether a request of so many units is within quota. Stores nothing: see ``apply``.
 
-        There, what every gateway lets pass at first adds up to many times the quota, and none hears of the
-        customer often enough to see it. So, there and only there: a marked retry is refused, as it was most
-        likely refused elsewhere for being over quota; and the last reading stays news until a request has
-        drained, its room growing the burst while the customer asks no more here than its slice and two
-        requests: a low reading of one held back is no room. Guards against customers far over quota that
-        try each gateway in turn. Harm: a retry after a failure is refused too.
+        Its demand must have been recorded before (``record_demand``).
         """
-        thin = plan.burst < customer.largest_request_units * customer.serving_gateways
-        return thin and self._drain_ms(customer, plan) > self.news_ms
-
-    def read(self, customer: Customer, metered_use_percent: float, now: float) -> None:
-        """A late reading of the customer's use by all gateways, in percent of its rate."""
-        customer.metered_use_ratio = metered_use_percent / 100.0
-        customer.metered_use_at_ms = now
-
-    def _room(self, customer: Customer, at: float, lasts_ms: float) -> float:
-        """The room that the late reading leaves; none at or over quota, or when it is no news any more."""
-        return (
-            max(0.0, 1.0 - customer.metered_use_ratio) if at - customer.metered_use_at_ms <= lasts_ms else 0.0
-        )
+        if not plan.rate:
+            return ADMIT_WITHOUT_QUOTA
+        drain_rate = self._drain_rate(customer, plan, now_ms)
+        burst = self._burst_milliunits(customer, plan, units, now_ms)
+        excess = max(0.0, self._excess_with(customer, drain_rate, units, now_ms))
+        if excess > REJECT_BURSTS * burst:
+            return REJECT_OVER_QUOTA
+        delay_ms = max(0.0, excess - burst) / drain_rate
+        return Hold(delay_ms, excess) if delay_ms else Admit(excess)
+
+    def apply(self, customer: Customer, decision: Admit | Hold, now_ms: float) -> None:
+        """Store the excess of a request that is taken."""
+        if decision.excess_milliunits is not None:
+            customer.excess_milliunits = decision.excess_milliunits
+            customer.excess_updated_ms = now_ms
+
+    def record_demand(self, customer: Customer, plan: Plan, units: float, now_ms: float) -> None:
+        """Count a request's units as demand, whether the request is rejected or not."""
+        if plan.rate:
+            customer.demand_units = self._demand_units(customer, plan, now_ms) + units
+            customer.demand_updated_ms = now_ms
+
+    def retry_after_ms(self, customer: Customer, plan: Plan, units: float, now_ms: float) -> float:
+        """Time until a request of so many units would be admitted if no other came."""
+        if not plan.rate:
+            return 0.0
+        drain_rate = self._drain_rate(customer, plan, now_ms)
+        burst = self._even_burst_milliunits(customer, plan)
+        excess = self._excess_with(customer, drain_rate, units, now_ms)
+        return max(0.0, excess - burst) / drain_rate
+
+    # ---- The share of the quota
+
+    def quota_share(
+        self, customer: Customer, at_ms: float, reading_lifetime_ms: float | None = None
+    ) -> float:
+        """This gateway's share (0 to 1) of the quota: an even part, and a bonus for unused quota."""
+        lifetime_ms = self.reading_lifetime_ms if reading_lifetime_ms is None else reading_lifetime_ms
+        unused_ratio = self._unused_ratio(customer, at_ms, lifetime_ms)
+        return min(1.0, (1.0 + UNUSED_QUOTA_BONUS_RATIO * unused_ratio) / customer.serving_gateways)
+
+    def has_thin_share(self, customer: Customer, plan: Plan) -> bool:
+        """Whether the even share is less than a request, in its burst and over a reading's lifetime.
+
+        Each gateway lets a customer's first request pass; where the share is thin, these first ones add up to
+        many times the quota, and no gateway hears of the customer often enough to notice. A customer far over
+        its quota gets there by trying the gateways in turn. So, for thin shares only, a marked retry is
+        rejected (most likely another gateway rejected it for quota, but a retry after a failure is rejected
+        as well), and the last reading counts until a request has drained; see ``_thin_burst_milliunits``.
+        """
+        is_below_one = plan.burst < customer.largest_request_units * customer.serving_gateways
+        return is_below_one and self._request_drain_ms(customer, plan) > self.reading_lifetime_ms
 
-    def share(self, customer: Customer, at: float, news_ms: float | None = None) -> float:
-        """The slice of the quota: the even floor, and the even part of the room that fresh news leaves."""
-        room = self._room(customer, at, self.news_ms if news_ms is None else news_ms)
-        return min(1.0, (1.0 + GROWTH * room) / customer.serving_gateways)
+    def _unused_ratio(self, customer: Customer, at_ms: float, lifetime_ms: float) -> float:
+        """Part of the customer's quota that its late reading shows unused; 0 if the reading is too old."""
+        if at_ms - customer.metered_use_at_ms > lifetime_ms:
+            return 0.0
+        return max(0.0, 1.0 - customer.metered_use_ratio)
 
-    def take(self, customer: Customer, plan: Plan, units: float, now: float) -> float:
-        """Milliseconds to hold the request, inf to refuse it; the excess is stored unless it is refused."""
+    def _request_drain_ms(self, customer: Customer, plan: Plan) -> float:
+        """How long the even share takes to drain the customer's largest request."""
         if not plan.rate:
             return 0.0
-        rate = plan.rate * self.share(customer, now)
-        customer.demand_units = self._drain_asked(customer, plan, now) + units
-        customer.demand_updated_ms = now
-        # under one each: by the request
-        thin = self.thin(customer, plan)
-        costs = plan.overuse_cost > 0.0
-        grows = THIN_BURST[costs]  # by chance two are no abuse, but chance adds up
-        few = thin and customer.demand_units <= grows * customer.largest_request_units
-        room = self._room(customer, now, self._drain_ms(customer, plan)) if few else 0.0
-        one = (
-            units
-            if thin and costs and not room and plan.burst < customer.serving_gateways
-            else customer.largest_request_units
-        )
-        burst = max(plan.burst / customer.serving_gateways, one) * (1.0 + grows * room) * THOUSANDTHS
-        excess = max(
-            0.0, customer.excess_milliunits - rate * (now - customer.excess_updated_ms) + THOUSANDTHS * units
+        return customer.largest_request_units * customer.serving_gateways * MILLIUNITS_PER_UNIT / plan.rate
+
+    # ---- The leaky bucket
+
+    def _drain_rate(
+        self, customer: Customer, plan: Plan, at_ms: float, reading_lifetime_ms: float | None = None
+    ) -> float:
+        """Milliunits a millisecond that drain from the customer's excess here."""
+        return plan.rate * self.quota_share(customer, at_ms, reading_lifetime_ms)
+
+    def _excess_with(self, customer: Customer, drain_rate: float, units: float, at_ms: float) -> float:
+        """Excess in milliunits with a request added; negative where more has drained than there was."""
+        drained = drain_rate * (at_ms - customer.excess_updated_ms)
+        return customer.excess_milliunits - drained + MILLIUNITS_PER_UNIT * units
+
+    def _burst_milliunits(self, customer: Customer, plan: Plan, units: float, now_ms: float) -> float:
+        """Excess up to which a request of so many units goes at once."""
+        if self.has_thin_share(customer, plan):
+            return self._thin_burst_milliunits(customer, plan, units, now_ms)
+        return self._even_burst_milliunits(customer, plan)
+
+    def _even_burst_milliunits(self, customer: Customer, plan: Plan) -> float:
+        """An even part of the plan's burst, and never less than the customer's largest request."""
+        burst_units = max(plan.burst / customer.serving_gateways, customer.largest_request_units)
+        return burst_units * MILLIUNITS_PER_UNIT
+
+    def _thin_burst_milliunits(self, customer: Customer, plan: Plan, units: float, now_ms: float) -> float:
+        """Burst of a thin share, which unused quota raises by up to some requests.
+
+        It is raised only while the customer's demand here is no more than its share and the bonus: a low
+        reading of a customer that is being rejected does not show unused quota. The bonus is smaller where
+        overuse costs, as two requests that pass by chance add up over the gateways. There, too, without
+        unused quota and with a burst of less than a unit for each gateway, the request's own units are the
+        least burst, so that small requests don't pass within the allowance of a large one.
+        """
+        overuse_costs = plan.overuse_cost > 0.0
+        bonus_requests = (
+            THIN_BURST_BONUS_REQUESTS_IF_OVERUSE_COSTS if overuse_costs else THIN_BURST_BONUS_REQUESTS
         )
-        if excess > 2.0 * burst:
-            return inf
-        customer.excess_milliunits = excess
-        customer.excess_updated_ms = now
-        return max(0.0, excess - burst) / rate
-
-    def advice(self, customer: Customer, plan: Plan, units: float, now: float) -> float:
-        """Milliseconds until the bucket has drained for a request of so many units."""
-        if not plan.rate:
-            return 0.0
-        rate = plan.rate * self.share(customer, now)
-        burst = max(plan.burst / customer.serving_gateways, customer.largest_request_units) * THOUSANDTHS
-        excess = customer.excess_milliunits - rate * (now - customer.excess_updated_ms) + THOUSANDTHS * units
-        return max(0.0, excess - burst) / rate
+        unused_ratio = 0.0
+        if customer.demand_units <= bonus_requests * customer.largest_request_units:
+            lifetime_ms = self._request_drain_ms(customer, plan)
+            unused_ratio = self._unused_ratio(customer, now_ms, lifetime_ms)
+        least_units = customer.largest_request_units
+        if overuse_costs and not unused_ratio and plan.burst < customer.serving_gateways:
+            least_units = units
+        burst_units = max(plan.burst / customer.serving_gateways, least_units)
+        return burst_units * (1.0 + bonus_requests * unused_ratio) * MILLIUNITS_PER_UNIT
+
+    def _demand_units(self, customer: Customer, plan: Plan, at_ms: float) -> float:
+        """What is left of the customer's demand here once its even share has drained it."""
+        drained_milliunits = plan.rate * (at_ms - customer.demand_updated_ms) / customer.serving_gateways
+        return max(0.0, customer.demand_units - drained_milliunits / MILLIUNITS_PER_UNIT)
+
+    # ---- What others report, and the passing of time
+
+    def record_reading(self, customer: Customer, metered_use_percent: float, now_ms: float) -> None:
+        """Store a late reading of the customer's use over all gateways, in percent of its rate."""
+        customer.metered_use_ratio = metered_use_percent / 100.0
+        customer.metered_use_at_ms = now_ms
 
     def charge(self, customer: Customer, units: float) -> None:
-        """Add units to what the customer has used here, or take some off."""
-        customer.excess_milliunits = max(0.0, customer.excess_milliunits + THOUSANDTHS * units)
+        """Add units to the customer's excess, or take some off if negative."""
+        customer.excess_milliunits = max(0.0, customer.excess_milliunits + MILLIUNITS_PER_UNIT * units)
 
-    def correction(self, guess: float, true: float) -> float:
-        """Units to charge once an answer has told the true ones.
+    def correction_units(self, estimated_units: float, final_units: float) -> float:
+        """Units to charge when a response tells what a request really cost.
 
-        Guards against an answer that tells more than a request can count: one such figure would refuse
-        the customer for hours.
+        A response may claim more units than a request can have; charged as it is, one such figure would get
+        the customer rejected for hours. So the claim counts up to the largest request of the settings.
         """
-        return min(true, max(guess, self.context.settings.largest_units)) - guess
-
-    def drain(self, customer: Customer, plan: Plan, until: float, news_ms: float) -> None:
-        """Bring a customer up to a moment by the plan, and the life of news, that held until then."""
-        if until > customer.excess_updated_ms:
-            rate = plan.rate * self.share(customer, until, news_ms)
-            customer.excess_milliunits = max(
-                0.0, customer.excess_milliunits - rate * (until - customer.excess_updated_ms)
-            )
-            customer.excess_updated_ms = until
-        if until > customer.demand_updated_ms:
-            customer.demand_units = self._drain_asked(customer, plan, until)
-            customer.demand_updated_ms = until
-
-    def as_new(self, customer: Customer, plan: Plan, now: float) -> bool:
-        """Whether forgetting the customer alters nothing: its excess has drained, its reading is old."""
-        idle = now - max(customer.excess_updated_ms, customer.metered_use_at_ms)
-        return (
-            customer.excess_milliunits <= plan.rate / customer.serving_gateways * idle
-            and idle >= self.news_ms
-        )
+        return min(final_units, max(estimated_units, self.context.settings.largest_units)) - estimated_units
+
+    def drain_until(
+        self, customer: Customer, plan: Plan, until_ms: float, reading_lifetime_ms: float
+    ) -> None:
+        """Drain excess and demand up to a moment, by the plan and reading lifetime in force until then."""
+        if until_ms > customer.excess_updated_ms:
+            drain_rate = self._drain_rate(customer, plan, until_ms, reading_lifetime_ms)
+            customer.excess_milliunits = max(0.0, self._excess_with(customer, drain_rate, 0.0, until_ms))
+            customer.excess_updated_ms = until_ms
+        if until_ms > customer.demand_updated_ms:
+            customer.demand_units = self._demand_units(customer, plan, until_ms)
+            customer.demand_updated_ms = until_ms
+
+    def is_as_new(self, customer: Customer, plan: Plan, now_ms: float) -> bool:
+        """Whether forgetting the customer changes nothing: its excess has drained, its reading is too old."""
+        idle_ms = now_ms - max(customer.excess_updated_ms, customer.metered_use_at_ms)
+        even_drain_milliunits = plan.rate / customer.serving_gateways * idle_ms
+        return customer.excess_milliunits <= even_drain_milliunits and idle_ms >= self.reading_lifetime_ms
--- a/quota_gateway/policy/rate_ceiling.py
+++ b/quota_gateway/policy/rate_ceiling.py
@@ -1,44 +1,64 @@
-"""Hard bounds of a customer over all gateways: the ceiling on units, the cap on attempts out."""
+"""Rate ceiling: the hard limit on a customer's units a second, over all gateways.
 
+A token bucket for each customer, in units; each gateway fills and consumes an even share of it.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
 from math import inf
 
 from quota_gateway.api import Plan
-from quota_gateway.policy.quota_meter import Meter
 from quota_gateway.state import Context, Customer, Epochs, PendingRequest
 
-CAP_NEWS = 2.0  # times that a rate's reading is news: few gateways hear of one customer's attempts twice
-CAP_POWER = 3.0  # of the overuse: gateways without a reading let theirs out all the same
+MS_PER_S = 1000.0
+
+
+@dataclass(frozen=True, slots=True)
+class BucketLevel:
+    """Level of a plan's whole token bucket at a moment."""
+
+    level_units: float
+    updated_ms: float
 
 
-class Ceilings:
-    """Owns customers' shares of the ceilings' stores. Times are milliseconds, levels are units."""
+class RateCeiling:
+    """Owns customers' token buckets, and the level at which a customer not seen yet begins."""
 
-    def __init__(self, context: Context, meter: Meter) -> None:
+    def __init__(self, context: Context) -> None:
         self.context = context
-        self.meter = meter
-        # Of each plan's ceiling, what a customer may have that was not seen: the level at the last change.
-        self.fresh: dict[str, tuple[float, float]] = {}
-
-    def fresh_level(self, plan: Plan, width: int, now: float) -> float:
-        """The ceiling's share of a customer not seen since the start: unknown history starts at nought."""
-        level, at = self.fresh.get(plan.name, (0.0, self.context.since))
-        return min(plan.ceiling_burst, level + plan.ceiling_rate * (now - at) / 1000.0) / width
-
-    def turn(self, epochs: Epochs, now: float) -> None:
-        """A new epoch: unseen customers keep what they may have; plans that are added begin with nothing."""
-        before = epochs.past[-1].plans
-        fresh = {
-            name: (self.fresh_level(plan, 1, now), now) for name, plan in before.items() if epochs.plan(name)
+        # By plan, as of the last change of settings. Without an entry the level was 0 at the gateway's start,
+        # as what customers consumed before is not known.
+        self.unseen_levels: dict[str, BucketLevel] = {}
+
+    def unseen_level_units(self, plan: Plan, gateways: int, now_ms: float) -> float:
+        """Units in this gateway's share of the bucket of a customer that it has not seen yet."""
+        last = self.unseen_levels.get(plan.name)
+        level_units = last.level_units if last else 0.0
+        updated_ms = last.updated_ms if last else self.context.since
+        refilled_units = plan.ceiling_rate * (now_ms - updated_ms) / MS_PER_S
+        return min(plan.ceiling_burst, level_units + refilled_units) / gateways
+
+    def begin_epoch(self, epochs: Epochs, now_ms: float) -> None:
+        """New settings hold: customers not seen keep their level, in plans that are new they begin empty."""
+        plans_before = epochs.past[-1].plans
+        kept = {
+            name: BucketLevel(self.unseen_level_units(plan, 1, now_ms), now_ms)
+            for name, plan in plans_before.items()
+            if epochs.plan(name)
         }
-        self.fresh = fresh | {name: (0.0, now) for name in epochs.plans if name not in before}
+        added = {name: BucketLevel(0.0, now_ms) for name in epochs.plans if name not in plans_before}
+        self.unseen_levels = kept | added
 
-    def level(self, customer: Customer, plan: Plan, at: float) -> float:
-        """Units in this gateway's share of the ceiling's store."""
-        refill = plan.ceiling_rate / customer.serving_gateways * (at - customer.ceiling_updated_ms) / 1000.0
-        return min(plan.ceiling_burst / customer.serving_gateways, customer.ceiling_level_units + refill)
+    def level_units(self, customer: Customer, plan: Plan, at_ms: float) -> float:
+        """Units in this gateway's share of the customer's bucket."""
+        refill_rate = plan.ceiling_rate / customer.serving_gateways
+        refilled_units = refill_rate * (at_ms - customer.ceiling_updated_ms) / MS_PER_S
+        capacity_units = plan.ceiling_burst / customer.serving_gateways
+        return min(capacity_units, customer.ceiling_level_units + refilled_units)
 
-    def wait(self, pending: PendingRequest, now: float) -> float:
-        """Milliseconds until this gateway's share of the ceiling holds the request's units, or inf."""
+    def wait_ms(self, pending: PendingRequest, now_ms: float) -> float:
+        """Time until this gateway's share of the bucket holds the request's units; inf if it never will."""
         customer = pending.customer
         units = pending.request.units
         plan = customer.transition_plan or pending.plan
@@ -46,38 +66,17 @@
             return 0.0
         if units > plan.ceiling_burst / customer.serving_gateways:
             return inf
-        short = units - self.level(customer, plan, now)
-        return max(0.0, short) * 1000.0 * customer.serving_gateways / plan.ceiling_rate
+        missing_units = units - self.level_units(customer, plan, now_ms)
+        return max(0.0, missing_units) * MS_PER_S * customer.serving_gateways / plan.ceiling_rate
 
-    def draw(self, pending: PendingRequest, now: float) -> None:
-        """The request is sent on: its units leave the store."""
+    def consume(self, pending: PendingRequest, now_ms: float) -> None:
+        """Take a request's units out of the bucket, as its first attempt is sent."""
         plan = pending.customer.transition_plan or pending.plan
         if plan.ceiling_rate:
-            self.bring(pending.customer, plan, now)
+            self.refill(pending.customer, plan, now_ms)
             pending.customer.ceiling_level_units -= pending.request.units
 
-    def bring(self, customer: Customer, plan: Plan, at: float) -> None:
-        """Bring a customer's share up to a moment by this plan."""
-        customer.ceiling_level_units = self.level(customer, plan, at)
-        customer.ceiling_updated_ms = at
-
-    def capped(self, pending: PendingRequest, now: float) -> bool:
-        """Whether this gateway's slice of the customer's attempts at once, at least one, is out."""
-        customer = pending.customer
-        cap = (customer.transition_plan or pending.plan).max_in_flight
-        if not cap:
-            return False
-        return customer.attempts_in_flight + customer.peer_in_flight >= max(
-            1, int(cap * self.meter.share(customer, now))
-        )
-
-    def overused(self, customer: Customer, plan: Plan, now: float) -> bool:
-        """Whether a request stays in by the late reading of a cap: by chance, the likelier the more is out.
-
-        Guards against a cap below one for each gateway, which slices can't keep: a customer whom all of them
-        serve is beyond it with nearly all it asks. Harm: a peak that is over holds a few back.
-        """
-        thin = not plan.rate and plan.overuse_cost and 0 < plan.max_in_flight < customer.serving_gateways
-        if not thin or now - customer.metered_use_at_ms > CAP_NEWS * self.meter.news_ms:
-            return False
-        return self.context.random.random() * float(customer.metered_use_ratio**CAP_POWER) > 1.0
+    def refill(self, customer: Customer, plan: Plan, until_ms: float) -> None:
+        """Refill a customer's share up to a moment, by the plan in force until then."""
+        customer.ceiling_level_units = self.level_units(customer, plan, until_ms)
+        customer.ceiling_updated_ms = until_ms
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -72,7 +72,7 @@
     def _come_back(self, pending: PendingRequest) -> float:
         """When it may come again: the quota has room then, and those that wait here now have had a turn."""
         turns = self.pressure.turns_ms(pending.request_class, len(self.hand.parked))
-        return max(turns, self.meter.advice(pending.customer, pending.plan, 0.0, self.context.now))
+        return max(turns, self.meter.retry_after_ms(pending.customer, pending.plan, 0.0, self.context.now))
 
     def gone(self, event: ClientDisconnected) -> None:
         """The client has left: nothing is owed any more."""
@@ -92,7 +92,7 @@
 
     def settle(self, customer: Customer, guess: float, true: float) -> None:
         """Put a guess of units right."""
-        units = self.meter.correction(guess, true)
+        units = self.meter.correction_units(guess, true)
         self.meter.charge(customer, units)
         self.handover.tell(customer, units)
 
--- a/quota_gateway/state/views.py
+++ b/quota_gateway/state/views.py
@@ -38,7 +38,7 @@
     plans = _alias("epochs.plans")
     gateways = _alias("epochs.gateways")
     customers = _alias("book.known")
-    fresh = _alias("ceilings.fresh")
+    fresh = _alias("ceiling.unseen_levels")
     pool = _alias("pressure.size")
     young = _alias("pressure.young")
     ends_at = _alias("answers.ends_at")
@@ -54,8 +54,8 @@
     drains = _alias("operators.drains")
     in_hand = _alias("hand.places")
     reserved_units = _alias("hand.reserved_units")
-    share = _alias("meter.share")
-    ceiling_level = _alias("ceilings.level")
+    share = _alias("meter.quota_share")
+    ceiling_level = _alias("ceiling.level_units")
     first_latency = _alias("pressure.first_latency")
     relist = _alias("lists.relist")
     arm = _alias("context.arm")
@@ -63,9 +63,9 @@
 
     def news_ms(self) -> float:
         """How long a reading of the meter is news (ms)."""
-        return float(attrgetter("meter.news_ms")(self))
+        return float(attrgetter("meter.reading_lifetime_ms")(self))
 
     def fresh_ceiling(self, plan: Plan, width: int) -> float:
         """The units that a customer not seen since the start may have of its ceiling now."""
-        level = attrgetter("ceilings.fresh_level")(self)
+        level = attrgetter("ceiling.unseen_level_units")(self)
         return float(level(plan, width, self.now))
--- a/quota_gateway/state_document.py
+++ b/quota_gateway/state_document.py
@@ -18,6 +18,7 @@
 from typing import Any
 
 from quota_gateway.policy.gateway import Gateway
+from quota_gateway.policy.rate_ceiling import BucketLevel
 from quota_gateway.state.customer import Customer
 from quota_gateway.state.records import CustomerKey, FailureRecord, Moment
 from quota_gateway.state.server import Server
@@ -86,7 +87,9 @@
         "sends": gateway.sends,
         "started_at": gateway.started_at,
         "marks": gateway.marks,
-        "fresh": gateway.fresh,
+        "fresh": {
+            plan_name: (level.level_units, level.updated_ms) for plan_name, level in gateway.fresh.items()
+        },
         "quick": {
             class_name: [server_ids[number] for number in servers if number in server_ids]
             for class_name, servers in gateway.quick.items()
@@ -120,7 +123,7 @@
         for class_name in gateway.quick
     }
     unseen_levels = {
-        str(plan): (_number(level), _number(at))
+        str(plan): BucketLevel(_number(level), _number(at))
         for plan, (level, at, *_) in document.get("fresh", {}).items()
     }
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -15,6 +15,7 @@
     "outlier_detection",
     "concurrency_limit",
     "rate_ceiling",
+    "concurrency_cap",
     "customers",
     "server_selection",
     "hot_restart",
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -22,11 +22,12 @@
     Status,
     state_document,
 )
+from quota_gateway.policy.concurrency_cap import ConcurrencyCap
 from quota_gateway.policy.concurrency_limit import Pressure
 from quota_gateway.policy.customers import Customers
 from quota_gateway.policy.outlier_detection import Health
-from quota_gateway.policy.quota_meter import Meter
-from quota_gateway.policy.rate_ceiling import Ceilings
+from quota_gateway.policy.quota_meter import Admit, Hold, QuotaMeter, RejectOverQuota
+from quota_gateway.policy.rate_ceiling import RateCeiling
 from quota_gateway.policy.retry_policy import group, harmless
 from quota_gateway.policy.slow_start import Cold
 from quota_gateway.state import Context, Customer, Fleet, PendingRequest, Server
@@ -50,28 +51,68 @@
 
 
 def test_the_meter_holds_then_refuses_and_drains():
-    meter, customer = Meter(context()), Customer(("metered", "c"), 0.0, 0.0, 0)
-    customer.serving_gateways, customer.largest_request_units = 2, 1.0
-    holds = [meter.take(customer, METERED, 1.0, 0.0) for _ in range(9)]  # a slice of 5 a second, burst 4
-    assert holds == [0.0] * 4 + [200.0, 400.0, 600.0, 800.0, float("inf")]
-    assert meter.advice(customer, METERED, 1.0, 0.0) == 1000.0
-    assert not meter.as_new(customer, METERED, 1599.0)
-    assert meter.as_new(customer, METERED, 4000.0)
+    meter = QuotaMeter(context())
+    customer = Customer(("metered", "c"), 0.0, 0.0, 0)
+    customer.serving_gateways = 2
+    customer.largest_request_units = 1.0
+    decisions = []
+    for _ in range(9):  # a share of 5 a second, burst 4
+        meter.record_demand(customer, METERED, 1.0, 0.0)
+        decision = meter.decide(customer, METERED, 1.0, 0.0)
+        decisions.append(decision)
+        if not isinstance(decision, RejectOverQuota):
+            meter.apply(customer, decision, 0.0)
+    admitted = [Admit(1000.0 * count) for count in range(1, 5)]
+    held = [Hold(200.0 * count, 4000.0 + 1000.0 * count) for count in range(1, 5)]
+    assert decisions == [*admitted, *held, RejectOverQuota()]
+    assert customer.excess_milliunits == 8000.0
+    assert customer.demand_units == 9.0
+    assert meter.retry_after_ms(customer, METERED, 1.0, 0.0) == 1000.0
+    assert not meter.is_as_new(customer, METERED, 1599.0)
+    assert meter.is_as_new(customer, METERED, 4000.0)
+
+
+def test_a_decision_of_the_meter_stores_nothing_until_it_is_applied():
+    meter = QuotaMeter(context())
+    customer = Customer(("metered", "c"), 0.0, 0.0, 0)
+    customer.largest_request_units = 1.0
+    before = [getattr(customer, name) for name in Customer.__slots__]
+    decisions = [meter.decide(customer, METERED, 20.0, 100.0) for _ in range(2)]
+    assert decisions == [RejectOverQuota()] * 2
+    decisions = [meter.decide(customer, METERED, 3.0, 100.0) for _ in range(2)]
+    assert decisions == [Admit(3000.0 - 1000.0)] * 2
+    assert [getattr(customer, name) for name in Customer.__slots__] == before
+    meter.apply(customer, decisions[0], 100.0)
+    assert customer.excess_milliunits == 2000.0
+    assert customer.excess_updated_ms == 100.0
+
+
+def test_a_plan_without_a_quota_admits_and_leaves_the_row_alone():
+    meter = QuotaMeter(context())
+    customer = Customer(("free", "c"), 7.0, 0.0, 0)
+    meter.record_demand(customer, Plan("free"), 5.0, 100.0)
+    decision = meter.decide(customer, Plan("free"), 5.0, 100.0)
+    assert decision == Admit(None)
+    meter.apply(customer, decision, 100.0)
+    assert (customer.excess_milliunits, customer.excess_updated_ms) == (0.0, 7.0)
+    assert (customer.demand_units, customer.demand_updated_ms) == (0.0, 7.0)
 
 
 def test_a_ceiling_starts_at_nought_and_a_cap_is_one_at_least():
     made = context(now=0.0)
-    ceilings = Ceilings(made, Meter(made))
+    ceiling = RateCeiling(made)
+    cap = ConcurrencyCap(made, QuotaMeter(made))
     plan = Plan("x", ceiling_rate=10.0, ceiling_burst=20.0, max_in_flight=1)
     waiting = pending(SETTINGS.classes[0])
-    waiting.plan, waiting.customer = plan, Customer(("x", "c"), 0.0, ceilings.fresh_level(plan, 1, 0.0), 0)
-    assert ceilings.wait(waiting, 0.0) == 100.0
-    assert ceilings.wait(waiting, 100.0) == 0.0
-    ceilings.draw(waiting, 100.0)
-    assert ceilings.level(waiting.customer, plan, 100.0) == 0.0
-    assert not ceilings.capped(waiting, 0.0)
+    waiting.plan = plan
+    waiting.customer = Customer(("x", "c"), 0.0, ceiling.unseen_level_units(plan, 1, 0.0), 0)
+    assert ceiling.wait_ms(waiting, 0.0) == 100.0
+    assert ceiling.wait_ms(waiting, 100.0) == 0.0
+    ceiling.consume(waiting, 100.0)
+    assert ceiling.level_units(waiting.customer, plan, 100.0) == 0.0
+    assert not cap.is_reached(waiting, 0.0)
     waiting.customer.attempts_in_flight = 1
-    assert ceilings.capped(waiting, 0.0)
+    assert cap.is_reached(waiting, 0.0)
 
 
 def test_health_tells_a_class_from_a_server_and_forgets():
@@ -225,7 +266,7 @@
 
 def test_customers_are_forgotten_at_the_bound_but_for_those_in_hand():
     made = context(now=0.0)
-    book = Customers(made, Meter(made), Ceilings(made, Meter(made)))
+    book = Customers(made, QuotaMeter(made), RateCeiling(made))
     for number in range(3000):
         made.begin(100.0 * number)
         found = book.find(Request(str(number), "safe", "metered", f"c{number}", 1000.0, 1.0), METERED)
