--- a/quota_gateway/failover/gateway.py
+++ b/quota_gateway/failover/gateway.py
@@ -106,7 +106,7 @@
             self.link = None
             log.error("the keeper has ended: this process %s", "serves on" if self.serving else "stands by")
 
-    def _message(self, link: Link, data: bytes, descriptors: list[int]) -> None:
+    def _message(self, _link: Link, data: bytes, descriptors: list[int]) -> None:
         letter = data[:1]
         rest = data[1:]
         if letter == b"C" and len(descriptors) == 1:
--- a/quota_gateway/failover/supervisor.py
+++ b/quota_gateway/failover/supervisor.py
@@ -41,8 +41,9 @@
 
 
 class Job(Struct, forbid_unknown_fields=True, frozen=True):
-    """What is kept: the command of ``run`` in its folder, the keeper's socket (with variables of the
-    environment in it), how many processes stand by.
+    """What is supervised: the command of ``run`` in its folder, the supervisor's socket, the standbys.
+
+    The socket's path may name variables of the environment.
     """
 
     command: str
--- a/quota_gateway/fault_bench/history.py
+++ b/quota_gateway/fault_bench/history.py
@@ -51,8 +51,10 @@
 
 
 class Answered(Record, tag="answered", frozen=True):
-    """What a request came to: ok, busy, error; cut, the connection ended first; none, nothing came until well
-    after its time; unheard, nobody took the connection; foreign, a value that is not this request's.
+    """How a request ended.
+
+    ok, busy, error: by its reply; cut: the connection ended first; none: nothing came until well after its
+    deadline; unheard: nobody accepted the connection; foreign: a value that is not this request's.
     """
 
     id: str
--- a/quota_gateway/fault_bench/load.py
+++ b/quota_gateway/fault_bench/load.py
@@ -53,9 +53,11 @@
         self.open = True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop once the connection is up."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
+        """Called by the event loop with bytes from the peer."""
         try:
             self.reader.feed(data)
             while (reply := self.reader.gets()) is not False:
@@ -73,7 +75,8 @@
         self.answers += 1
         answer.set_result(reply)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Called by the event loop once the connection has ended."""
         self.open = False
         if self.answer and not self.answer.done():
             self.answer.set_exception(Ended(self.answers > 0))
--- a/quota_gateway/fault_bench/referee.py
+++ b/quota_gateway/fault_bench/referee.py
@@ -176,8 +176,9 @@
     # ---- Requests
 
     def _resent(self, record: seen.Resent) -> None:
-        """What was sent on before is judged at the end: only a process that has died may leave it so, and
-        none that lives can know of it.
+        """Judge what was forwarded before at the end.
+
+        Only a process that has died may leave it so, and none that lives can know of it.
         """
         request = self.requests[record.id]
         if request.arrived:
--- a/quota_gateway/fault_bench/relay.py
+++ b/quota_gateway/fault_bench/relay.py
@@ -99,10 +99,12 @@
         self.said_all = False  # its end has been passed on
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop once the connection is up."""
         self.transport = cast(asyncio.Transport, transport)
         self.pair.made(self)
 
     def data_received(self, data: bytes) -> None:
+        """Called by the event loop with bytes from the peer."""
         if self.weather.cut is not None:
             data, self.weather.cut = data[: self.weather.cut], self.weather.cut - len(data)
         self._later(len(data), self._give, data)
@@ -112,10 +114,12 @@
         self.pair.look()
 
     def eof_received(self) -> bool:
+        """Called by the event loop once the peer has ended its sending."""
         self._later(0, self._end)
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Called by the event loop once the connection has ended."""
         self._later(0, self.pair.reset, True) if exc else self._later(0, self.pair.close)
 
     def _later(self, size: int, call: Callable[..., None], *arguments: object) -> None:
@@ -150,10 +154,12 @@
                 other.transport.write_eof()
 
     def pause_writing(self) -> None:
+        """Called by the event loop as the peer takes no more for now."""
         self.full = True
         self.pair.look()
 
     def resume_writing(self) -> None:
+        """Called by the event loop as the peer takes data again."""
         self.full = False
         self.pair.look()
 
--- a/quota_gateway/fault_bench/scenario.py
+++ b/quota_gateway/fault_bench/scenario.py
@@ -86,9 +86,10 @@
 
 
 class Rolling(Struct, forbid_unknown_fields=True, frozen=True):
-    """A rollout over all gateways. ``settings``: other values by their dotted paths in the configuration
-    (``settings.tariffs.0.refill``); none: the next version of the program. ``plan``: further fields of its
-    plan.
+    """A rollout over all gateways.
+
+    ``settings``: other values by their dotted paths in the configuration (``settings.tariffs.0.refill``);
+    none: the next version of the program. ``plan``: further fields of its plan.
     """
 
     name: str
--- a/quota_gateway/fault_bench/stand_ins.py
+++ b/quota_gateway/fault_bench/stand_ins.py
@@ -149,10 +149,12 @@
         self.jobs: set[Job] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop once the connection is up."""
         self.transport = cast(asyncio.Transport, transport)
         self.server.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
+        """Called by the event loop with bytes from the peer."""
         try:
             self.reader.feed(data)
             while (words := self.reader.gets()) is not False:
@@ -183,7 +185,8 @@
         if self.transport:
             self.transport.abort()
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Called by the event loop once the connection has ended."""
         self.server.connections.discard(self)
         for job in self.jobs:
             job.gone = True  # nobody waits: what has not begun never will
@@ -277,9 +280,11 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop once the connection is up."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
+        """Called by the event loop with bytes from the peer."""
         self.head += data
         if b"\r\n\r\n" not in self.head or self in self.discovery.watches or self.transport is None:
             return
@@ -323,5 +328,6 @@
         if self.transport:
             self.transport.abort()
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Called by the event loop once the connection has ended."""
         self.discovery.watches.discard(self)
--- a/quota_gateway/net/clients.py
+++ b/quota_gateway/net/clients.py
@@ -71,8 +71,9 @@
         command: list[bytes],
         waited_ms: float = 0.0,
     ) -> tuple[api.Request, Callable[[float], bytes]]:
-        """The request, which has waited here for so long, and what encodes it for a server that has so many
-        milliseconds.
+        """The request, and a function that encodes it for a server with the milliseconds left to it.
+
+        ``waited_ms``: how long the command has waited here unread. Raises CommandError.
         """
         name = command[0].upper()
         posts = command[0].upper() == b"CALL.POST"
@@ -235,6 +236,7 @@
         self.overdue: asyncio.TimerHandle | None = None  # runs while a whole command is awaited
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop once the connection is up."""
         # uvloop's transports are not asyncio.Transport by class: no isinstance here
         self.transport = cast(asyncio.Transport, transport)
         if not self.asked:
@@ -243,7 +245,8 @@
         if self.clients.leaving:  # taken over during the stop: no look at all connections is still to come
             self.clients.loop.call_soon(self.flush)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Called by the event loop once the connection has ended."""
         self.transport = None
         if self.stall:
             self.stall.cancel()
@@ -270,19 +273,22 @@
 
     # ---- Commands in
 
-    def get_buffer(self, sizehint: int) -> memoryview:
+    def get_buffer(self, _sizehint: int) -> memoryview:
         """Where the next read goes: one room for all, as each read is taken over at once."""
         return self.clients.buffer
 
     def buffer_updated(self, nbytes: int) -> None:
+        """Called by the event loop once bytes are in the buffer."""
         if self.ending or self.out_of_bounds:
             self._throw_away(nbytes)
         else:
             self.data_received(bytes(self.clients.buffer[:nbytes]))
 
     def _throw_away(self, nbytes: int) -> None:
-        """What comes behind the last command is read all the same: only so is the client's end seen, and a
-        close does not reset the connection under the answers before it. Guards against endless bytes.
+        """Read and discard what comes behind the last command, up to a bound.
+
+        Only so is the client's end seen, and a close does not reset the connection under the answers before
+        it. A client that never stops sending is cut off at the bound.
         """
         self.read_bytes += nbytes
         self.thrown += nbytes
@@ -336,8 +342,9 @@
         return self.stuck or len(self.slots) >= MOST_PIPELINED
 
     def _throttle(self) -> None:
-        """Read on as long as there is room for what comes: the client's end stands behind it, and what it
-        left behind is not sent on once that is seen.
+        """Read on as long as there is room for what comes.
+
+        The client's end stands behind it, and what the client left behind is not forwarded once that is seen.
         """
         if self.transport is None or self.transport.is_closing():
             return
@@ -539,11 +546,11 @@
         return self.transport.is_closing() or unread(self.transport.get_extra_info("socket").fileno())
 
     def close(self) -> None:
-        """The one way to end a connection on which something may be on its way: all that was answered is
-        sent, then its end; what still comes is read and thrown away for a short time.
+        """End a connection on which something may be on its way; there is no other way to do it.
 
-        Guards against a reset: a socket that is closed over bytes that were not read resets its connection,
-        and answers that the client has not read yet are lost with it.
+        All answers are sent, then the end; what still comes is read and discarded for a short time. A socket
+        that is closed over unread bytes resets its connection, and answers that the client has not read yet
+        are lost with it.
         """
         if self.transport is None or self.lingering:
             return
@@ -592,6 +599,7 @@
         self._watch()
 
     def resume_writing(self) -> None:
+        """Called by the event loop as the peer takes data again."""
         self.stuck = False
         if self.stall and not self.lingering:
             self.stall.cancel()
--- a/quota_gateway/net/servers.py
+++ b/quota_gateway/net/servers.py
@@ -84,7 +84,7 @@
         self,
         payload: Callable[[], bytes | None],
         done: Callable[[Reply], None],
-        begun: Callable[[int, Source], Sink | None] = lambda length, source: None,
+        begun: Callable[[int, Source], Sink | None] = lambda _length, _source: None,
     ) -> None:
         self.payload = payload
         self.begun = begun
@@ -239,6 +239,7 @@
             self._begin_attempt(self.attempt)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop once the connection is up."""
         # uvloop's transports are not asyncio.Transport by class: no isinstance here
         self.transport = cast(asyncio.Transport, transport)
         # With a limit of 0 the loop tells when the last byte has gone to the kernel (resume_writing).
@@ -269,13 +270,15 @@
             self.handed = self.transport.get_write_buffer_size() == 0
 
     def resume_writing(self) -> None:
+        """Called by the event loop as the peer takes data again."""
         self.handed = True
 
-    def get_buffer(self, sizehint: int) -> memoryview:
+    def get_buffer(self, _sizehint: int) -> memoryview:
         """Where the next read goes: one room for all, as each read is taken over at once."""
         return self.servers.room()
 
     def buffer_updated(self, nbytes: int) -> None:
+        """Called by the event loop once bytes are in the buffer."""
         self.data_received(bytes(self.servers.buffer[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
@@ -407,7 +410,8 @@
 
     # ---- The end
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Called by the event loop once the connection has ended."""
         self.close(api.Status.RESET if self.handed else api.Status.CONNECT_FAILED)
 
     def close(self, status: api.Status) -> None:
@@ -583,9 +587,7 @@
         )
 
     def stop(self, attempt: Attempt, status: api.Status) -> None:
-        """Stop waiting: the connection is closed, then the outcome told. Without its last byte it never
-        ran.
-        """
+        """Close the connection, then report the outcome. Without its last byte the attempt never ran."""
         connection = attempt.connection
         if attempt.done and connection:
             connection.close(status if connection.handed else api.Status.CONNECT_FAILED)
--- a/quota_gateway/simulation/baselines.py
+++ b/quota_gateway/simulation/baselines.py
@@ -25,7 +25,7 @@
         """One of the ready servers."""
         return self.random.choice(list(self.ready))
 
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+    def handle(self, _now_ms: float, event: api.Event) -> list[api.Action]:
         """As ``Gateway.handle``."""
         match event:
             case api.ServerList():
--- a/quota_gateway/simulation/day.py
+++ b/quota_gateway/simulation/day.py
@@ -26,8 +26,10 @@
 
 
 class Result(msgspec.Struct, frozen=True):
-    """What a day came to. ``ledger`` is in thousandths of worth, and its lines add up to ``offered``: the
-    worth of the first tries that one gateway which saw them all would let in.
+    """Result of a day.
+
+    ``ledger`` is in thousandths of worth, and its lines add up to ``offered``: the worth of the first
+    attempts that a single gateway which saw them all would admit.
     """
 
     seed: int
--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -106,7 +106,7 @@
     api.SetTimer: lambda a: ("Schedule", {"after_ms": a.delay_ms, "mark": a.token}),
     api.Log: lambda a: ("Debug", {"what": a.text}),
     api.Subscribe: lambda a: ("Follow", {"active": a.active}),
-    api.FetchList: lambda a: ("Fetch", {}),
+    api.FetchList: lambda _: ("Fetch", {}),
     api.HealthCheck: lambda a: ("Touch", {"server": a.server}),
     api.CloseIdle: lambda a: ("DropConns", {"server": a.server}),
     api.SendToPeer: lambda a: ("Share", {"dst": a.peer, "body": a.data.hex()}),
