--- a/quota_gateway/errors.py
+++ b/quota_gateway/errors.py
@@ -29,3 +29,15 @@
 
 class RestartError(GatewayError):
     """Nothing could be taken over from the process before; this one starts with empty state."""
+
+
+class IllegalTransitionError(GatewayError):
+    """A state machine was asked for a transition that its table does not have; see ``state_machine``."""
+
+    def __init__(self, owner: str, state: object, requested: object) -> None:
+        self.owner = owner
+        self.state = state
+        self.requested = requested
+        super().__init__(
+            f"{owner}: no transition from {state} to {requested}; it is carried out all the same"
+        )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -28,6 +28,7 @@
     TimerFired,
 )
 from quota_gateway.net import servers
+from quota_gateway.state_machine import illegal_transitions
 
 CLASSES = (
     RequestClass("safe", 2000.0, 4000.0, Idempotency.IDEMPOTENT, priority_weight=1.0),
@@ -80,6 +81,12 @@
 )
 
 
+@pytest.fixture(autouse=True)
+def illegal_transitions_raise(monkeypatch):
+    """In tests a transition that no table has is an error; in service it is logged and counted."""
+    monkeypatch.setattr(illegal_transitions, "raised", True)
+
+
 class Rig:
     """One gateway, its clock and what it was told to do."""
 
