--- a/quota_gateway/api/events.py
+++ b/quota_gateway/api/events.py
@@ -149,7 +149,7 @@
     plan: str
     customer: str
     in_flight: int
-    charged: float = 0.0
+    charged_units: float = 0.0
     metered_use_percent: float | None = None
 
 
--- a/quota_gateway/net/hot_restart.py
+++ b/quota_gateway/net/hot_restart.py
@@ -420,7 +420,7 @@
                     "plan": news.plan,
                     "customer": news.customer,
                     "in_hand": news.in_flight,
-                    "charged": news.charged,
+                    "charged": news.charged_units,
                     "used": news.metered_use_percent,
                 },
             )
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -48,7 +48,7 @@
         """A new request: the customer's meter says send, hold or refuse."""
         now = self.context.now
         answers = self.answers
-        customer = self.customers.find(event, plan)
+        customer = self.customers.find_or_add(event, plan)
         if event.is_retry and self.meter.has_thin_share(customer, plan):
             self._refuse(event, customer, plan, "thin")
             return
@@ -67,7 +67,7 @@
             return
         self.meter.apply(customer, decision, now)
         self.hand.take(pending)
-        answers.handover.tell(customer, event.units)
+        answers.peer_usage.report(customer, event.units)
         answers.limit(pending)
         if isinstance(decision, Hold):
             pending.release_timer_armed = True
--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -57,7 +57,7 @@
         self.choice.reports.take(server, event.load)
         if event.metered_use_percent is not None:
             self.answers.meter.record_reading(pending.customer, event.metered_use_percent, self.context.now)
-            self.answers.handover.tell(pending.customer, 0.0, event.metered_use_percent)
+            self.answers.peer_usage.report(pending.customer, 0.0, event.metered_use_percent)
         if served and not pending.streaming:
             self.pressure.answered(server, pending.request_class, event.latency_ms)
         if served and event.final_units is not None and not pending.answered:
--- a/quota_gateway/policy/customers.py
+++ b/quota_gateway/policy/customers.py
@@ -1,105 +1,54 @@
-"""Customers: who is remembered, and by which settings each is brought up to date.
+"""Customers: which are remembered, and by which settings each one's row is brought up to date.
 
-A change makes an epoch. By what held until then a customer is brought up to it: at once with something in
-hand, else when it is met next, or in small steps, so that a change never holds the loop for thousands.
+A change of settings begins an epoch, and every row lags behind it. Rows with pending requests are brought up
+to date at once, the others when their next request comes or in small steps, as tens of thousands at once
+would stop the event loop.
 """
 
+from __future__ import annotations
+
 from collections import OrderedDict
 
 from quota_gateway.api import Plan, Request
 from quota_gateway.policy.quota_meter import QuotaMeter
 from quota_gateway.policy.rate_ceiling import RateCeiling
-from quota_gateway.state import Context, Customer, CustomerKey, Epochs, PendingRequest
+from quota_gateway.state import Context, Customer, CustomerKey, PendingRequest, SettingsEpochs
 
-MOST_PAST = 32  # changes that customers may lag behind
-MOST_RETIRED = 64  # plans that are gone, but remembered for their customers
+MAX_PAST_SETTINGS = 32  # changes that rows may lag behind
+MAX_RETIRED_PLANS = 64  # plans no longer in the settings, remembered for their customers
+EVICTION_CHECKS_PER_REQUEST = 2  # above 1, so that rows are evicted faster than requests add them
 
 
 class Customers:
-    """Owns the customers known, as last touched, and the epochs with their plans and numbers of gateways."""
+    """Owns customers' rows, least recently used first, and the epochs of settings."""
 
     def __init__(self, context: Context, meter: QuotaMeter, ceiling: RateCeiling) -> None:
         self.context = context
         self.meter = meter
         self.ceiling = ceiling
-        self.known: OrderedDict[CustomerKey, Customer] = OrderedDict()
-        self.epochs = Epochs(context.settings.plans, context.settings.gateways, MOST_RETIRED)
+        self.rows: OrderedDict[CustomerKey, Customer] = OrderedDict()
+        self.epochs = SettingsEpochs(context.settings.plans, context.settings.gateways, MAX_RETIRED_PLANS)
 
-    def find(self, request: Request, plan: Plan) -> Customer:
-        """The request's customer, as the last touched; the longest untouched may be forgotten for it."""
+    def find_or_add(self, request: Request, plan: Plan) -> Customer:
+        """The row of a request's customer, up to date; it becomes the most recently used one."""
         key = (request.plan, request.customer)
-        now = self.context.now
-        epoch = self.epochs.epoch
-        customer = self.known.get(key)
+        now_ms = self.context.now
+        customer = self.rows.get(key)
         if customer is None:
-            fresh = self.ceiling.unseen_level_units(plan, request.gateway_span, now)
-            self.known[key] = customer = Customer(key, now, fresh, epoch)
+            level_units = self.ceiling.unseen_level_units(plan, request.gateway_span, now_ms)
+            customer = Customer(key, now_ms, level_units, self.epochs.epoch)
+            self.rows[key] = customer
         else:
-            self.known.move_to_end(key)
-            if customer.settings_epoch != epoch:
-                self.catch_up(customer)
+            self.rows.move_to_end(key)
+            self._catch_up_if_lagging(customer)
         customer.requested_gateways = request.gateway_span
         customer.serving_gateways = min(request.gateway_span, self.epochs.gateways)
         customer.largest_request_units = max(customer.largest_request_units, request.units)
-        self._forget_one(now)
+        self._evict_idle(now_ms)
         return customer
 
-    def _forget_one(self, now: float) -> None:
-        """Keeps the state bounded: each request brings one customer at most and may take one away."""
-        for _ in range(2):
-            key = next(iter(self.known))
-            old = self.known[key]
-            plan = self.epochs.plan(key[0])
-            if old.settings_epoch != self.epochs.epoch:
-                self.catch_up(old)
-            if old.pending_count or old.peer_in_flight:
-                self.known.move_to_end(key)  # its row holds the cap; those behind it need not wait for it
-                continue
-            if plan is None:  # gone for so long that it is forgotten
-                del self.known[key]
-                return
-            full = self.ceiling.level_units(old, plan, now) >= self.ceiling.unseen_level_units(
-                plan, old.serving_gateways, now
-            )
-            if not full or not self.meter.is_as_new(old, plan, now):
-                return
-            if len(self.known) > 1:
-                del self.known[key]
-
-    def catch_up(self, customer: Customer) -> None:
-        """Bring a customer up to the last change, through each that it lags behind."""
-        name = customer.key[0]
-        for past, gateways in self.epochs.behind(customer.settings_epoch):
-            if plan := past.plans.get(name):
-                self.meter.drain_until(customer, plan, past.until, past.news_ms)
-                if past.until > customer.ceiling_updated_ms:
-                    self.ceiling.refill(customer, customer.transition_plan or plan, past.until)
-            customer.serving_gateways = max(1, min(customer.requested_gateways, gateways))
-        customer.settings_epoch = self.epochs.epoch
-        if plan := self.epochs.plan(name):
-            customer.ceiling_level_units = min(
-                customer.ceiling_level_units, plan.ceiling_burst / customer.serving_gateways
-            )
-
-    def turn(self, plans: dict[str, Plan], gateways: int) -> None:
-        """Begin a new epoch, in which these plans and this number of gateways hold."""
-        if len(self.epochs.past) >= MOST_PAST:
-            self.step(len(self.epochs.lagging))
-        self.epochs.turn(self.context.now, plans, gateways, self.meter.reading_lifetime_ms, self.known)
-        self.ceiling.begin_epoch(self.epochs, self.context.now)
-
-    def step(self, count: int) -> None:
-        """Bring some of those up to date that lag behind."""
-        for key in self.epochs.lagging[-count:]:
-            customer = self.known.get(key)
-            if customer and customer.settings_epoch != self.epochs.epoch:
-                self.catch_up(customer)
-            if customer and self.epochs.plan(key[0]) is None and not customer.pending_count:
-                del self.known[key]
-        self.epochs.caught_up(count)
-
-    def ended(self, pending: PendingRequest) -> None:
-        """A request has left: with the last one taken before a change its customer's strict bounds go too."""
+    def request_ended(self, pending: PendingRequest) -> None:
+        """A request is over; the last one from before a change of limits ends its customer's transition."""
         customer = pending.customer
         if customer.transition_plan is None or pending.settings_epoch >= customer.transition_epoch:
             return
@@ -107,3 +56,71 @@
         if customer.pending_before_transition <= 0:
             self.ceiling.refill(customer, customer.transition_plan, self.context.now)
             customer.transition_plan = None
+
+    # ---- Eviction
+
+    def _evict_idle(self, now_ms: float) -> None:
+        """Forget the least recently used rows that have become as new, a bounded number a request."""
+        for _ in range(EVICTION_CHECKS_PER_REQUEST):
+            key = next(iter(self.rows))
+            customer = self.rows[key]
+            self._catch_up_if_lagging(customer)
+            if customer.pending_count or customer.peer_in_flight:
+                # Its row counts towards the concurrency cap. Moved, so that it does not keep those behind it.
+                self.rows.move_to_end(key)
+                continue
+            plan = self.epochs.plan(key[0])
+            if plan is None:  # retired for so long that it is forgotten itself
+                del self.rows[key]
+                return
+            if not self._is_as_new(customer, plan, now_ms):
+                return
+            if len(self.rows) > 1:  # the only row is the one that was asked for
+                del self.rows[key]
+
+    def _is_as_new(self, customer: Customer, plan: Plan, now_ms: float) -> bool:
+        """Whether a row that is added anew would say the same."""
+        unseen_units = self.ceiling.unseen_level_units(plan, customer.serving_gateways, now_ms)
+        if self.ceiling.level_units(customer, plan, now_ms) < unseen_units:
+            return False
+        return self.meter.is_as_new(customer, plan, now_ms)
+
+    # ---- Changes of settings
+
+    def begin_epoch(self, plans: dict[str, Plan], gateways: int) -> None:
+        """Begin an epoch in which these plans and this number of gateways hold."""
+        if len(self.epochs.past_settings) >= MAX_PAST_SETTINGS:
+            self.catch_up_last(len(self.epochs.lagging_customers))
+        now_ms = self.context.now
+        self.epochs.begin(now_ms, plans, gateways, self.meter.reading_lifetime_ms, self.rows)
+        self.ceiling.begin_epoch(self.epochs, now_ms)
+
+    def catch_up(self, customer: Customer) -> None:
+        """Bring a row up to the last change of settings, through each that it has missed."""
+        plan_name = customer.key[0]
+        for change in self.epochs.missed_changes(customer.settings_epoch):
+            before = change.before
+            if plan := before.plans.get(plan_name):
+                self.meter.drain_until(customer, plan, before.until_ms, before.reading_lifetime_ms)
+                if before.until_ms > customer.ceiling_updated_ms:
+                    self.ceiling.refill(customer, customer.transition_plan or plan, before.until_ms)
+            customer.serving_gateways = max(1, min(customer.requested_gateways, change.gateways_after))
+        customer.settings_epoch = self.epochs.epoch
+        if plan := self.epochs.plan(plan_name):
+            capacity_units = plan.ceiling_burst / customer.serving_gateways
+            customer.ceiling_level_units = min(customer.ceiling_level_units, capacity_units)
+
+    def catch_up_last(self, count: int) -> None:
+        """Bring the last ``count`` lagging rows up to date; those of plans that are forgotten go."""
+        for key in self.epochs.lagging_customers[-count:]:
+            customer = self.rows.get(key)
+            if customer is None:
+                continue
+            self._catch_up_if_lagging(customer)
+            if self.epochs.plan(key[0]) is None and not customer.pending_count:
+                del self.rows[key]
+        self.epochs.note_caught_up(count)
+
+    def _catch_up_if_lagging(self, customer: Customer) -> None:
+        if customer.settings_epoch != self.epochs.epoch:
+            self.catch_up(customer)
--- a/quota_gateway/policy/endpoint_list.py
+++ b/quota_gateway/policy/endpoint_list.py
@@ -3,7 +3,7 @@
 from quota_gateway.api import DiscoveryMode, ListKind, ServerList, Subscribe
 from quota_gateway.policy.concurrency_limit import Pressure
 from quota_gateway.policy.slow_start import Cold
-from quota_gateway.state import Epochs, Fleet
+from quota_gateway.state import Fleet, SettingsEpochs
 
 ASK_SHARE = 0.5  # of the time in which discovery must be asked: room for one failed call
 
@@ -11,7 +11,7 @@
 class Lists:
     """Owns the fleet's table."""
 
-    def __init__(self, fleet: Fleet, cold: Cold, pressure: Pressure, epochs: Epochs) -> None:
+    def __init__(self, fleet: Fleet, cold: Cold, pressure: Pressure, epochs: SettingsEpochs) -> None:
         self.context = cold.context
         self.fleet = fleet
         self.cold = cold
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -13,13 +13,13 @@
 from quota_gateway.policy.customers import Customers
 from quota_gateway.policy.endpoint_list import Lists
 from quota_gateway.policy.graceful_shutdown import ELSEWHERE_MS, Operators
-from quota_gateway.policy.hot_restart import Handover
+from quota_gateway.policy.hot_restart import PeerUsageExchange
 from quota_gateway.policy.outlier_detection import Health
 from quota_gateway.policy.quota_meter import QuotaMeter
 from quota_gateway.policy.rate_ceiling import RateCeiling
 from quota_gateway.policy.responses import Answers
 from quota_gateway.policy.server_selection import Choice
-from quota_gateway.policy.settings_change import Changes
+from quota_gateway.policy.settings_change import SettingsChange
 from quota_gateway.policy.slow_start import Cold
 from quota_gateway.state import Context, Fleet, InFlightRequests, Reports, Views
 
@@ -43,14 +43,14 @@
         self.epochs = self.book.epochs
         self.reports = Reports(context, self.fleet)
         self.choice = Choice(self.reports, self.health, self.pressure, self.warming)
-        self.handover = Handover(context, self.hand, self.book)
-        self.answers = Answers(context, self.pressure, self.handover)
+        self.peer_usage = PeerUsageExchange(context, self.hand, self.book)
+        self.answers = Answers(context, self.pressure, self.peer_usage)
         self.attempts = Attempts(context, self.ceiling, self.choice, self.answers)
         self.admission = Admission(context, self.book, self.cap, self.attempts)
         self.retry_parked = self.admission.retry_parked
         self.lists = Lists(self.fleet, self.warming, self.pressure, self.epochs)
         self.operators = Operators(context, self.lists)
-        self.changes = Changes(self.handover, self.health, self.lists, self.retry_parked)
+        self.settings_change = SettingsChange(self.peer_usage, self.health, self.lists, self.retry_parked)
         self.handlers: dict[type, Callable[[Any], None]] = {
             api.Request: self._on_request,
             api.ClientDisconnected: self.answers.gone,
@@ -61,10 +61,10 @@
             api.ServerAdminDown: self._freeing(self.operators.by_hand),
             api.DrainChanged: self.operators.drain,
             api.ShutdownBegun: self.answers.stop,
-            api.HotRestartBegun: self.changes.hand_over,
-            api.PeerUsage: self._freeing(self.handover.hear),
-            api.PeerExited: self._freeing(self.handover.end),
-            api.SettingsChanged: self._freeing(self.changes.take),
+            api.HotRestartBegun: self.settings_change.begin_hot_restart,
+            api.PeerUsage: self._freeing(self.peer_usage.on_peer_usage),
+            api.PeerExited: self._freeing(self.peer_usage.on_peer_exited),
+            api.SettingsChanged: self._freeing(self.settings_change.apply),
             api.IdleConnectionChanged: self.reports.linked,
             api.HealthCheckResult: self.reports.probed,
         }
--- a/quota_gateway/policy/hot_restart.py
+++ b/quota_gateway/policy/hot_restart.py
@@ -1,40 +1,52 @@
-"""Upgrades: this process and the next one are one gateway."""
+"""Hot restart: while the next process of this gateway takes over, both count as one gateway."""
+
+from __future__ import annotations
 
 from quota_gateway.api import PeerExited, PeerUsage
 from quota_gateway.policy.customers import Customers
 from quota_gateway.state import Context, Customer, InFlightRequests
 
 
-class Handover:
-    """Owns whether the next process has taken over."""
+class PeerUsageExchange:
+    """Owns whether the next process has taken over; reports customers' use to it.
+
+    The process before finishes its pending requests. They still use the customers' quotas and caps, which
+    the next process answers for; without reports each process would grant the whole share once.
+    """
 
     def __init__(self, context: Context, hand: InFlightRequests, customers: Customers) -> None:
         self.context = context
         self.hand = hand
         self.customers = customers
-        self.handed = False
+        self.peer_has_taken_over = False
 
-    def tell(self, customer: Customer, charged: float, used: float | None = None) -> None:
-        """Once handed over: the units charged here, the reading of the meter, what is in hand now."""
-        if self.handed:
-            plan, name = customer.key
-            self.context.actions.append(PeerUsage(plan, name, self.hand.places(customer), charged, used))
+    def report(
+        self, customer: Customer, charged_units: float, metered_use_percent: float | None = None
+    ) -> None:
+        """Report units charged here, a reading of the meter and the places in flight, once handed over."""
+        if self.peer_has_taken_over:
+            plan_name, customer_name = customer.key
+            in_flight = self.hand.places(customer)
+            self.context.actions.append(
+                PeerUsage(plan_name, customer_name, in_flight, charged_units, metered_use_percent)
+            )
 
-    def hear(self, event: PeerUsage) -> bool:
-        """What the process before this one holds and charges of a customer; false if nobody knows it."""
-        customer = self.customers.known.get((event.plan, event.customer))
+    def on_peer_usage(self, event: PeerUsage) -> bool:
+        """Charge a customer with its use at the process before this one; False if it is not known here."""
+        customer = self.customers.rows.get((event.plan, event.customer))
         if customer is None:
             return False
         self.customers.catch_up(customer)
         customer.peer_in_flight = event.in_flight
-        self.customers.meter.charge(customer, event.charged)
+        meter = self.customers.meter
+        meter.charge(customer, event.charged_units)
         if event.metered_use_percent is not None:
-            self.customers.meter.record_reading(customer, event.metered_use_percent, self.context.now)
+            meter.record_reading(customer, event.metered_use_percent, self.context.now)
         return True
 
-    def end(self, _: PeerExited) -> bool:
-        """The process before this one has ended, or the next one has: this one goes on alone."""
-        self.handed = False
-        for customer in self.customers.known.values():
+    def on_peer_exited(self, _: PeerExited) -> bool:
+        """The other process, before or after this one, has ended: this one goes on alone."""
+        self.peer_has_taken_over = False
+        for customer in self.customers.rows.values():
             customer.peer_in_flight = 0
         return True
--- a/quota_gateway/policy/rate_ceiling.py
+++ b/quota_gateway/policy/rate_ceiling.py
@@ -9,7 +9,7 @@
 from math import inf
 
 from quota_gateway.api import Plan
-from quota_gateway.state import Context, Customer, Epochs, PendingRequest
+from quota_gateway.state import Context, Customer, PendingRequest, SettingsEpochs
 
 MS_PER_S = 1000.0
 
@@ -39,9 +39,9 @@
         refilled_units = plan.ceiling_rate * (now_ms - updated_ms) / MS_PER_S
         return min(plan.ceiling_burst, level_units + refilled_units) / gateways
 
-    def begin_epoch(self, epochs: Epochs, now_ms: float) -> None:
+    def begin_epoch(self, epochs: SettingsEpochs, now_ms: float) -> None:
         """New settings hold: customers not seen keep their level, in plans that are new they begin empty."""
-        plans_before = epochs.past[-1].plans
+        plans_before = epochs.past_settings[-1].plans
         kept = {
             name: BucketLevel(self.unseen_level_units(plan, 1, now_ms), now_ms)
             for name, plan in plans_before.items()
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -4,7 +4,7 @@
 
 from quota_gateway.api import Cancel, ClientDisconnected, Fail, Plan, Reject, ShutdownBegun
 from quota_gateway.policy.concurrency_limit import Pressure
-from quota_gateway.policy.hot_restart import Handover
+from quota_gateway.policy.hot_restart import PeerUsageExchange
 from quota_gateway.policy.retry_policy import harmless
 from quota_gateway.state import Context, Customer, OutcomeCounters, PendingRequest
 
@@ -15,13 +15,13 @@
 class Answers:
     """Owns when this gateway ends, and the count of what is given up."""
 
-    def __init__(self, context: Context, pressure: Pressure, handover: Handover) -> None:
+    def __init__(self, context: Context, pressure: Pressure, peer_usage: PeerUsageExchange) -> None:
         self.context = context
         self.pressure = pressure
-        self.handover = handover
-        self.hand = handover.hand
-        self.customers = handover.customers
-        self.meter = handover.customers.meter
+        self.peer_usage = peer_usage
+        self.hand = peer_usage.hand
+        self.customers = peer_usage.customers
+        self.meter = peer_usage.customers.meter
         self.ends_at = inf  # of this gateway
         self.tally = OutcomeCounters(TALLY_MS)
 
@@ -94,12 +94,12 @@
         """Put a guess of units right."""
         units = self.meter.correction_units(guess, true)
         self.meter.charge(customer, units)
-        self.handover.tell(customer, units)
+        self.peer_usage.report(customer, units)
 
     def drop_if_done(self, pending: PendingRequest) -> None:
         """Forget a request that has its answer and no attempt out."""
         if not pending.answered:
             return
         if self.hand.drop(pending):
-            self.customers.ended(pending)
-        self.handover.tell(pending.customer, 0.0)
+            self.customers.request_ended(pending)
+        self.peer_usage.report(pending.customer, 0.0)
--- a/quota_gateway/policy/settings_change.py
+++ b/quota_gateway/policy/settings_change.py
@@ -1,124 +1,154 @@
-"""Settings that change while the gateway serves: whole or not at all. What is in hand keeps its class and
-plan; where a ceiling or cap changes, the stricter of both holds until what was taken before has ended.
+"""Settings changes: new settings take hold while the gateway serves, completely or not at all.
+
+Pending requests keep the class and plan under which they were taken. Where a plan's limits change, the
+stricter of old and new hold for a customer until its requests from before the change are over.
 """
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from dataclasses import replace
 
 from quota_gateway.api import HotRestartBegun, Plan, SettingsChanged
 from quota_gateway.policy.endpoint_list import Lists
-from quota_gateway.policy.hot_restart import Handover
+from quota_gateway.policy.hot_restart import PeerUsageExchange
 from quota_gateway.policy.outlier_detection import Health
 from quota_gateway.state import CustomerKey
 
-SETTLE_MS = 4000.0  # the platform gives a change of configuration so long: others may go by the old one
-STEP = 100  # customers brought up to date in a step
-BOUNDS = ("max_in_flight", "ceiling_rate", "ceiling_burst")
+FLEET_UPDATE_MS = 4000.0  # the platform's bound on a configuration change: until then others may use the old
+CATCH_UP_ROWS_PER_TICK = 100
+
+
+def has_same_limits(one: Plan, other: Plan) -> bool:
+    """Whether two plans have the same rate ceiling and concurrency cap."""
+    return (
+        one.max_in_flight == other.max_in_flight
+        and one.ceiling_rate == other.ceiling_rate
+        and one.ceiling_burst == other.ceiling_burst
+    )
 
 
-def stricter(one: Plan, other: Plan) -> Plan:
-    """The first plan, with the lower of both ceilings and caps; nought is none."""
+def _stricter(one: float, other: float) -> float:
+    """The lower of two limits, of which 0 means that there is none."""
+    return min(one, other) if one and other else one or other
 
-    def low(a: float, b: float) -> float:
-        return min(a, b) if a and b else a or b
 
-    rate = low(one.ceiling_rate, other.ceiling_rate)
-    burst = low(one.ceiling_burst, other.ceiling_burst) if rate else 0.0
+def with_stricter_limits(plan: Plan, other: Plan) -> Plan:
+    """The plan, with the lower of both plans' rate ceilings and concurrency caps."""
+    ceiling_rate = _stricter(plan.ceiling_rate, other.ceiling_rate)
+    ceiling_burst = _stricter(plan.ceiling_burst, other.ceiling_burst) if ceiling_rate else 0.0
     return replace(
-        one,
-        max_in_flight=int(low(one.max_in_flight, other.max_in_flight)),
-        ceiling_rate=rate,
-        ceiling_burst=burst,
+        plan,
+        max_in_flight=int(_stricter(plan.max_in_flight, other.max_in_flight)),
+        ceiling_rate=ceiling_rate,
+        ceiling_burst=ceiling_burst,
     )
 
 
-class Changes:
-    """Owns the bounds of what is in hand while settings change; hands the settings to every part."""
-
-    def __init__(self, handover: Handover, health: Health, lists: Lists, again: Callable[[], None]) -> None:
-        self.context = handover.context
-        self.handover = handover
-        self.hand = handover.hand
-        self.customers = handover.customers
-        self.epochs = handover.customers.epochs
+class SettingsChange:
+    """Hands new settings to every part; owns customers' transition plans while limits change."""
+
+    def __init__(
+        self,
+        peer_usage: PeerUsageExchange,
+        health: Health,
+        lists: Lists,
+        retry_parked: Callable[[], None],
+    ) -> None:
+        self.context = peer_usage.context
+        self.peer_usage = peer_usage
+        self.hand = peer_usage.hand
+        self.customers = peer_usage.customers
+        self.epochs = peer_usage.customers.epochs
         self.health = health
         self.lists = lists
         self.pressure = lists.pressure
-        self.again = again  # tries again what is parked
+        self.retry_parked = retry_parked
+
+    def apply(self, event: SettingsChanged) -> bool:
+        """Put new settings in force.
 
-    def take(self, event: SettingsChanged) -> bool:
-        """Take them over. A larger number of gateways holds at once, as shares shrink; a smaller one once the
-        others must have heard of it too: until then this gateway's share grows by nothing.
+        A larger number of gateways holds at once, as it makes shares smaller. A smaller one holds after
+        ``FLEET_UPDATE_MS``: this gateway's share may grow only once the others have given theirs up.
         """
         settings = event.settings
-        plans = {item.name: item for item in settings.plans}
-        kinds = (pending.request_class for pending in self.hand.pending_requests.values())
-        latency = self.pressure.means([*settings.classes, *kinds])
+        plans = {plan.name: plan for plan in settings.plans}
+        pending_classes = (pending.request_class for pending in self.hand.pending_requests.values())
+        latency = self.pressure.means([*settings.classes, *pending_classes])
         gateways = max(self.epochs.gateways, settings.gateways)
-        bounds = self._bounds(plans)
-        # All that may fail came before the first thing that is altered.
-        self._turn(plans, gateways)
+        transition_plans = self._transition_plans(plans)
+
+        # Whatever can fail has been computed by now: from here on the change is complete.
+        self._begin_epoch(plans, gateways)
         self.context.configure(settings)
         self.pressure.latencies.keep(latency)
         self.health.shares.keep(self.context.classes, plans, self.lists.fleet.servers.values())
-        self._keep_in_hand(bounds)
+        self._begin_transitions(transition_plans)
         self.lists.relist()
         if settings.gateways < gateways:
-            self.context.arm(SETTLE_MS, self._settled, self.epochs.epoch)
+            self.context.arm(FLEET_UPDATE_MS, self._on_fleet_updated, self.epochs.epoch)
         return True
 
-    def _settled(self, epoch: int) -> None:
-        """The smaller number of gateways holds from now on, unless there was another change."""
+    def begin_hot_restart(self, _: HotRestartBegun) -> None:
+        """The next process takes over, maybe with other settings: bring every row up to this moment."""
+        self.peer_usage.peer_has_taken_over = True
+        self._begin_epoch(self.epochs.plans, self.epochs.gateways)
+        self._begin_transitions({})
+        self.customers.catch_up_last(len(self.epochs.lagging_customers))
+        self.context.log(f"handed over with {len(self.hand.pending_requests)} requests in hand")
+
+    def _on_fleet_updated(self, epoch: int) -> None:
+        """Let the smaller number of gateways hold, unless another change came in between."""
         if epoch == self.epochs.epoch:
-            self._turn(self.epochs.plans, self.context.settings.gateways)
-            self._keep_in_hand({})
-            self.again()
+            self._begin_epoch(self.epochs.plans, self.context.settings.gateways)
+            self._begin_transitions({})
+            self.retry_parked()
+
+    # ---- Rows catch up in steps
 
-    def _turn(self, plans: dict[str, Plan], gateways: int) -> None:
-        """Begin a new epoch."""
+    def _begin_epoch(self, plans: dict[str, Plan], gateways: int) -> None:
         self.pressure.rescale(self.epochs.gateways, gateways)
-        self.customers.turn(plans, gateways)
-        if self.epochs.lagging:
-            self.context.arm(self.context.settings.tick_ms, self._sweep, self.epochs.epoch)
+        self.customers.begin_epoch(plans, gateways)
+        self._arm_catch_up(self.epochs.epoch)
 
-    def _sweep(self, epoch: int) -> None:
+    def _on_catch_up(self, epoch: int) -> None:
+        """Bring some rows up to date; a later epoch has steps of its own."""
         if epoch == self.epochs.epoch:
-            self.customers.step(STEP)
-            if self.epochs.lagging:
-                self.context.arm(self.context.settings.tick_ms, self._sweep, epoch)
+            self.customers.catch_up_last(CATCH_UP_ROWS_PER_TICK)
+            self._arm_catch_up(epoch)
 
-    def _bounds(self, plans: dict[str, Plan]) -> dict[CustomerKey, Plan]:
-        """For customers with something in hand whose ceiling or cap changes: the stricter of old and new."""
-        bounds: dict[CustomerKey, Plan] = {}
-        for pending in self.hand.pending_requests.values():
-            old = pending.plan
-            customer = pending.customer
-            new = plans.get(old.name, old)
-            strict = bounds.get(customer.key) or customer.transition_plan
-            bound = stricter(new, stricter(old, strict or old))
-            if strict or any(
-                getattr(bound, name) != getattr(plan, name) for name in BOUNDS for plan in (old, new)
-            ):
-                bounds[customer.key] = bound
-        return bounds
-
-    def _keep_in_hand(self, bounds: dict[CustomerKey, Plan]) -> None:
-        """Bring up to date whoever has something in hand; until that has ended the stricter bounds hold."""
+    def _arm_catch_up(self, epoch: int) -> None:
+        if self.epochs.lagging_customers:
+            self.context.arm(self.context.settings.tick_ms, self._on_catch_up, epoch)
+
+    # ---- Limits in transition
+
+    def _transition_plans(self, new_plans: dict[str, Plan]) -> dict[CustomerKey, Plan]:
+        """Stricter plans for customers with pending requests whose limits change, or changed before."""
+        transition_plans: dict[CustomerKey, Plan] = {}
         for pending in self.hand.pending_requests.values():
+            key = pending.customer.key
+            old_plan = pending.plan
+            new_plan = new_plans.get(old_plan.name, old_plan)
+            earlier = transition_plans.get(key) or pending.customer.transition_plan
+            strict_plan = with_stricter_limits(new_plan, with_stricter_limits(old_plan, earlier or old_plan))
+            is_changing = not (
+                has_same_limits(strict_plan, old_plan) and has_same_limits(strict_plan, new_plan)
+            )
+            if earlier or is_changing:
+                transition_plans[key] = strict_plan
+        return transition_plans
+
+    def _begin_transitions(self, transition_plans: dict[CustomerKey, Plan]) -> None:
+        """Bring customers with pending requests up to date; stricter plans hold until those are over."""
+        pending_requests = self.hand.pending_requests.values()
+        for pending in pending_requests:
             self.customers.catch_up(pending.customer)
-            if pending.customer.key in bounds:
+            if pending.customer.key in transition_plans:
                 pending.customer.pending_before_transition = 0
-        for pending in self.hand.pending_requests.values():
+        for pending in pending_requests:
             customer = pending.customer
-            if customer.key in bounds:
-                customer.transition_plan = bounds[customer.key]
+            if customer.key in transition_plans:
+                customer.transition_plan = transition_plans[customer.key]
                 customer.transition_epoch = self.epochs.epoch
                 customer.pending_before_transition += 1
-
-    def hand_over(self, _: HotRestartBegun) -> None:
-        """The next process takes over, and may go by other settings: all are brought up to this moment."""
-        self.handover.handed = True
-        self._turn(self.epochs.plans, self.epochs.gateways)
-        self._keep_in_hand({})
-        self.customers.step(len(self.epochs.lagging))
-        self.context.log(f"handed over with {len(self.hand.pending_requests)} requests in hand")
--- a/quota_gateway/recording/names.py
+++ b/quota_gateway/recording/names.py
@@ -42,7 +42,11 @@
         "overload_window_ms": "tip_window_ms",
         "poll_within_ms": "ask_within_ms",
     },
-    api.PeerUsage: {"in_flight": "in_hand", "metered_use_percent": "used_percent"},
+    api.PeerUsage: {
+        "charged_units": "charged",
+        "in_flight": "in_hand",
+        "metered_use_percent": "used_percent",
+    },
     api.Plan: {"overuse_cost": "over_cost", "overuse_value": "over_worth"},
     api.Request: {"client_timeout_ms": "patience_ms", "gateway_span": "width"},
     api.RequestClass: {
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -10,13 +10,13 @@
 from quota_gateway.state.pending_request import PendingRequest
 from quota_gateway.state.records import CustomerKey, FailureRecord, Moment
 from quota_gateway.state.server import Server
-from quota_gateway.state.settings_epochs import Epochs
+from quota_gateway.state.settings_epochs import SettingsEpochs
 from quota_gateway.state.views import Views
 
 __all__ = [
     "Context",
     "Customer",
-    "Epochs",
+    "SettingsEpochs",
     "Fleet",
     "PendingRequest",
     "Group",
--- a/quota_gateway/state/settings_epochs.py
+++ b/quota_gateway/state/settings_epochs.py
@@ -1,4 +1,8 @@
-"""Epochs: which settings held until when, and which customers are still to be brought up to date."""
+"""Settings epochs: which settings held until when, and which customers have not been brought through them.
+
+Each change of settings begins an epoch. A customer's row is brought up to the change by what held before it:
+its bucket drains at the old rate until the change and at the new one from then on.
+"""
 
 from __future__ import annotations
 
@@ -10,58 +14,79 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Past:
-    """What held until a change: by it customers are brought up to the change."""
+class PastSettings:
+    """Settings that held until a change."""
 
-    until: float
-    plans: dict[str, Plan]
+    until_ms: float
+    plans: dict[str, Plan]  # those that were retired by then as well
     gateways: int
-    news_ms: float  # how long a reading of the meter was news
+    reading_lifetime_ms: float
+
+
+@dataclass(frozen=True, slots=True)
+class MissedChange:
+    """A change of settings that a customer's row has not been brought through yet."""
+
+    before: PastSettings
+    gateways_after: int
 
 
-class Epochs:
-    """The number of changes so far, and what held before each that some customer may lag behind."""
+class SettingsEpochs:
+    """Owns the epoch's number, plans and number of gateways, and the past ones that rows may lag behind."""
 
-    def __init__(self, plans: Iterable[Plan], gateways: int, most_retired: int) -> None:
-        self.plans = {item.name: item for item in plans}
+    def __init__(self, plans: Iterable[Plan], gateways: int, max_retired_plans: int) -> None:
+        self.plans = {plan.name: plan for plan in plans}
         self.gateways = gateways
-        self.most_retired = most_retired
-        self.epoch = 0
-        self.past: list[Past] = []
-        self.lagging: list[CustomerKey] = []
-        self.retired: dict[str, Plan] = {}  # plans that are gone, the newest of them
+        self.max_retired_plans = max_retired_plans
+        self.epoch = 0  # number of changes so far
+        self.past_settings: list[PastSettings] = []  # oldest first; empty once no customer lags behind
+        self.lagging_customers: list[CustomerKey] = []
+        self.retired_plans: dict[str, Plan] = {}  # the newest of those that the settings no longer have
 
     def plan(self, name: str) -> Plan | None:
-        """A plan in force, or one that is gone and remembered."""
-        return self.plans.get(name) or self.retired.get(name)
+        """A plan in force, or a retired one that is still remembered."""
+        return self.plans.get(name) or self.retired_plans.get(name)
 
-    def turn(
+    def begin(
         self,
-        now: float,
+        now_ms: float,
         plans: dict[str, Plan],
         gateways: int,
-        news_ms: float,
-        keys: Iterable[CustomerKey],
+        reading_lifetime_ms: float,
+        customers: Iterable[CustomerKey],
     ) -> None:
-        """Begin a new epoch. The customers with these keys lag behind from now on."""
-        before = self.retired | self.plans
-        self.past.append(Past(now, before, self.gateways, news_ms))
+        """Begin an epoch with these plans and gateways, behind which these customers lag.
+
+        ``reading_lifetime_ms`` is the one that held until now.
+        """
+        plans_before = self.retired_plans | self.plans
+        self.past_settings.append(PastSettings(now_ms, plans_before, self.gateways, reading_lifetime_ms))
         self.epoch += 1
-        self.retired = {name: plan for name, plan in before.items() if name not in plans}
-        for name in list(self.retired)[: -self.most_retired]:
-            del self.retired[name]
+        self.retired_plans = self._newest_retired(plans_before, plans)
         self.plans = plans
         self.gateways = gateways
-        self.lagging = list(keys)
-
-    def behind(self, epoch: int) -> list[tuple[Past, int]]:
-        """What held since an epoch, oldest first, each with the number of gateways that came after it."""
-        past = self.past[epoch - self.epoch :] if epoch < self.epoch else []
-        after = [item.gateways for item in past[1:]] + [self.gateways]
-        return list(zip(past, after, strict=False))
-
-    def caught_up(self, count: int) -> None:
-        """The last so many that lagged behind do no more; once none does, the past is forgotten."""
-        del self.lagging[-count:]
-        if not self.lagging:
-            self.past.clear()
+        self.lagging_customers = list(customers)
+
+    def _newest_retired(self, plans_before: dict[str, Plan], plans: dict[str, Plan]) -> dict[str, Plan]:
+        """Plans that are no longer in force, oldest first, without those beyond the bound."""
+        retired = {name: plan for name, plan in plans_before.items() if name not in plans}
+        for name in list(retired)[: -self.max_retired_plans]:
+            del retired[name]
+        return retired
+
+    def missed_changes(self, epoch: int) -> list[MissedChange]:
+        """Changes since an epoch, oldest first."""
+        missed_count = self.epoch - epoch
+        missed = self.past_settings[-missed_count:] if missed_count > 0 else []
+        if not missed:
+            return []
+        gateways_after = [*(settings.gateways for settings in missed[1:]), self.gateways]
+        return [
+            MissedChange(before, gateways) for before, gateways in zip(missed, gateways_after, strict=True)
+        ]
+
+    def note_caught_up(self, count: int) -> None:
+        """The last ``count`` lagging customers lag no more; once none does, past settings are forgotten."""
+        del self.lagging_customers[-count:]
+        if not self.lagging_customers:
+            self.past_settings.clear()
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -57,10 +57,10 @@
     # what the door, the handover's document and users of the library read, wherever its owner keeps it
     names = (
         "settings random classes plans customers servers pending_requests parked timers tokens now "
-        "started_at ends_at gateways changes latency retries young pool marks quick sends by_hand drains "
-        "handed pooled draining left ready cold logged tally actions handlers handle share ceiling_level "
-        "retry_parked relist in_hand reserved_units arm highest_priority_weight first_latency fresh_ceiling "
-        "news_ms tally_at"
+        "started_at ends_at gateways settings_change latency retries young pool marks quick sends by_hand "
+        "drains handed pooled draining left ready cold logged tally actions handlers handle share "
+        "ceiling_level retry_parked relist in_hand reserved_units arm highest_priority_weight first_latency "
+        "fresh_ceiling news_ms tally_at"
     )
     rig = Rig()
     rig.servers(entry(1))
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -269,13 +269,13 @@
     book = Customers(made, QuotaMeter(made), RateCeiling(made))
     for number in range(3000):
         made.begin(100.0 * number)
-        found = book.find(Request(str(number), "safe", "metered", f"c{number}", 1000.0, 1.0), METERED)
+        found = book.find_or_add(Request(str(number), "safe", "metered", f"c{number}", 1000.0, 1.0), METERED)
         found.pending_count = (
             1 if number % 1000 == 0 else 0
         )  # one that waits for hours stops nobody else's row
-    held = [customer.key[1] for customer in book.known.values() if customer.pending_count]
+    held = [customer.key[1] for customer in book.rows.values() if customer.pending_count]
     assert sorted(held) == ["c0", "c1000", "c2000"]
-    assert 40 <= len(book.known) <= 48
+    assert 40 <= len(book.rows) <= 48
 
 
 def test_settings_that_change_between_two_attempts_keep_the_class_and_lift_no_bound():
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -80,7 +80,7 @@
 
 def test_state_of_idle_customers_is_caught_up_in_steps_and_comes_to_the_same():
     rig = a_rig(QUOTA)
-    count = 5 * settings_change.STEP
+    count = 5 * settings_change.CATCH_UP_ROWS_PER_TICK
     for number in range(count):
         for name in sent(rig, 1, plan="q", customer=f"c{number}", units=2.0):
             rig.finish(name)
@@ -92,7 +92,7 @@
     assert 0 < sum(one.settings_epoch == 2 for one in held) < count
     rig.run(1000.0)
     assert all(one.settings_epoch == 2 for one in held)
-    assert not rig.gateway.epochs.past
+    assert not rig.gateway.epochs.past_settings
     assert {one.excess_milliunits for one in held} == {2000.0}
     assert len(held) == count
 
@@ -108,10 +108,11 @@
             while name not in rig.answers:
                 rig.finish(name, Status.ERROR)
     rig.run(5000.0)
-    changes, gateway = rig.gateway.epochs, rig.gateway
-    assert len(changes.retired) <= customers.MOST_RETIRED
-    assert not changes.past
-    assert len(gateway.customers) <= customers.MOST_RETIRED + 1
+    gateway = rig.gateway
+    epochs = gateway.epochs
+    assert len(epochs.retired_plans) <= customers.MAX_RETIRED_PLANS
+    assert not epochs.past_settings
+    assert len(gateway.customers) <= customers.MAX_RETIRED_PLANS + 1
     tell(rig)
     assert len(gateway.latency) == len(gateway.quick) == len(CLASSES) + 1
     assert all(
@@ -225,7 +226,7 @@
     assert customer(rig).serving_gateways == 8
     assert rig.gateway.pool == pool / 2
     tell(rig, gateways=2)
-    rig.run(settings_change.SETTLE_MS - 1.0)
+    rig.run(settings_change.FLEET_UPDATE_MS - 1.0)
     rig.ask(plan="q", width=8)
     assert customer(rig).serving_gateways == 8
     rig.run(1.0)
@@ -236,9 +237,9 @@
 def test_another_change_before_the_others_have_heard_begins_the_wait_anew():
     rig = a_rig(QUOTA, gateways=4)
     tell(rig, gateways=2)
-    rig.run(settings_change.SETTLE_MS / 2)
+    rig.run(settings_change.FLEET_UPDATE_MS / 2)
     tell(rig, gateways=3)
-    rig.run(settings_change.SETTLE_MS - 1.0)
+    rig.run(settings_change.FLEET_UPDATE_MS - 1.0)
     assert rig.gateway.gateways == 4
     rig.run(1.0)
     assert rig.gateway.gateways == 3
@@ -303,8 +304,8 @@
         tell(rig, classes=(replace(CLASSES[0], name="new"),), gateways=7)
     assert all(getattr(gateway, name) is before[name] for name in watched)
     assert gateway.epochs.epoch == 0
-    assert not gateway.epochs.past
-    assert not gateway.epochs.retired
+    assert not gateway.epochs.past_settings
+    assert not gateway.epochs.retired_plans
 
 
 def test_state_of_a_process_with_other_settings_is_fitted_or_left_customer_by_customer():
