--- a/quota_gateway/policy/customers.py
+++ b/quota_gateway/policy/customers.py
@@ -14,7 +14,7 @@
 from quota_gateway.policy.rate_ceiling import RateCeiling
 from quota_gateway.state import Context, Customer, CustomerKey, PendingRequest, SettingsEpochs
 
-MAX_PAST_SETTINGS = 32  # changes that rows may lag behind
+MAX_PAST_EPOCHS = 32  # changes that rows may lag behind
 MAX_RETIRED_PLANS = 64  # plans no longer in the settings, remembered for their customers
 EVICTION_CHECKS_PER_REQUEST = 2  # above 1, so that rows are evicted faster than requests add them
 
@@ -89,7 +89,7 @@
 
     def begin_epoch(self, plans: dict[str, Plan], gateways: int) -> None:
         """Begin an epoch in which these plans and this number of gateways hold."""
-        if len(self.epochs.past_settings) >= MAX_PAST_SETTINGS:
+        if len(self.epochs.past_epochs) >= MAX_PAST_EPOCHS:
             self.catch_up_last(len(self.epochs.lagging_customers))
         now_ms = self.context.now
         self.epochs.begin(now_ms, plans, gateways, self.meter.reading_lifetime_ms, self.rows)
@@ -98,13 +98,12 @@
     def catch_up(self, customer: Customer) -> None:
         """Bring a row up to the last change of settings, through each that it has missed."""
         plan_name = customer.key[0]
-        for change in self.epochs.missed_changes(customer.settings_epoch):
-            before = change.before
-            if plan := before.plans.get(plan_name):
-                self.meter.drain_until(customer, plan, before.until_ms, before.reading_lifetime_ms)
-                if before.until_ms > customer.ceiling_updated_ms:
-                    self.ceiling.refill(customer, customer.transition_plan or plan, before.until_ms)
-            customer.serving_gateways = max(1, min(customer.requested_gateways, change.gateways_after))
+        for past in self.epochs.missed_epochs(customer.settings_epoch):
+            if plan := past.plans.get(plan_name):
+                self.meter.drain_until(customer, plan, past.until_ms, past.reading_lifetime_ms)
+                if past.until_ms > customer.ceiling_updated_ms:
+                    self.ceiling.refill(customer, customer.transition_plan or plan, past.until_ms)
+            customer.serving_gateways = max(1, min(customer.requested_gateways, past.gateways_after))
         customer.settings_epoch = self.epochs.epoch
         if plan := self.epochs.plan(plan_name):
             capacity_units = plan.ceiling_burst / customer.serving_gateways
--- a/quota_gateway/policy/quota_meter.py
+++ b/quota_gateway/policy/quota_meter.py
@@ -209,7 +209,8 @@
         """Drain excess and demand up to a moment, by the plan and reading lifetime in force until then."""
         if until_ms > customer.excess_updated_ms:
             drain_rate = self._drain_rate(customer, plan, until_ms, reading_lifetime_ms)
-            customer.excess_milliunits = max(0.0, self._excess_with(customer, drain_rate, 0.0, until_ms))
+            drained = drain_rate * (until_ms - customer.excess_updated_ms)
+            customer.excess_milliunits = max(0.0, customer.excess_milliunits - drained)
             customer.excess_updated_ms = until_ms
         if until_ms > customer.demand_updated_ms:
             customer.demand_units = self._demand_units(customer, plan, until_ms)
--- a/quota_gateway/policy/rate_ceiling.py
+++ b/quota_gateway/policy/rate_ceiling.py
@@ -41,7 +41,7 @@
 
     def begin_epoch(self, epochs: SettingsEpochs, now_ms: float) -> None:
         """New settings hold: customers not seen keep their level, in plans that are new they begin empty."""
-        plans_before = epochs.past_settings[-1].plans
+        plans_before = epochs.past_epochs[-1].plans
         kept = {
             name: BucketLevel(self.unseen_level_units(plan, 1, now_ms), now_ms)
             for name, plan in plans_before.items()
--- a/quota_gateway/state/settings_epochs.py
+++ b/quota_gateway/state/settings_epochs.py
@@ -14,20 +14,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PastSettings:
-    """Settings that held until a change."""
+class PastEpoch:
+    """What held until a change of settings, and the number of gateways from then on."""
 
     until_ms: float
-    plans: dict[str, Plan]  # those that were retired by then as well
-    gateways: int
+    plans: dict[str, Plan]  # the retired ones as well
     reading_lifetime_ms: float
-
-
-@dataclass(frozen=True, slots=True)
-class MissedChange:
-    """A change of settings that a customer's row has not been brought through yet."""
-
-    before: PastSettings
     gateways_after: int
 
 
@@ -39,7 +31,7 @@
         self.gateways = gateways
         self.max_retired_plans = max_retired_plans
         self.epoch = 0  # number of changes so far
-        self.past_settings: list[PastSettings] = []  # oldest first; empty once no customer lags behind
+        self.past_epochs: list[PastEpoch] = []  # oldest first; empty once no customer lags behind
         self.lagging_customers: list[CustomerKey] = []
         self.retired_plans: dict[str, Plan] = {}  # the newest of those that the settings no longer have
 
@@ -60,7 +52,7 @@
         ``reading_lifetime_ms`` is the one that held until now.
         """
         plans_before = self.retired_plans | self.plans
-        self.past_settings.append(PastSettings(now_ms, plans_before, self.gateways, reading_lifetime_ms))
+        self.past_epochs.append(PastEpoch(now_ms, plans_before, reading_lifetime_ms, gateways))
         self.epoch += 1
         self.retired_plans = self._newest_retired(plans_before, plans)
         self.plans = plans
@@ -74,19 +66,13 @@
             del retired[name]
         return retired
 
-    def missed_changes(self, epoch: int) -> list[MissedChange]:
-        """Changes since an epoch, oldest first."""
+    def missed_epochs(self, epoch: int) -> list[PastEpoch]:
+        """Epochs from this one to the last past one, oldest first: those a row of this epoch has missed."""
         missed_count = self.epoch - epoch
-        missed = self.past_settings[-missed_count:] if missed_count > 0 else []
-        if not missed:
-            return []
-        gateways_after = [*(settings.gateways for settings in missed[1:]), self.gateways]
-        return [
-            MissedChange(before, gateways) for before, gateways in zip(missed, gateways_after, strict=True)
-        ]
+        return self.past_epochs[-missed_count:] if missed_count > 0 else []
 
     def note_caught_up(self, count: int) -> None:
-        """The last ``count`` lagging customers lag no more; once none does, past settings are forgotten."""
+        """The last ``count`` lagging customers lag no more; once none does, past epochs are forgotten."""
         del self.lagging_customers[-count:]
         if not self.lagging_customers:
-            self.past_settings.clear()
+            self.past_epochs.clear()
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -92,7 +92,7 @@
     assert 0 < sum(one.settings_epoch == 2 for one in held) < count
     rig.run(1000.0)
     assert all(one.settings_epoch == 2 for one in held)
-    assert not rig.gateway.epochs.past_settings
+    assert not rig.gateway.epochs.past_epochs
     assert {one.excess_milliunits for one in held} == {2000.0}
     assert len(held) == count
 
@@ -111,7 +111,7 @@
     gateway = rig.gateway
     epochs = gateway.epochs
     assert len(epochs.retired_plans) <= customers.MAX_RETIRED_PLANS
-    assert not epochs.past_settings
+    assert not epochs.past_epochs
     assert len(gateway.customers) <= customers.MAX_RETIRED_PLANS + 1
     tell(rig)
     assert len(gateway.latency) == len(gateway.quick) == len(CLASSES) + 1
@@ -304,7 +304,7 @@
         tell(rig, classes=(replace(CLASSES[0], name="new"),), gateways=7)
     assert all(getattr(gateway, name) is before[name] for name in watched)
     assert gateway.epochs.epoch == 0
-    assert not gateway.epochs.past_settings
+    assert not gateway.epochs.past_epochs
     assert not gateway.epochs.retired_plans
 
 
