--- a/quota_gateway/failover/gateway.py
+++ b/quota_gateway/failover/gateway.py
@@ -18,8 +18,9 @@
 
 from quota_gateway.failover.connection_record import Record, RecordError
 from quota_gateway.net.clients import Client, Clients
+from quota_gateway.net.heartbeat import HEARTBEAT_INTERVAL_S
 from quota_gateway.net.hot_restart import Link, close_all, connected
-from quota_gateway.net.peer_process import BEAT_S, consumed, written
+from quota_gateway.net.tcp_info import bytes_consumed, bytes_written
 
 log = logging.getLogger(__name__)
 
@@ -57,7 +58,7 @@
         for _ in range(STEADY):
             with suppress(OSError):
                 descriptor = self.connections[number]
-                if row and (consumed(descriptor), written(descriptor)) == row[:2]:
+                if row and (bytes_consumed(descriptor), bytes_written(descriptor)) == row[:2]:
                     return True
         return False
 
@@ -87,7 +88,7 @@
         while True:
             if self.link is None:
                 self._connect()
-            await asyncio.sleep(BEAT_S if self.link else AGAIN_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S if self.link else AGAIN_S)
             if self.link:
                 self.link.send(b"B")
 
@@ -101,7 +102,7 @@
             self._tell_all()
 
     def _ended(self, link: Link) -> None:
-        link.other.close()
+        link.peer_process.close()
         if self.link is link:
             self.link = None
             log.error("the keeper has ended: this process %s", "serves on" if self.serving else "stands by")
@@ -178,8 +179,8 @@
         descriptor = client.transport.get_extra_info("socket").fileno()
         self.numbers += 1
         try:
-            came = consumed(descriptor)
-            went = written(descriptor)
+            came = bytes_consumed(descriptor)
+            went = bytes_written(descriptor)
         except OSError:
             return
         row = self.record.take(ROW.pack(self.numbers, came, went, client.asked))
--- a/quota_gateway/failover/supervisor.py
+++ b/quota_gateway/failover/supervisor.py
@@ -25,8 +25,8 @@
 
 from msgspec import Struct
 
+from quota_gateway.net.heartbeat import Heartbeat
 from quota_gateway.net.hot_restart import Link, close_all
-from quota_gateway.net.peer_process import Beats
 
 log = logging.getLogger("quota_gateway.failover")
 
@@ -61,7 +61,7 @@
         self.serving = serving
         self.listener = -1
         self.connections: dict[int, int] = {}
-        self.beats: Beats | None = None
+        self.beats: Heartbeat | None = None
 
     def drop(self, number: int) -> None:
         """Close one copy, if there is one."""
@@ -132,7 +132,7 @@
     async def _fill(self) -> None:
         """One that serves, and so many that stand by."""
         self._next()
-        coming = len(self.children.keys() - {peer.link.other.pid for peer in self.peers.values()})
+        coming = len(self.children.keys() - {peer.link.peer_process.pid for peer in self.peers.values()})
         wanted = 1 + self.job.standbys - len(self.peers) - coming
         often = len(self.deaths) == OFTEN and time.monotonic() - self.deaths[0] < OFTEN_S
         if wanted > 0 and not (often and time.monotonic() - self.deaths[-1] < BACKOFF_S):
@@ -172,7 +172,7 @@
         rest = data[1:]
         peer = self.peers.get(link)
         if peer and peer.beats:
-            peer.beats.heard()
+            peer.beats.received()
         try:
             if letter == b"H" and peer is None and descriptors:
                 self._come(link, descriptors.pop(), rest == b"1")
@@ -197,13 +197,13 @@
             peer.drop(int(rest))
 
     def _come(self, link: Link, record: int, serving: bool) -> None:
-        for old in [old for old in self.peers.values() if old.link.other.pid == link.other.pid]:
+        for old in [old for old in self.peers.values() if old.link.peer_process.pid == link.peer_process.pid]:
             self._forget(old)  # the same process, over a new link: it tells of all that it has again
             old.let_go()
         peer = self.peers[link] = Peer(link, record, serving)
-        peer.beats = Beats(lambda: None, link.other.kill)  # hung: its end tells the rest
+        peer.beats = Heartbeat(lambda: None, link.peer_process.kill)  # hung: its end tells the rest
         peer.beats.start()
-        log.info("%s", json.dumps({"event": "here", "pid": link.other.pid, "serving": serving}))
+        log.info("%s", json.dumps({"event": "here", "pid": link.peer_process.pid, "serving": serving}))
         self.news.set()
 
     def _serves(self, peer: Peer) -> None:
@@ -217,15 +217,15 @@
         """A link that ends is no death: the kernel tells that, and until then nothing is passed on."""
         peer = self.peers.get(link)
         if peer is None:
-            link.other.close()
+            link.peer_process.close()
         else:
-            link.other.when_ended(lambda: self._died(peer))
+            link.peer_process.when_ended(lambda: self._died(peer))
 
     def _forget(self, peer: Peer) -> None:
         self.peers.pop(peer.link, None)
         if peer.beats:
             peer.beats.stop()
-        peer.link.other.close()
+        peer.link.peer_process.close()
 
     def _died(self, peer: Peer) -> None:
         if peer.link not in self.peers:
@@ -236,7 +236,7 @@
             json.dumps(
                 {
                     "event": "died",
-                    "pid": peer.link.other.pid,
+                    "pid": peer.link.peer_process.pid,
                     "serving": peer.serving,
                     "connections": len(peer.connections),
                 }
@@ -279,7 +279,7 @@
 
     def _pass_on(self, number: int) -> None:
         for peer in self.peers.values():
-            peer.link.other.signal(number)
+            peer.link.peer_process.signal(number)
 
     async def _close(self) -> None:
         self._pass_on(signal.SIGTERM)
--- a/quota_gateway/net/hot_restart.py
+++ b/quota_gateway/net/hot_restart.py
@@ -29,7 +29,9 @@
 from quota_gateway.net.clients import Client, Clients
 from quota_gateway.net.discovery import Discovery
 from quota_gateway.net.driver import Driver
-from quota_gateway.net.peer_process import BEAT_S, MISSED, Beats, Kept, Other, credentials
+from quota_gateway.net.heartbeat import HEARTBEAT_INTERVAL_S, MAX_MISSED_HEARTBEATS, Heartbeat
+from quota_gateway.net.peer_process import PeerProcess, peer_credentials
+from quota_gateway.net.retained_connections import RetainedConnections
 from quota_gateway.net.servers import Connection, Servers
 
 log = logging.getLogger(__name__)
@@ -65,7 +67,7 @@
         self.loop = asyncio.get_running_loop()
         self.queue: deque[tuple[bytes, int]] = deque()  # with a descriptor, or -1
         self.open = True
-        self.other = Other(credentials(sock)[0])
+        self.peer_process = PeerProcess(peer_credentials(sock).pid)
         self.heard = False  # anything, since it was looked at last
         sock.setblocking(False)
         self.loop.add_reader(sock.fileno(), self._readable)
@@ -183,9 +185,9 @@
         self.asked = 0  # number of the last thing shared with the other process
         self.agreed = asyncio.Event()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.beats = Beats(lambda: self.link.send(b"B") if self.link else None, self._hung)
+        self.beats = Heartbeat(lambda: self.link.send(b"B") if self.link else None, self._hung)
         # connections passed on; how many of them may be kept
-        self.kept = Kept()
+        self.kept = RetainedConnections()
         self.room = 0
         self.token = 0  # the highest that a caller at the door has given
         driver.on_elsewhere = self._tell
@@ -245,12 +247,14 @@
 
     async def _give_up(self, link: Link, too_late: bool) -> None:
         """A plain start. A process before that says nothing hangs: it must not wake beside this one."""
-        for _ in range(MISSED if too_late and not self.answered.is_set() else 0):
-            await asyncio.sleep(BEAT_S)  # until now it had less time than one that hangs is given
-        if too_late and not link.heard and link.other.alive():
+        for _ in range(MAX_MISSED_HEARTBEATS if too_late and not self.answered.is_set() else 0):
+            await asyncio.sleep(
+                HEARTBEAT_INTERVAL_S
+            )  # it had less time than a hung one gets
+        if too_late and not link.heard and link.peer_process.alive():
             log.error("the process before hangs: it is ended")
-            link.other.kill()
-            while link.other.alive():
+            link.peer_process.kill()
+            while link.peer_process.alive():
                 await asyncio.sleep(LEFT_S)
         link.end("nothing taken over")
 
@@ -259,7 +263,7 @@
         sock = connected(self._address(SOCKET))
         if sock is None:
             return False
-        if credentials(sock)[1] != os.getuid():
+        if peer_credentials(sock).user_id != os.getuid():
             sock.close()
             return False
         self.link = Link(sock, self._message, self._ended)
@@ -302,8 +306,8 @@
         if self.handed:
             os.kill(os.getpid(), signal.SIGTERM)
             return ""
-        if self.loaded and not self.handed and self.link and self.link.other.alive():
-            self.link.other.signal(signal.SIGTERM)
+        if self.loaded and not self.handed and self.link and self.link.peer_process.alive():
+            self.link.peer_process.signal(signal.SIGTERM)
             return ""
         return "no process beside this one has been followed"
 
@@ -396,11 +400,11 @@
         link = self.link
         if not link or not link.open:
             return False
-        kept = self.kept.keep(descriptor, client.asked, self.room)
+        kept = self.kept.retain(descriptor, client.asked, self.room)
         about = {"asked": client.asked, "waited": self.loop.time() - client.made, "kept": kept}
         link.send(b"C" + json.dumps(about).encode(), descriptor)
         if not link.open:  # it broke off before this was on it: the connection stays here, and is no copy
-            self.kept.drop(kept)
+            self.kept.release(kept)
         return link.open
 
     def _pass_server(self, connection: Connection, descriptor: int) -> bool:
@@ -434,7 +438,7 @@
     def _message(self, link: Link, data: bytes, descriptors: list[int]) -> None:
         letter = data[:1]
         rest = data[1:]
-        self.beats.heard()
+        self.beats.received()
         try:
             if letter == b"B":
                 pass
@@ -470,7 +474,7 @@
             if document == self.asked:
                 self.agreed.set()
         elif letter == b"D":
-            self.kept.drop(int(document))
+            self.kept.release(int(document))
         else:
             raise ValueError(f"no such message: {letter!r}")
 
@@ -523,16 +527,16 @@
         self.clients.pass_on = None
         self.servers.pass_on = None
         if self.handed:
-            link.other.when_ended(self._back)  # the link may end before the process: not beside it
+            link.peer_process.when_ended(self._back)  # the link may end before the process: not beside it
         else:
             self.driver.post(api.PeerExited())
-            link.other.close()
+            link.peer_process.close()
 
     def _hung(self) -> None:
         """No sign of life for a while: end it. Whatever it holds is given up with it, or taken back."""
         if self.link:
             log.error("the other process hangs: it is ended")
-            self.link.other.kill()
+            self.link.peer_process.kill()
             self.link.end("it hangs")
 
     def _back(self) -> None:
@@ -545,9 +549,9 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _again(self) -> None:
-        for sock, asked in self.kept.take_back():
-            sock.setblocking(False)
-            await self.clients.adopt(sock, asked, 0.0)
+        for reclaimed in self.kept.reclaim():
+            reclaimed.sock.setblocking(False)
+            await self.clients.adopt(reclaimed.sock, reclaimed.has_requested, 0.0)
         if self.clients.leaving:  # what came is served to its end; nobody takes over from here any more
             return
         await self.clients.accept()
@@ -658,7 +662,7 @@
         self.link = None
         if link:
             link.end("this process ends")
-            link.other.close()
+            link.peer_process.close()
         listener = self.take_listener()
         if listener:
             listener.close()
--- a/quota_gateway/net/peer_process.py
+++ b/quota_gateway/net/peer_process.py
@@ -1,202 +1,89 @@
-"""Two processes of one gateway side by side: whether the other lives, moves, and what it has not touched.
+"""The other process of the same gateway during a hot restart: whether it lives, and how it is ended.
 
-Nobody serves beside another. Whoever finds the other hung ends it first, by a descriptor of the kernel's that
-can't mean a third process, and takes over when it has ended; so one that would have woken late never does.
+Two processes never serve side by side. A process that finds the other one hung ends it first, through a
+process descriptor of the kernel, and takes over once it has ended; a hung process that would have woken late
+never does.
 """
 
 from __future__ import annotations
 
 import asyncio
-import fcntl
-import logging
 import os
 import select
 import signal
 import socket
 import struct
-import termios
 from collections.abc import Callable
 from contextlib import suppress
+from dataclasses import dataclass
 
-log = logging.getLogger(__name__)
+# struct ucred, which SO_PEERCRED returns: pid_t pid, uid_t uid, gid_t gid.
+UCRED = struct.Struct("iII")
 
-BEAT_S = 0.25  # between two signs of life on the link
-MISSED = 5  # beats of our own without one of the other's: it hangs. Its longest work in one turn, a state of
-# 4 MB, takes a fifth of that, and clients wait for longer
-CREDENTIALS = "3i"  # of SO_PEERCRED: process, user, group
-ACKNOWLEDGED = 120  # offset of tcpi_bytes_acked in the kernel's struct tcp_info, 64 bits
-RECEIVED = 128  # the same of tcpi_bytes_received
-TCP_INFO = 136  # bytes of it that are read
 
+@dataclass(frozen=True, slots=True)
+class PeerCredentials:
+    """Who is at the other end of a Unix socket, as the kernel says."""
 
-def credentials(sock: socket.socket) -> tuple[int, int]:
-    """Process and user at the other end of a Unix socket."""
-    pid, user, _ = struct.unpack(
-        CREDENTIALS, sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize(CREDENTIALS))
-    )
-    return pid, user
+    pid: int
+    user_id: int
 
 
-class Other:
-    """The other process. Where it can't be held (an old kernel, the same process), it counts as ended."""
+def peer_credentials(sock: socket.socket) -> PeerCredentials:
+    """Process and user at the other end of a Unix socket. Raises OSError."""
+    raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, UCRED.size)
+    pid, user_id, _group_id = UCRED.unpack(raw)
+    return PeerCredentials(pid, user_id)
+
+
+class PeerProcess:
+    """Handle of the other process.
+
+    Holds a process descriptor, as a process id may be reused by a third process once its owner has ended.
+    Where there can be none (an old kernel, or the peer is this very process), the peer counts as ended.
+    """
 
     def __init__(self, pid: int) -> None:
         self.pid = pid
-        self.descriptor = -1
-        self.loop = asyncio.get_running_loop()
+        self._loop = asyncio.get_running_loop()
+        self._descriptor = -1
         if pid != os.getpid():
             with suppress(OSError):
-                self.descriptor = os.pidfd_open(pid)
+                self._descriptor = os.pidfd_open(pid)
 
     def alive(self) -> bool:
-        """Whether it is known not to have ended."""
-        if self.descriptor < 0:
+        """Whether the process is known not to have ended."""
+        if self._descriptor < 0:
             return False
         poll = select.poll()
-        poll.register(self.descriptor, select.POLLIN)
+        poll.register(self._descriptor, select.POLLIN)  # readable once the process has ended
         return not poll.poll(0)
 
     def kill(self) -> None:
-        """End it, whatever state it is in."""
+        """End the process, whatever state it is in."""
         self.signal(signal.SIGKILL)
 
     def signal(self, number: int) -> None:
-        """A signal that can't reach a third process; nothing where it has ended."""
-        if self.descriptor >= 0:
+        """Send a signal; nothing happens where the process has ended."""
+        if self._descriptor >= 0:
             with suppress(OSError):
-                signal.pidfd_send_signal(self.descriptor, number)
+                signal.pidfd_send_signal(self._descriptor, number)
 
-    def when_ended(self, call: Callable[[], None]) -> None:
-        """Call this once it has ended: at once, if it has."""
+    def when_ended(self, callback: Callable[[], None]) -> None:
+        """Call back once the process has ended: at once, if it has."""
         if not self.alive():
-            call()
+            callback()
             return
 
         def ended() -> None:
-            self.loop.remove_reader(self.descriptor)
-            call()
-
-        self.loop.add_reader(self.descriptor, ended)
-
-    def close(self) -> None:
-        """Let go of it."""
-        if self.descriptor >= 0:
-            self.loop.remove_reader(self.descriptor)
-            os.close(self.descriptor)
-            self.descriptor = -1
-
-
-class Beats:
-    """Signs of life both ways, once both ends have said that they give them.
-
-    Counted in beats of our own, not in time: on a machine that holds everybody up nobody is found hung.
-    """
-
-    def __init__(self, say: Callable[[], None], hung: Callable[[], None]) -> None:
-        self.say = say
-        self.hung = hung
-        self.missed = 0
-        self.timer: asyncio.TimerHandle | None = None
-
-    def start(self) -> None:
-        """From now on."""
-        if self.timer is None:
-            self.missed = 0
-            self._beat()
-
-    def heard(self) -> None:
-        """Anything has come from the other one."""
-        self.missed = 0
-
-    def _beat(self) -> None:
-        self.missed += 1
-        self.timer = asyncio.get_running_loop().call_later(BEAT_S, self._beat)
-        if self.missed > MISSED:
-            self.stop()
-            self.hung()
-        else:
-            self.say()
-
-    def stop(self) -> None:
-        """No more."""
-        if self.timer:
-            self.timer.cancel()
-            self.timer = None
-
-
-def consumed(descriptor: int) -> int:
-    """Bytes of a TCP connection that were read out of the kernel, by whichever process. Raises OSError."""
-    received, unread = _counts(descriptor, RECEIVED, termios.FIONREAD)
-    return received - unread
-
-
-def written(descriptor: int) -> int:
-    """Bytes that were written into a TCP connection, by whichever process, up to a constant of its own.
-
-    Those acknowledged and those that are not yet. Raises OSError.
-    """
-    acknowledged, queued = _counts(descriptor, ACKNOWLEDGED, termios.TIOCOUTQ)
-    return acknowledged + queued
-
-
-def _counts(descriptor: int, offset: int, request: int) -> tuple[int, int]:
-    """A count of tcp_info's, and what of it still waits in the kernel by an ioctl."""
-    with socket.socket(fileno=os.dup(descriptor)) as sock:
-        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO)
-    waiting = fcntl.ioctl(descriptor, request, struct.pack("i", 0))
-    return int(struct.unpack_from("Q", info, offset)[0]), int(struct.unpack("i", waiting)[0])
-
-
-class Kept:
-    """Copies of connections that were passed on, until the next process has proved itself.
-
-    If it ends first, those of which it has read nothing are as they were; on all others something may have
-    been answered, and they are closed. While a copy is here the connection does not end for its client: so
-    the next process tells of each that it closes.
-    """
+            self._loop.remove_reader(self._descriptor)
+            callback()
 
-    def __init__(self) -> None:
-        self.copies: dict[int, tuple[int, int, bool]] = {}  # descriptor, bytes read by then, whether asked
-        self.numbers = 0
-
-    def keep(self, descriptor: int, asked: bool, room: int) -> int:
-        """Copy one, if so many may be held; its number, or 0 for none."""
-        if len(self.copies) >= room:
-            return 0
-        try:
-            copy = (os.dup(descriptor), consumed(descriptor), asked)
-        except OSError:
-            return 0
-        self.numbers += 1
-        self.copies[self.numbers] = copy
-        return self.numbers
-
-    def drop(self, number: int) -> None:
-        """The next process has closed it."""
-        copy = self.copies.pop(number, None)
-        if copy:
-            os.close(copy[0])
-
-    def take_back(self) -> list[tuple[socket.socket, bool]]:
-        """The untouched ones, and whether a request had come on each; the others are closed."""
-        copies = self.copies
-        self.copies = {}
-        untouched = []
-        for descriptor, before, asked in copies.values():
-            sock = socket.socket(fileno=descriptor)
-            try:
-                same = consumed(descriptor) == before
-            except OSError:
-                same = False
-            if same:
-                untouched.append((sock, asked))
-            else:
-                sock.close()
-        if copies:
-            log.info("%d connections taken back, %d closed", len(untouched), len(copies) - len(untouched))
-        return untouched
+        self._loop.add_reader(self._descriptor, ended)
 
     def close(self) -> None:
-        """Let go of all."""
-        for number in list(self.copies):
-            self.drop(number)
+        """Release the process descriptor; the process counts as ended from now on."""
+        if self._descriptor >= 0:
+            self._loop.remove_reader(self._descriptor)
+            os.close(self._descriptor)
+            self._descriptor = -1
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -355,7 +355,7 @@
         pid = 7
 
         def __init__(self) -> None:
-            self.other = self
+            self.peer_process = self
 
         def kill(self) -> None: ...
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -445,7 +445,7 @@
         server = await silent_on_one()
         async with process(tmp_path, server) as old:
             raw, client = await resting(old)
-            assert old.handover.kept.keep(client.transport.get_extra_info("socket").fileno(), True, 1)
+            assert old.handover.kept.retain(client.transport.get_extra_info("socket").fileno(), True, 1)
             client.detach()  # the next process has it, reads nothing and ends
             raw.send(call(3))
             old.clients.stop_listening()
@@ -472,6 +472,6 @@
             old.clients.try_to_pass(client)
             assert await raw.read(len(answer(3))) == answer(3)
             assert list(old.clients.connections) == [client]
-            assert not old.handover.kept.copies
+            assert not len(old.handover.kept)
 
     run(test())
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -16,7 +16,8 @@
 from quota_gateway.fault_bench.processes import Program
 from quota_gateway.fault_bench.scenario import Step
 from quota_gateway.net import metrics
-from quota_gateway.net.peer_process import Kept, consumed
+from quota_gateway.net.retained_connections import RetainedConnections
+from quota_gateway.net.tcp_info import bytes_consumed
 
 
 def beside(tmp_path, case, seconds=4.0, steps=()):
@@ -129,17 +130,17 @@
 def test_kept_copies_are_bounded_and_only_untouched_ones_come_back():
     listener = socket.create_server(("127.0.0.1", 0))
     pairs = [(socket.create_connection(listener.getsockname()), listener.accept()[0]) for _ in range(3)]
-    kept, before = Kept(), len(os.listdir("/proc/self/fd"))
+    kept, before = RetainedConnections(), len(os.listdir("/proc/self/fd"))
     pairs[0][0].sendall(b"half")  # unread before and after
-    numbers = [kept.keep(near.fileno(), n == 0, 2) for n, (_, near) in enumerate(pairs)]
+    numbers = [kept.retain(near.fileno(), n == 0, 2) for n, (_, near) in enumerate(pairs)]
     assert numbers == [1, 2, 0]
     pairs[1][0].sendall(b"all")
     assert pairs[1][1].recv(3) == b"all"
-    assert consumed(pairs[1][1].fileno()) == 3
-    ((sock, asked),) = kept.take_back()
-    assert asked
-    assert sock.recv(4) == b"half"
-    for one in (sock, *(end for pair in pairs for end in pair)):
+    assert bytes_consumed(pairs[1][1].fileno()) == 3
+    (reclaimed,) = kept.reclaim()
+    assert reclaimed.has_requested
+    assert reclaimed.sock.recv(4) == b"half"
+    for one in (reclaimed.sock, *(end for pair in pairs for end in pair)):
         one.close()
     assert len(os.listdir("/proc/self/fd")) == before - 6
     listener.close()
