--- a/quota_gateway/net/hot_restart.py
+++ b/quota_gateway/net/hot_restart.py
@@ -248,9 +248,7 @@
     async def _give_up(self, link: Link, too_late: bool) -> None:
         """A plain start. A process before that says nothing hangs: it must not wake beside this one."""
         for _ in range(MAX_MISSED_HEARTBEATS if too_late and not self.answered.is_set() else 0):
-            await asyncio.sleep(
-                HEARTBEAT_INTERVAL_S
-            )  # it had less time than a hung one gets
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)  # it had less time than a hung one gets
         if too_late and not link.heard and link.peer_process.alive():
             log.error("the process before hangs: it is ended")
             link.peer_process.kill()
