--- /dev/null
+++ b/quota_gateway/process/builder.py
@@ -0,0 +1,105 @@
+"""Builds the parts of a gateway process and connects them; nothing is opened, nothing runs yet."""
+
+from __future__ import annotations
+
+import os
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from quota_gateway import api
+from quota_gateway.config import Config
+from quota_gateway.net import admin
+from quota_gateway.net.admin_commands import Operators
+from quota_gateway.net.clients import Clients
+from quota_gateway.net.discovery import Discovery
+from quota_gateway.net.driver import Clock, Driver
+from quota_gateway.net.hot_restart import Handover
+from quota_gateway.net.reload import Reload, budget
+from quota_gateway.net.servers import Address, Servers
+from quota_gateway.policy.gateway import Gateway
+
+if TYPE_CHECKING:
+    from quota_gateway.failover.gateway import Survivor
+
+
+@dataclass(frozen=True, slots=True)
+class GatewayParts:
+    """The parts of one process, each owned by it for as long as it runs."""
+
+    driver: Driver
+    servers: Servers
+    clients: Clients
+    discovery: Discovery
+    hot_restart: Handover
+    standby: Survivor | None  # its end of the supervisor with connection failover, where there is one
+    admin_commands: Operators
+    admin_endpoint: admin.Door
+    reload: Reload
+
+
+def build(config: Config) -> GatewayParts:
+    """All parts of the process, connected as the configuration and the environment want it."""
+    connection_budget = budget(config)
+    servers = Servers(config.settings, connection_budget)
+    driver = Driver(Gateway(config.settings, config.seed), servers, Clock())
+    clients = Clients(driver, config.settings, connection_budget)
+    driver.on_admit = clients.admit
+    discovery = _discovery(config, driver, servers, clients)
+    standby = _standby(clients)
+    hot_restart = _hot_restart(config, driver, servers, clients, discovery, standby)
+    admin_commands = Operators(driver, clients, discovery.roster, hot_restart)
+    admin_endpoint = admin.Door(admin_commands.calls(), admin_commands.fence)
+    reload = Reload(config, os.environ, driver, servers, clients, discovery, admin_endpoint, hot_restart)
+    admin_endpoint.calls.update(reload.calls())
+    admin_commands.revision = lambda: reload.config.digest
+    return GatewayParts(
+        driver,
+        servers,
+        clients,
+        discovery,
+        hot_restart,
+        standby,
+        admin_commands,
+        admin_endpoint,
+        reload,
+    )
+
+
+def _discovery(config: Config, driver: Driver, servers: Servers, clients: Clients) -> Discovery:
+    """The watch on discovery; each list goes to the sockets first, then to the decisions."""
+
+    def apply_list(listing: api.ServerList, addresses: dict[int, Address]) -> None:
+        servers.update(listing, addresses)
+        driver.post(listing)
+        if listing.kind is not api.ListKind.CACHED:
+            clients.ready = True
+
+    settings = config.settings
+    return Discovery(config.discovery, apply_list, config.seed, settings.gateways, settings.discovery)
+
+
+def _standby(clients: Clients) -> Survivor | None:
+    """This process's end of the supervisor, where the environment names one; else its code is not loaded."""
+    path = os.environ.get("EDGE_KEEPER")
+    if not path:
+        return None
+    from quota_gateway.failover.gateway import Survivor
+
+    return Survivor(path, clients)
+
+
+def _hot_restart(
+    config: Config,
+    driver: Driver,
+    servers: Servers,
+    clients: Clients,
+    discovery: Discovery,
+    standby: Survivor | None,
+) -> Handover:
+    """Both ends of a hot restart, off under a supervisor.
+
+    There the next process stands by already, and must not take over from one that serves.
+    """
+    folder = None if standby else os.environ.get("TMPDIR")
+    identity = {"name": config.name, "listen": f"{config.listen[0]}:{config.listen[1]}"}
+    return Handover(folder, identity, driver, clients, servers, discovery)
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -31,7 +31,9 @@
 )
 from test_simulator_adapter import ENV
 
-from quota_gateway import __main__ as program_module
+from quota_gateway.process import shutdown as shutdown_module
+from quota_gateway.process.log_limiter import RateLimitedLog
+from quota_gateway.process.shutdown import GracefulShutdown
 
 ROOT = Path(__file__).parent.parent
 RUN = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
@@ -250,28 +252,29 @@
 
 def test_log_is_bounded_and_tells_how_much_is_missing():
     now = 7.0
-    sparing = program_module.Sparing(lambda: now)
+    limiter = RateLimitedLog(lambda: now)
 
     def line() -> logging.LogRecord:
         return logging.LogRecord("n", logging.WARNING, "p", 1, "broken %s", ("x",), None)
 
-    assert [sparing.filter(line()) for _ in range(30)] == [True] * 20 + [False] * 10
+    assert [limiter.filter(line()) for _ in range(30)] == [True] * 20 + [False] * 10
     now = 8.0
     first, second = line(), line()
-    assert sparing.filter(first)
-    assert sparing.filter(second)
+    assert limiter.filter(first)
+    assert limiter.filter(second)
     assert first.getMessage() == "broken x (10 lines left out)"
     assert second.getMessage() == "broken x"
 
 
 def test_while_stopping_it_accepts_for_a_while_and_then_closes_between_requests(monkeypatch):
-    monkeypatch.setattr(program_module, "KILL_S", (1.0, 0.8))  # of which the last 0.8 s take no more
+    monkeypatch.setattr(shutdown_module, "MAX_DEADLINE_WAIT_S", 1.0)
+    monkeypatch.setattr(shutdown_module, "SIGKILL_DELAY_S", 0.8)  # accepts for 1 s, answers for 1.5 s
 
     async def test():
         async with node(FakeServer()) as gateway:
             old, clock = await gateway.peer(), asyncio.get_running_loop().time
             leaving = asyncio.ensure_future(
-                program_module._leave(FAKE_SETTINGS, gateway.driver, gateway.clients)
+                GracefulShutdown(FAKE_SETTINGS, gateway.driver, gateway.clients).run()
             )
             ends = clock() + 0.5  # well before it takes no more, well after the front has been told
             while clock() < ends:
@@ -486,8 +489,9 @@
 
 @pytest.mark.parametrize("kind", ["read", "post", "buy"])
 def test_last_answers_of_a_stop_are_written_although_the_loop_is_late(monkeypatch, kind):
-    monkeypatch.setattr(program_module, "KILL_S", (0.2, 0.7))
-    monkeypatch.setattr(program_module, "CLOSE_S", 30.0, raising=False)
+    monkeypatch.setattr(shutdown_module, "MAX_DEADLINE_WAIT_S", 0.2)
+    monkeypatch.setattr(shutdown_module, "SIGKILL_DELAY_S", 0.7)
+    monkeypatch.setattr(shutdown_module, "FLUSH_S", 30.0)
 
     async def test():
         server = FakeServer(lambda words: None)
@@ -496,7 +500,7 @@
             raw.send(call(1, kind))
             await server.until(lambda: len(server.commands) == 1)
             leaving = asyncio.ensure_future(
-                program_module._leave(FAKE_SETTINGS, gateway.driver, gateway.clients)
+                GracefulShutdown(FAKE_SETTINGS, gateway.driver, gateway.clients).run()
             )
             await until(lambda: gateway.driver.gateway.answers.ends_at < inf)
             began = clock()
@@ -510,13 +514,16 @@
 
 
 def test_stop_waits_for_connections_that_it_has_only_begun_to_accept(monkeypatch):
-    monkeypatch.setattr(program_module, "KILL_S", (0.0, 0.8))  # the last half second of a stop begins at once
+    monkeypatch.setattr(
+        shutdown_module, "MAX_DEADLINE_WAIT_S", 0.0
+    )  # the last half second of a stop begins at once
+    monkeypatch.setattr(shutdown_module, "SIGKILL_DELAY_S", 0.8)
 
     async def test():
         async with node(FakeServer(lambda words: array(b"v"))) as gateway:
             raw = Raw(gateway.clients.listener.getsockname()[1])
             raw.send(call(1))  # in the listener's queue, and nobody else is connected
-            await program_module._leave(FAKE_SETTINGS, gateway.driver, gateway.clients)
+            await GracefulShutdown(FAKE_SETTINGS, gateway.driver, gateway.clients).run()
             assert raw.sock.recv(100) == b"$1\r\nv\r\n"  # written by then
 
     run(test())
