--- /dev/null
+++ b/tests/test_rollout_journal.py
@@ -0,0 +1,99 @@
+"""Stored data of rollouts and of the supervisor, written by an earlier version and read by this one.
+
+What happens: operators upgrade the controller while a rollout is under way, or a supervisor's gateway. What a
+user would lose: a rollout that is begun anew or not rolled back, requests that nobody answers. What must hold
+instead: every record, at every cut, means the same to this version.
+
+`tests/data` holds files that commit 2b28dd0 wrote, and in `expected.json` what it read from them: a row for
+each record, with only the values that differ from the row before.
+"""
+
+import json
+import os
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+from test_fault_bench import ROOT
+
+from quota_gateway.failover.connection_record import Record
+from quota_gateway.rollout import journal
+from quota_gateway.rollout.__main__ import standing
+from quota_gateway.rollout.plan import Member, Plan, fingerprint, load
+
+DATA = Path(__file__).parent / "data"
+EXPECTED: dict[str, Any] = json.loads((DATA / "rollout" / "expected.json").read_text())
+JOURNALS = ("settings-back", "settings-halted", "program-done")
+
+
+def meaning(state: journal.State) -> dict[str, Any]:
+    """The state of a rollout by the names of the earlier version."""
+    found = {
+        "begun": state.begun,
+        "token": state.token,
+        "stage": state.stage,
+        "touched": state.touched,
+        "returning": sorted(state.returning),
+        "changed": state.changed,
+        "back": state.back,
+        "baseline": {str(stage): baseline for stage, baseline in state.baseline.items()},
+        "judged": state.judged,
+        "halted": state.halted,
+        "turned": state.turned,
+        "outcome": state.outcome,
+        "standing": {},
+    }
+    if state.begun:
+        names = [name for stage in state.begun.stages for name in stage]
+        plan = Plan("p", "p.journal", tuple(Member(name, "h:1", name) for name in names), "s")
+        found["standing"] = standing(plan, state)
+    return json.loads(msgspec.json.encode(found))
+
+
+@pytest.mark.parametrize("name", JOURNALS)
+def test_journal_of_an_earlier_version_cut_at_any_record_means_the_same(name, tmp_path):
+    raw = (DATA / "rollout" / f"{name}.journal").read_bytes()
+    path = tmp_path / "journal"
+    expected: dict[str, Any] = {}
+    for row in EXPECTED[name]:
+        expected |= row
+        path.write_bytes(raw[: expected["end_bytes"]])
+        assert meaning(journal.read(path)) == {
+            key: value for key, value in expected.items() if key != "end_bytes"
+        }
+    assert expected["end_bytes"] == len(raw)
+    assert expected["outcome"]
+
+
+@pytest.mark.parametrize("name", JOURNALS)
+def test_journal_of_an_earlier_version_is_written_to_the_same_bytes(name):
+    raw = (DATA / "rollout" / f"{name}.journal").read_bytes()
+    start = 0
+    for end, record in journal.records(raw):
+        assert msgspec.json.encode(record) == raw[start + journal.HEAD.size : end]
+        start = end
+    assert start == len(raw)
+
+
+def test_fingerprints_of_the_example_plans_are_those_of_the_earlier_version():
+    found = {
+        path.name: fingerprint(load(path)) for path in sorted((ROOT / "examples" / "rollout").glob("*.toml"))
+    }
+    assert found == EXPECTED["fingerprints"]
+
+
+def test_connection_record_of_an_earlier_version_means_the_same():
+    folder = DATA / "connection_record"
+    expected = json.loads((folder / "expected.json").read_text())
+    file = os.memfd_create("record")
+    try:
+        os.write(file, (folder / "four-rows.record").read_bytes())
+        record = Record.open(file)
+        assert {str(row): body.decode() for row, body in record.read().items()} == expected["rows"]
+        assert record.room == expected["room"]
+        assert record.free == expected["free"]
+        assert record.holder() == (expected["claim"], expected["process"])
+        record.close()
+    finally:
+        os.close(file)
