--- a/quota_gateway/errors.py
+++ b/quota_gateway/errors.py
@@ -31,6 +31,10 @@
     """Nothing could be taken over from the process before; this one starts with empty state."""
 
 
+class RolloutError(GatewayError):
+    """A rollout can't begin or go on as it is; its journal says where it stands."""
+
+
 class IllegalTransitionError(GatewayError):
     """A state machine was asked for a transition that its table does not have; see ``state_machine``."""
 
