--- /dev/null
+++ b/quota_gateway/net/servers/__init__.py
@@ -0,0 +1,24 @@
+"""Towards servers: attempts, their connections, and the pool of all connections.
+
+The outcome of an attempt is reported once. An attempt whose last byte was not handed to the kernel never ran;
+one that was may have, whatever became of it.
+"""
+
+from quota_gateway.net.servers.attempt import Attempt, Sink, Source
+from quota_gateway.net.servers.connection import Connection
+from quota_gateway.net.servers.host import Address, Host
+from quota_gateway.net.servers.pool import Servers
+from quota_gateway.net.servers.replies import Readings, Reply, ServerError
+
+__all__ = [
+    "Address",
+    "Attempt",
+    "Connection",
+    "Host",
+    "Readings",
+    "Reply",
+    "ServerError",
+    "Servers",
+    "Sink",
+    "Source",
+]
