--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -234,8 +234,8 @@
                 reply.status,
                 self.clock() - sent,
                 call.answered,
-                reply.used,
-                reply.cost,
+                reply.metered_use_percent,
+                reply.final_units,
                 reply.load,
             )
         )
--- a/quota_gateway/net/servers/__init__.py
+++ b/quota_gateway/net/servers/__init__.py
@@ -8,14 +8,14 @@
 from quota_gateway.net.servers.connection import Connection
 from quota_gateway.net.servers.host import Address, Host
 from quota_gateway.net.servers.pool import Servers
-from quota_gateway.net.servers.replies import Readings, Reply, ServerError
+from quota_gateway.net.servers.replies import Reply, ReplyReader, ServerError
 
 __all__ = [
     "Address",
     "Attempt",
     "Connection",
     "Host",
-    "Readings",
+    "ReplyReader",
     "Reply",
     "ServerError",
     "Servers",
--- a/quota_gateway/net/servers/attempt.py
+++ b/quota_gateway/net/servers/attempt.py
@@ -12,30 +12,39 @@
 
 
 class Sink(Protocol):
-    """Where a long value goes."""
+    """Receiver of a streamed value: the client's side."""
 
     def write(self, data: bytes) -> None:
-        """The next piece."""
+        """Take the next piece."""
 
     def end(self, whole: bool) -> None:
-        """No more comes."""
+        """Take note that no more comes; ``whole``: the value is complete."""
 
 
 class Source(Protocol):
-    """Where a long value comes from."""
+    """Sender of a streamed value: the server's side, which the receiver pauses and resumes."""
 
     def pause(self) -> None:
-        """Give nothing until ``resume``."""
+        """Read nothing more until ``resume``."""
 
     def resume(self) -> None:
-        """Give more."""
+        """Read on."""
+
+
+StreamHandler = Callable[[int, Source], Sink | None]
+
+
+def reject_stream(_length: int, _source: Source) -> None:
+    """Stream handler of an attempt that takes no streamed value."""
+    return
 
 
 class Attempt:
-    """A command on its way to a server; ``done`` is called once with what came of it.
+    """A command on its way to a server. Owned by the driver until ``finish`` has been called.
 
-    ``payload`` is asked for as the first byte could go out: None if by then it may not go any more.
-    ``begun`` is called when a long value begins, with its length; it says where that goes, if anywhere.
+    ``payload`` is called as the first byte could be written; None if by then the attempt may not begin.
+    ``begun`` is called with the length when a streamed value begins; it returns the receiver, if any.
+    ``done`` is called once, with the outcome.
     """
 
     __slots__ = ("payload", "done", "begun", "connection")
@@ -44,7 +53,7 @@
         self,
         payload: Callable[[], bytes | None],
         done: Callable[[Reply], None],
-        begun: Callable[[int, Source], Sink | None] = lambda _length, _source: None,
+        begun: StreamHandler = reject_stream,
     ) -> None:
         self.payload = payload
         self.begun = begun
@@ -52,7 +61,7 @@
         self.connection: Connection | None = None
 
     def finish(self, reply: Reply) -> None:
-        """Tell the outcome, the first only."""
+        """Report the outcome; only the first call does anything."""
         done = self.done
         self.done = None
         self.connection = None
--- a/quota_gateway/net/servers/connection.py
+++ b/quota_gateway/net/servers/connection.py
@@ -6,6 +6,7 @@
 import logging
 import socket
 from contextlib import suppress
+from enum import Enum
 from typing import TYPE_CHECKING, cast
 
 import hiredis
@@ -16,47 +17,83 @@
 from quota_gateway.net.servers.host import Host
 from quota_gateway.net.servers.replies import Reply, ServerError
 from quota_gateway.net.sockets import unread
+from quota_gateway.state_machine import transition
 
 if TYPE_CHECKING:
     from quota_gateway.net.servers.pool import Servers
 
 log = logging.getLogger(__name__)
 
-LONGEST_ANSWER = 192 * 1024  # bytes without a whole answer: a value of 64 KiB, one read, and to spare
-SILENT_S = 15.0  # a server that gives nothing of a value that it has begun for so long is gone
+MAX_REPLY_BYTES = 192 * 1024  # read without a complete reply: a value of 64 KiB, one read, and to spare
+STREAM_SILENCE_S = 15.0  # a server that sends nothing of a value that it has begun for so long is gone
+
+
+class ConnectionState(Enum):
+    """Where a connection to a server stands."""
+
+    CONNECTING = "connecting"  # until its transport is up; with the attempt that asked for it, or adopted
+    IDLE = "idle"
+    AWAITING_REPLY = "awaiting reply"  # an attempt is on it
+    STREAMING = "streaming"  # a long value is being passed to the client; the reply's other fields follow
+    CLOSED = "closed"
+
+
+TRANSITIONS = {
+    ConnectionState.CONNECTING: frozenset(
+        {ConnectionState.AWAITING_REPLY, ConnectionState.IDLE, ConnectionState.CLOSED}
+    ),
+    ConnectionState.IDLE: frozenset({ConnectionState.AWAITING_REPLY, ConnectionState.CLOSED}),
+    ConnectionState.AWAITING_REPLY: frozenset(
+        {ConnectionState.STREAMING, ConnectionState.IDLE, ConnectionState.CLOSED}
+    ),
+    ConnectionState.STREAMING: frozenset({ConnectionState.AWAITING_REPLY, ConnectionState.CLOSED}),
+    ConnectionState.CLOSED: frozenset(),
+}
 
 
 class Connection(asyncio.BufferedProtocol):
-    """One connection to a server: connecting, idle, or with one attempt out."""
+    """One connection to a server. Owned by ``Servers``, which closes it or keeps it idle."""
 
     def __init__(self, servers: Servers, host: Host, attempt: Attempt | None) -> None:
         self.servers = servers
         self.host = host
         self.epoch = host.epoch
+        self.state = ConnectionState.CONNECTING
         self.attempt: Attempt | None = attempt
         self.transport: asyncio.Transport | None = None
         self.socket: socket.socket | None = None
-        self.task: asyncio.Task[None] | None = None
+        self.task: asyncio.Task[None] | None = None  # of connecting
+        self.last_byte_sent = False  # the attempt's last byte was handed to the kernel
+        self.idle_since = 0.0  # loop time (s)
+
+        # Reading a reply
         self.reader = hiredis.Reader(replyError=ServerError)
         self.lengths = Lengths(LONG, answers=True)
-        self.head = b""  # of an answer, until it can be told whether a long value comes
-        self.known = False  # it has been told
-        self.sink: Sink | None = None  # where the long value goes whose rest is awaited
-        # of the answer it begins; and its bytes to come
-        self.words = 0
-        self.left = 0
-        self.silent: asyncio.TimerHandle | None = None
-        self.handed = False  # the attempt's last byte to the kernel
-        self.idle_since = 0.0
-        self.unread = 0
-        self.closed = False
+        self.head = b""  # first bytes of a reply, until they tell whether a long value comes
+        self.head_is_read = False
+        self.unparsed_bytes = 0
+
+        # Streaming a long value
+        self.sink: Sink | None = None
+        self.value_words = 0  # of the reply that the value begins
+        self.value_bytes_left = 0
+        self.silence_timer: asyncio.TimerHandle | None = None
+
         if attempt:
             attempt.connection = self
 
-    # ---- Coming up
+    @property
+    def closed(self) -> bool:
+        """Whether it is of no further use."""
+        return self.state is ConnectionState.CLOSED
+
+    def _enter(self, state: ConnectionState) -> None:
+        self.state = transition("connection to a server", TRANSITIONS, self.state, state)
+
+    # ---- Connecting
 
     async def open(self) -> None:
-        """Connect within the time-out of the settings, then send the attempt that asked for it."""
+        """Connect within the settings' timeout, then send the attempt that asked for the connection."""
         loop = self.servers.loop
         sock = None
         try:
@@ -75,12 +112,12 @@
             await self.come_up(self.socket)
 
     async def come_up(self, sock: socket.socket) -> None:
-        """Make the transport of a socket that is connected, then go on.
+        """Make the transport of a connected socket, then send the attempt or become idle.
 
-        Guards against a descriptor that is closed twice, the second time as another connection's: the loop
-        closes a transport's descriptor by itself, but tells the socket's object so only once it has taken
-        that over, which is as ``create_connection`` returns. So nothing is closed from within
-        ``connection_made``, and an object whose transport was closed before that lets go of its descriptor.
+        A descriptor must not be closed twice, the second time as another connection's. The loop closes a
+        transport's descriptor by itself, but the socket object learns of it only once the loop has taken the
+        socket over, which is as ``create_connection`` returns. So nothing is closed from within
+        ``connection_made``, and a socket object whose transport was closed before then is detached.
         """
         try:
             await self.servers.loop.create_connection(lambda: self, sock=sock)
@@ -104,97 +141,140 @@
         """Called by the event loop once the connection is up."""
         # uvloop's transports are not asyncio.Transport by class: no isinstance here
         self.transport = cast(asyncio.Transport, transport)
-        # With a limit of 0 the loop tells when the last byte has gone to the kernel (resume_writing).
+        # With a limit of 0 the loop calls resume_writing once the last byte has gone to the kernel.
         self.transport.set_write_buffer_limits(0)
 
-    # ---- An attempt
+    # ---- Attempts
+
+    def become_idle(self) -> None:
+        """Stay open for the next attempt."""
+        self._enter(ConnectionState.IDLE)
+        self.idle_since = self.servers.loop.time()
 
     def send(self, attempt: Attempt) -> None:
-        """Send on an idle connection."""
+        """Send an attempt on an idle connection."""
         self.attempt = attempt
         attempt.connection = self
         self._begin_attempt(attempt)
 
     def _begin_attempt(self, attempt: Attempt) -> None:
-        """The one check before a first byte goes out.
+        """Write the attempt, after the one check before a first byte goes out.
 
-        Guards against one to a server that began to drain, left or moved while it was connected to; and
-        against one that nobody waits for any more, that comes too late, or that may run a second time.
+        While the connection came up, the server may have begun to drain, left or moved; or the attempt's
+        client may have left, its time may be over, or another attempt may have answered.
         """
         assert self.transport is not None
-        self.handed = False
+        self.last_byte_sent = False
+        self._enter(ConnectionState.AWAITING_REPLY)
         if self.epoch != self.host.epoch or not self.host.ready:
             self.close(api.Status.CONNECT_FAILED)
         elif (payload := attempt.payload()) is None:
-            self.close(api.Status.NOT_SENT)  # nothing that the server is to blame for
+            self.close(api.Status.NOT_SENT)  # the server is not to blame
         else:
             self.transport.write(payload)
-            self.handed = self.transport.get_write_buffer_size() == 0
+            self.last_byte_sent = self.transport.get_write_buffer_size() == 0
 
     def resume_writing(self) -> None:
-        """Called by the event loop as the peer takes data again."""
-        self.handed = True
+        """Called by the event loop once everything written has gone to the kernel."""
+        self.last_byte_sent = True
+
+    # ---- Replies
 
     def get_buffer(self, _sizehint: int) -> memoryview:
-        """Where the next read goes: one room for all, as each read is taken over at once."""
-        return self.servers.room()
+        """Buffer for the next read: one for all connections, as each read is consumed at once."""
+        return self.servers.read_buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
         """Called by the event loop once bytes are in the buffer."""
         self.data_received(bytes(self.servers.buffer[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of an answer."""
+        """Take bytes of a reply."""
         if self.sink:
-            self._pass_on(data)
+            self._stream(data)
             return
-        if self.attempt and not self.known:
+        if self.attempt and not self.head_is_read:
             self.head += data
             found = long_value(self.head)
             if found is None:
                 return
             data = self.head
             self.head = b""
-            self.known = True
-            words, length, begins = found
+            self.head_is_read = True
+            words, length, value_at = found
             if words:
-                self._begin(words, length, data[begins:])
+                self._begin_stream(words, length, data[value_at:])
                 return
         self._parse(data)
 
-    # ---- A long value
+    def _parse(self, data: bytes) -> None:
+        good = self.lengths.good(data)
+        self.reader.feed(data[:good])
+        self.unparsed_bytes += len(data)
+        try:
+            parsed = self.reader.gets()
+            has_more = self.reader.has_data() or good < len(data)
+            if parsed is False and good < len(data):
+                raise ValueError("a length out of bounds")
+        except (hiredis.HiredisError, ValueError, MemoryError):
+            log.warning("a server broke the protocol: %.100r", data)
+            self.close(api.Status.ERROR)
+            return
+        is_complete = parsed is not False
+        if not is_complete and self.attempt and self.unparsed_bytes <= MAX_REPLY_BYTES:
+            return
+        self._end_reply(parsed, is_complete and not has_more)
+
+    def _end_reply(self, parsed: object, connection_is_clean: bool) -> None:
+        """Finish the attempt; the connection stays open if nothing but one complete reply has come."""
+        self.unparsed_bytes = 0
+        self.head_is_read = False
+        if self.silence_timer:
+            self.silence_timer.cancel()
+        attempt = self.attempt
+        self.attempt = None
+        reply = self.servers.reply_reader.read(parsed) if attempt else None
+        if reply is None or not connection_is_clean or reply.malformed:
+            self.close(api.Status.RESET)  # what follows can't be told apart from the next reply
+        else:
+            self.servers.give_back(self)
+        if attempt and reply:
+            attempt.finish(reply)
 
-    def _begin(self, words: int, length: int, data: bytes) -> None:
+    # ---- Streamed values
+
+    def _begin_stream(self, words: int, length: int, data: bytes) -> None:
         assert self.attempt
         sink = self.attempt.begun(length, self)
         if sink is None:
-            self.close(api.Status.CANCELLED)  # nobody waits for it: not worth its bytes
+            self.close(api.Status.CANCELLED)  # nobody waits for it
             return
         if self.closed:
             sink.end(False)
             return
+        self._enter(ConnectionState.STREAMING)
         self.sink = sink
-        self.words = words
-        self.left = length
-        self.servers.passing += 1
+        self.value_words = words
+        self.value_bytes_left = length
+        self.servers.streams += 1
         if data:
-            self._pass_on(data)
+            self._stream(data)
         else:
-            self._heard()
+            self._restart_silence_timer()
 
-    def _pass_on(self, data: bytes) -> None:
+    def _stream(self, data: bytes) -> None:
         assert self.sink
-        self._heard()
-        value = data[: self.left]
-        self.left = max(0, self.left - len(data))
+        self._restart_silence_timer()
+        value = data[: self.value_bytes_left]
+        self.value_bytes_left = max(0, self.value_bytes_left - len(data))
         rest = data[len(value) :]
         if value:
             self.sink.write(value)
-        if not self.left:
-            self._line_end(rest)
+        if not self.value_bytes_left:
+            self._check_line_end(rest)
 
-    def _line_end(self, data: bytes) -> None:
-        """All of the value has been passed on: it is whole if its line's end comes now."""
+    def _check_line_end(self, data: bytes) -> None:
+        """After the value's last byte: it is complete only if its line end comes now."""
         self.head += data
         if not self.head.startswith(END[: len(self.head)]):
             log.warning("a server's long value runs on: %.100r", self.head)
@@ -202,93 +282,67 @@
         elif self.sink and len(self.head) >= len(END):
             head = self.head
             self.head = b""
-            self._end_value(True)
-            self._parse(b"*%d\r\n$0\r\n" % self.words + head)
+            self._end_stream(True)
+            # The parser gets the reply with an empty value in place of the one that was streamed.
+            self._parse(b"*%d\r\n$0\r\n" % self.value_words + head)
 
-    def _end_value(self, whole: bool) -> None:
+    def _end_stream(self, is_complete: bool) -> None:
         sink = self.sink
         self.sink = None
         if sink:
-            self.servers.passing -= 1
-            self.resume()  # the figures on use may still come
-            sink.end(whole)
-
-    def _heard(self) -> None:
-        """Guards against a server that begins a value and gives no more: no deadline ends that."""
-        if self.silent:
-            self.silent.cancel()
-        self.silent = self.servers.loop.call_later(SILENT_S, self.close, api.Status.RESET)
+            self.servers.streams -= 1
+            if not self.closed:
+                self._enter(ConnectionState.AWAITING_REPLY)
+            self.resume()  # the reply's other fields may still come
+            sink.end(is_complete)
+
+    def _restart_silence_timer(self) -> None:
+        """A server that begins a value and sends no more is closed: no deadline ends a streamed value."""
+        if self.silence_timer:
+            self.silence_timer.cancel()
+        self.silence_timer = self.servers.loop.call_later(STREAM_SILENCE_S, self.close, api.Status.RESET)
 
     def pause(self) -> None:
-        """The client takes no more for now."""
+        """Read nothing more: the client takes no more for now."""
         if self.transport and not self.closed and self.transport.is_reading():
             self.transport.pause_reading()
-            if self.silent:
-                self.silent.cancel()
+            if self.silence_timer:
+                self.silence_timer.cancel()
 
     def resume(self) -> None:
-        """The client takes more."""
+        """Read on."""
         if self.transport and not self.closed and not self.transport.is_reading():
             self.transport.resume_reading()
-            self._heard()
+            self._restart_silence_timer()
 
-    def _parse(self, data: bytes) -> None:
-        good = self.lengths.good(data)
-        self.reader.feed(data[:good])
-        self.unread += len(data)
-        try:
-            answer = self.reader.gets()
-            more = self.reader.has_data() or good < len(data)
-            if answer is False and good < len(data):
-                raise ValueError("a length out of bounds")
-        except (hiredis.HiredisError, ValueError, MemoryError):
-            log.warning("a server broke the protocol: %.100r", data)
-            self.close(api.Status.ERROR)
-            return
-        if answer is False and self.attempt and self.unread <= LONGEST_ANSWER:
-            return
-        self.unread = 0
-        self.known = False
-        if self.silent:
-            self.silent.cancel()
-        attempt = self.attempt
-        self.attempt = None
-        reply = self.servers.readings.reply(answer) if attempt else None
-        if reply is None or more or answer is False or reply.broken:
-            self.close(api.Status.RESET)  # bytes that answer nothing: what follows can't be told apart
-        else:
-            self.servers.give_back(self)
-        if attempt and reply:
-            attempt.finish(reply)
+    # ---- The end
 
-    def alive(self) -> bool:
-        """Whether the server has not closed it, or written out of turn, while it was idle.
+    def is_usable(self) -> bool:
+        """Whether the server neither closed it nor wrote out of turn while it was idle.
 
-        Guards against writing to a connection whose end has come but was not read yet: the request would
-        end as a reset, which is fatal for an unsafe one.
+        An end that has come but was not read yet would end the next request as a reset, which is final for
+        one that is not idempotent.
         """
         assert self.socket is not None
         return not self.closed and not unread(self.socket.fileno())
 
-    # ---- The end
-
     def connection_lost(self, _exc: Exception | None) -> None:
         """Called by the event loop once the connection has ended."""
-        self.close(api.Status.RESET if self.handed else api.Status.CONNECT_FAILED)
+        self.close(api.Status.RESET if self.last_byte_sent else api.Status.CONNECT_FAILED)
 
     def close(self, status: api.Status) -> None:
         """Close at once; the attempt on it, if any, ends with this status.
 
-        The socket is shut down before the outcome is told, so that a further attempt, which the outcome
-        may bring about, never finds this one still out.
+        The socket is shut down before the outcome is reported, so that a retry, which the outcome may bring
+        about, never finds this attempt still in flight.
         """
         attempt = self.attempt
         self.attempt = None
         if not self.closed:
-            self.closed = True
-            if self.silent:
-                self.silent.cancel()
-            self._end_value(False)
+            self._enter(ConnectionState.CLOSED)
+            if self.silence_timer:
+                self.silence_timer.cancel()
+            self._end_stream(False)
             self.servers.forget(self)
             if self.socket is None and self.task:
                 self.task.cancel()
@@ -301,8 +355,8 @@
             attempt.finish(Reply(status))
 
     def detach(self) -> None:
-        """Let go of the socket, which another process has by now: it must not be shut down."""
-        self.closed = True
+        """Release the socket without shutting it down: another process has it by now."""
+        self._enter(ConnectionState.CLOSED)
         self.servers.forget(self)
         if self.transport:
             self.transport.abort()
--- a/quota_gateway/net/servers/host.py
+++ b/quota_gateway/net/servers/host.py
@@ -11,15 +11,20 @@
 
 
 class Host:
-    """A server as discovery last told it. Each change that makes old connections useless is an epoch."""
+    """A server by its last entry in the endpoint list.
 
-    __slots__ = ("number", "address", "started", "listed", "ready", "idle", "epoch", "told")
+    ``epoch`` counts the changes that make older connections unusable: a connection whose epoch differs is
+    closed instead of used.
+    """
+
+    __slots__ = ("number", "address", "started_ms", "listed", "ready", "idle", "epoch", "reported_idle")
 
     def __init__(self, number: int) -> None:
         self.number = number
         self.address: Address = ("", 0)
-        self.started = 0.0
+        self.started_ms = 0.0
         self.epoch = 0
-        self.listed = self.ready = False  # ready: listed so, and not held
+        self.listed = False  # listed as ready
+        self.ready = False  # listed as ready, and not taken out by an operator
         self.idle: list[Connection] = []  # the most recently used last
-        self.told = False  # whether the decisions think that one is idle
+        self.reported_idle = False  # whether the decisions believe that a connection is idle
--- a/quota_gateway/net/servers/pool.py
+++ b/quota_gateway/net/servers/pool.py
@@ -1,4 +1,4 @@
-"""The servers of the endpoint list and all connections to them, bounded over all."""
+"""The servers of the endpoint list and the pool of all connections to them, bounded over all servers."""
 
 from __future__ import annotations
 
@@ -6,214 +6,244 @@
 import socket
 from collections.abc import Callable, Mapping
 from contextlib import suppress
+from dataclasses import dataclass
 
 from quota_gateway import api
 from quota_gateway.net.servers.attempt import Attempt
 from quota_gateway.net.servers.connection import Connection
 from quota_gateway.net.servers.host import Address, Host
-from quota_gateway.net.servers.replies import Readings, Reply
+from quota_gateway.net.servers.replies import Reply, ReplyReader
 
-IDLE_SHARE = 0.4  # of the servers' idle limit after which a connection is retired: well before they do
-READ = 64 * 1024  # bytes read at once
-LEAST_READ = 4 * 1024
-MOST_HELD = 8 * 1024 * 1024  # bytes of long values on their way, over all
-SWEEP_S = 1.0  # between two looks at idle connections
-REST_S = 0.01  # after an answer before the next command: a second one may come some milliseconds behind it
+IDLE_LIMIT_RATIO = 0.4  # of the servers' idle limit: connections are retired well before servers close them
+READ_BYTES = 64 * 1024
+MIN_READ_BYTES = 4 * 1024
+MAX_STREAMED_BYTES = 8 * 1024 * 1024  # of streamed values held by slow clients, over all connections
+RETIRE_INTERVAL_S = 1.0
+REST_S = 0.01  # after a reply before the next command: a second reply may come some milliseconds behind
+
+
+@dataclass(slots=True)
+class PoolCounts:
+    """What the pool has done since operators asked last."""
+
+    handshakes: int = 0  # connections begun
+    reuses: int = 0  # attempts on a connection that was idle
+    evicted: int = 0  # idle connections closed for lack of capacity
+    rejected: int = 0  # attempts that found no capacity
+
+    def describe(self) -> str:
+        """Text of the counts, as the admin endpoint's POOLS answers it."""
+        return (
+            f"{self.handshakes} handshakes, {self.reuses} reuses, {self.evicted} evicted, "
+            f"{self.rejected} turned away for want of room since the last look"
+        )
 
 
 class Servers:
-    """The servers of discovery's list and all connections to them, bounded over all."""
+    """The servers of the endpoint list, and every connection to one of them."""
 
     def __init__(self, settings: api.Settings, most_connections: int) -> None:
         self.loop = asyncio.get_running_loop()
         self.hosts: dict[int, Host] = {}
-        self.elsewhere = 0  # connections that the process before this one still holds
-        self.pass_on: Callable[[Connection, int], bool] | None = None  # to the next process, if it takes over
-        self.held: set[int] = set()  # not to be used whatever discovery lists
+        self.held: set[int] = set()  # administratively down, whatever discovery lists
         self.connections: set[Connection] = set()
-        self.buffer = memoryview(bytearray(READ))
-        self.passing = 0  # long values on their way
-        # Since the last look: connections begun, attempts on one that stood idle, idle ones closed for want
-        # of room, attempts that found no room.
-        self.handshakes = self.reuses = self.evicted = self.no_room = 0
-        self.on_linked: Callable[[api.IdleConnectionChanged], None] = lambda _: (
-            None
-        )  # set by who tells the decisions
+        self.buffer = memoryview(bytearray(READ_BYTES))
+        self.streams = 0  # values being streamed
+        self.counts = PoolCounts()
+        self.elsewhere = 0  # connections that the process before this one still holds
+        # During a hot restart: passes a connection on to the next process; false if that failed.
+        self.pass_on: Callable[[Connection, int], bool] | None = None
+        self.on_linked: Callable[[api.IdleConnectionChanged], None] = lambda _: None  # set by the driver
         self.retell(settings, most_connections)
-        self.sweeper = self.loop.call_later(SWEEP_S, self._sweep)
+        self.retire_timer = self.loop.call_later(RETIRE_INTERVAL_S, self._retire_idle)
+
+    # ---- Settings and the endpoint list
 
     def retell(self, settings: api.Settings, most_connections: int) -> None:
-        """Go by these settings from now on; beyond the limit idle connections go, the longest idle first."""
+        """Apply new settings; beyond the limit idle connections are closed, the longest idle first."""
         self.connect_timeout_s = settings.limits.connect_timeout_ms / 1000.0
-        self.idle_limit_s = settings.limits.connection_idle_ms / 1000.0 * IDLE_SHARE
-        self.readings = Readings(settings.load_fields)
+        self.idle_limit_s = settings.limits.connection_idle_ms / 1000.0 * IDLE_LIMIT_RATIO
+        self.reply_reader = ReplyReader(settings.load_fields)
         self.most_connections = most_connections
-        while self._beyond() and self._evict():
+        while self._is_over_limit() and self._evict():
             pass
 
-    def _beyond(self) -> bool:
-        """Whether there are more connections than there may be."""
-        return len(self.connections) + self.elsewhere > self.most_connections
-
-    def update(self, news: api.ServerList, addresses: Mapping[int, Address]) -> None:
-        """Take over discovery's news; connections that it makes useless are closed."""
-        listed = {entry.server for entry in news.entries}
-        if news.kind is not api.ListKind.CHANGES:
+    def update(self, endpoints: api.ServerList, addresses: Mapping[int, Address]) -> None:
+        """Take over an endpoint list; connections that it makes unusable are closed."""
+        listed = {entry.server for entry in endpoints.entries}
+        if endpoints.kind is not api.ListKind.CHANGES:
             for server in [number for number in self.hosts if number not in listed]:
                 self._remove(server)
-        for entry in news.entries:
+        for entry in endpoints.entries:
             if entry.state is api.ServerState.REMOVED:
                 self._remove(entry.server)
-                continue
-            host = self.hosts.setdefault(entry.server, Host(entry.server))
-            address = addresses[entry.server]
-            # Guards against an old connection to a server that restarted or whose address was replaced.
-            fresh = host.address == address and host.started == entry.started_ms
-            host.address = address
-            host.started = entry.started_ms
-            host.listed = entry.state is api.ServerState.READY
-            host.ready = host.listed and entry.server not in self.held
-            if not (fresh and host.ready):
-                self._renew(host)
-
-    def room(self) -> memoryview:
-        """Room for one read: less for each when many long values are held by clients that are slow."""
-        size = max(LEAST_READ, min(READ, MOST_HELD // max(1, self.passing)))
-        return self.buffer[:size]
+            else:
+                self._update_host(entry, addresses[entry.server])
+
+    def _update_host(self, entry: api.ServerEntry, address: Address) -> None:
+        host = self.hosts.setdefault(entry.server, Host(entry.server))
+        # A server that restarted or moved must not be sent anything on a connection from before.
+        is_same_process = host.address == address and host.started_ms == entry.started_ms
+        host.address = address
+        host.started_ms = entry.started_ms
+        host.listed = entry.state is api.ServerState.READY
+        host.ready = host.listed and entry.server not in self.held
+        if not (is_same_process and host.ready):
+            self._invalidate(host)
 
     def hold(self, server: int, held: bool) -> None:
-        """Use no connection to a server any more, or use it again; what is out there goes on."""
-        (self.held.add if held else self.held.discard)(server)
+        """Use no connection to a server any more, or use it again; attempts in flight go on."""
+        if held:
+            self.held.add(server)
+        else:
+            self.held.discard(server)
         host = self.hosts.get(server)
         if host:
             host.ready = host.listed and not held
-            self._renew(host)
+            self._invalidate(host)
 
     def _remove(self, server: int) -> None:
         host = self.hosts.pop(server, None)
         if host:
             host.ready = False
-            self._renew(host)
+            self._invalidate(host)
 
-    def _renew(self, host: Host) -> None:
+    def _invalidate(self, host: Host) -> None:
+        """Make every connection to the server unusable; idle ones are closed."""
         host.epoch += 1
         for connection in list(host.idle):
             connection.close(api.Status.RESET)
 
+    # ---- Attempts
+
     def start(self, server: int, attempt: Attempt) -> None:
-        """Send on the connection used last, or on a new one."""
+        """Send an attempt on the connection used last, or on a new one."""
         host = self.hosts.get(server)
         if host is None or not host.ready:
             attempt.finish(Reply(api.Status.CONNECT_FAILED))
             return
-        while connection := self._rested(host):
-            if connection.alive():
+        while connection := self._reusable(host):
+            if connection.is_usable():
                 host.idle.remove(connection)
                 connection.send(attempt)
-                self.reuses += 1
-                self._tell(host)
+                self.counts.reuses += 1
+                self._report_idle(host)
                 return
             connection.close(api.Status.RESET)
         self._connect(host, attempt)
 
-    def _rested(self, host: Host) -> Connection | None:
-        """The idle connection used last, of those that have been quiet for a moment since their answer.
+    def _reusable(self, host: Host) -> Connection | None:
+        """The idle connection used last, of those that have been quiet for a moment since their reply.
 
-        Guards against an answer that comes twice: behind the next command the second one would be taken for
-        that command's. While the connection is idle, whatever comes ends it.
+        A server may send a reply twice. Behind the next command the second one would be taken for that
+        command's reply; while the connection is idle, whatever comes closes it.
         """
-        before = self.loop.time() - REST_S
-        return next((one for one in reversed(host.idle) if one.idle_since <= before), None)
+        latest = self.loop.time() - REST_S
+        return next((one for one in reversed(host.idle) if one.idle_since <= latest), None)
 
     def _connect(self, host: Host, attempt: Attempt) -> None:
-        full = len(self.connections) + self.elsewhere >= self.most_connections
-        if full and not self._evict():
-            self.no_room += 1
+        if self._is_at_limit() and not self._evict():
+            self.counts.rejected += 1
             attempt.finish(Reply(api.Status.CONNECT_FAILED))
             return
-        self.handshakes += 1
+        self.counts.handshakes += 1
         connection = Connection(self, host, attempt)
         self.connections.add(connection)
         connection.task = self.loop.create_task(connection.open())
 
-    def _evict(self) -> bool:
-        """Close the connection that has been idle longest, to make room under the limit on descriptors."""
-        idle = [host.idle[0] for host in self.hosts.values() if host.idle]
-        oldest = min(idle, key=lambda connection: connection.idle_since, default=None)
-        if oldest:
-            self.evicted += 1
-            oldest.close(api.Status.RESET)
-        return oldest is not None
-
-    def look(self) -> str:
-        """What the pools hold, and what they have done since the last look."""
-        held = len(self.connections)
-        idle = sum(len(host.idle) for host in self.hosts.values())
-        opening = sum(connection.transport is None for connection in self.connections)
-        counts = (
-            f"{self.handshakes} handshakes, {self.reuses} reuses, {self.evicted} evicted, "
-            f"{self.no_room} turned away for want of room since the last look"
-        )
-        self.handshakes = self.reuses = self.evicted = self.no_room = 0
-        passed = f", {self.elsewhere} in the process before" if self.elsewhere else ""
-        return (
-            f"{held} open ({idle} idle, {opening} opening) of {self.most_connections}{passed} "
-            f"to {len(self.hosts)} servers; {counts}"
-        )
-
     def stop(self, attempt: Attempt, status: api.Status) -> None:
-        """Close the connection, then report the outcome. Without its last byte the attempt never ran."""
+        """Close the attempt's connection, then report the outcome. Without its last byte it never ran."""
         connection = attempt.connection
         if attempt.done and connection:
-            connection.close(status if connection.handed else api.Status.CONNECT_FAILED)
+            connection.close(status if connection.last_byte_sent else api.Status.CONNECT_FAILED)
 
     def stop_unsent(self, attempt: Attempt) -> None:
-        """The same where its last byte has not gone out; one that is on its way is waited for."""
+        """Stop an attempt whose last byte has not gone out; one that is on its way is waited for."""
         connection = attempt.connection
-        if attempt.done and connection and not connection.handed:
+        if attempt.done and connection and not connection.last_byte_sent:
             connection.close(api.Status.CONNECT_FAILED)
 
-    def close_idle(self, server: int) -> None:
-        """Close the idle connections to a server."""
-        host = self.hosts.get(server)
-        for connection in list(host.idle) if host else []:
-            connection.close(api.Status.RESET)
+    # ---- The pool
+
+    def _is_over_limit(self) -> bool:
+        return len(self.connections) + self.elsewhere > self.most_connections
+
+    def _is_at_limit(self) -> bool:
+        return len(self.connections) + self.elsewhere >= self.most_connections
+
+    def read_buffer(self) -> memoryview:
+        """Buffer for one read: less for each when slow clients hold many streamed values."""
+        size = max(MIN_READ_BYTES, min(READ_BYTES, MAX_STREAMED_BYTES // max(1, self.streams)))
+        return self.buffer[:size]
 
     def give_back(self, connection: Connection) -> None:
-        """An attempt has ended well: keep its connection, unless the server changed meanwhile."""
-        if connection.closed or connection.epoch != connection.host.epoch or self._beyond():
+        """Keep a connection whose attempt has ended well, unless its server has changed meanwhile."""
+        if connection.closed or connection.epoch != connection.host.epoch or self._is_over_limit():
             connection.close(api.Status.RESET)
             return
         if self.pass_on:
             self._pass(connection)
             return
-        connection.idle_since = self.loop.time()
+        connection.become_idle()
         connection.host.idle.append(connection)
-        self._tell(connection.host)
+        self._report_idle(connection.host)
+
+    def close_idle(self, server: int) -> None:
+        """Close the idle connections to a server."""
+        host = self.hosts.get(server)
+        for connection in list(host.idle) if host else []:
+            connection.close(api.Status.RESET)
+
+    def _evict(self) -> bool:
+        """Close the connection that has been idle longest; false if none is idle."""
+        idle = [host.idle[0] for host in self.hosts.values() if host.idle]
+        oldest = min(idle, key=lambda connection: connection.idle_since, default=None)
+        if oldest is None:
+            return False
+        self.counts.evicted += 1
+        oldest.close(api.Status.RESET)
+        return True
+
+    def _retire_idle(self) -> None:
+        """Close idle connections well before the server does, which would reset a request written then."""
+        latest = self.loop.time() - self.idle_limit_s
+        for host in self.hosts.values():
+            for connection in [one for one in host.idle if one.idle_since < latest]:
+                connection.close(api.Status.RESET)
+        self.retire_timer = self.loop.call_later(RETIRE_INTERVAL_S, self._retire_idle)
 
-    def _tell(self, host: Host) -> None:
+    def _report_idle(self, host: Host) -> None:
         """Tell the decisions when the first connection becomes idle, or none is any more."""
-        if host.told != bool(host.idle):
-            host.told = not host.told
-            self.on_linked(api.IdleConnectionChanged(host.number, host.told))
+        if host.reported_idle != bool(host.idle):
+            host.reported_idle = not host.reported_idle
+            self.on_linked(api.IdleConnectionChanged(host.number, host.reported_idle))
+
+    def forget(self, connection: Connection) -> None:
+        """Count a connection that is closing no more."""
+        self.connections.discard(connection)
+        with suppress(ValueError):
+            connection.host.idle.remove(connection)
+        self._report_idle(connection.host)
+
+    # ---- Hot restart
 
     def hand_over(self) -> None:
-        """Pass on what is idle."""
+        """Pass every idle connection on to the next process."""
         for host in self.hosts.values():
             for connection in list(host.idle):
                 self._pass(connection)
 
     def _pass(self, connection: Connection) -> None:
         assert connection.socket
-        if self.pass_on and connection.alive() and self.pass_on(connection, connection.socket.fileno()):
+        if self.pass_on and connection.is_usable() and self.pass_on(connection, connection.socket.fileno()):
             connection.detach()
         else:
             connection.close(api.Status.RESET)
 
     async def adopt(self, server: int, sock: socket.socket) -> None:
-        """Take an idle connection of the process before this one."""
+        """Take over an idle connection of the process before this one."""
         host = self.hosts.get(server)
-        if host is None or not host.ready or len(self.connections) + self.elsewhere >= self.most_connections:
+        if host is None or not host.ready or self._is_at_limit():
             sock.close()
             return
         connection = Connection(self, host, None)
@@ -221,23 +251,23 @@
         self.connections.add(connection)
         await connection.come_up(sock)
 
-    def forget(self, connection: Connection) -> None:
-        """A connection that is closing counts no more."""
-        self.connections.discard(connection)
-        with suppress(ValueError):
-            connection.host.idle.remove(connection)
-        self._tell(connection.host)
+    # ---- Operators, and the end
 
-    def _sweep(self) -> None:
-        """Retire idle connections well before the server does, which would reset a request written then."""
-        before = self.loop.time() - self.idle_limit_s
-        for host in self.hosts.values():
-            for connection in [c for c in host.idle if c.idle_since < before]:
-                connection.close(api.Status.RESET)
-        self.sweeper = self.loop.call_later(SWEEP_S, self._sweep)
+    def look(self) -> str:
+        """What the pool holds, and what it has done since the last look."""
+        open_count = len(self.connections)
+        idle = sum(len(host.idle) for host in self.hosts.values())
+        connecting = sum(connection.transport is None for connection in self.connections)
+        counts = self.counts.describe()
+        self.counts = PoolCounts()
+        peer = f", {self.elsewhere} in the process before" if self.elsewhere else ""
+        return (
+            f"{open_count} open ({idle} idle, {connecting} opening) of {self.most_connections}{peer} "
+            f"to {len(self.hosts)} servers; {counts}"
+        )
 
     def close(self) -> None:
-        """Close everything, at the end."""
-        self.sweeper.cancel()
+        """Close everything, at the end of the process."""
+        self.retire_timer.cancel()
         for connection in list(self.connections):
             connection.close(api.Status.CANCELLED)
--- a/quota_gateway/net/servers/replies.py
+++ b/quota_gateway/net/servers/replies.py
@@ -1,4 +1,4 @@
-"""Replies of servers: from what the RESP parser gives to the outcome of an attempt."""
+"""Replies of servers: from what the RESP parser yields to the outcome of an attempt. No sockets here."""
 
 from __future__ import annotations
 
@@ -12,67 +12,70 @@
 
 log = logging.getLogger(__name__)
 
+OVERLOADED_WORD = "BUSY"  # first word of an error line: rejected, nothing was done
+SYNTAX_WORD = "SYNTAX"  # the server could not read our command
+
 
 class ServerError(Exception):
-    """An error line, as hiredis gives it."""
+    """An error line of a server, in the form in which the RESP parser yields it."""
 
 
 @dataclass(slots=True)
 class Reply:
-    """What an attempt came to."""
+    """Outcome of an attempt, with what the reply reported beside its value."""
 
     status: api.Status
     value: bytes | None = None
-    used: float | None = None
-    cost: float | None = None
-    load: tuple[float, ...] | None = None
-    broken: bool = False  # no answer of the protocol: the connection is of no further use
-
-
-def _pairs(text: str) -> dict[str, float]:
-    """``a=1,b=2`` as numbers; what is not of that form, or no figure at all, is left out."""
-    found = {}
-    for part in text.split(","):
-        name, _, number = part.partition("=")
-        with suppress(ValueError):
-            figure = float(number)
-            if 0.0 <= figure < inf:  # a cost of nan or below nought would wipe out a customer's excess
-                found[name] = figure
-    return found
+    metered_use_percent: float | None = None  # of the customer by all gateways, of its plan's rate
+    final_units: float | None = None  # in place of the estimate
+    load: tuple[float, ...] | None = None  # in the order of the settings' load fields
+    malformed: bool = False  # not the protocol: the connection is of no further use
 
 
-class Readings:
-    """Reads what servers answer, figures on use and load reports included."""
+class ReplyReader:
+    """Reads replies, with the metered use and load reports in them."""
 
     def __init__(self, load_fields: tuple[str, ...]) -> None:
         self.load_fields = load_fields
 
-    def reply(self, answer: object) -> Reply:
-        """An answer as the protocol's table has it; what is malformed may have run."""
-        if isinstance(answer, ServerError):
-            return self._error(str(answer))
-        if not isinstance(answer, list) or not answer or not isinstance(answer[0], bytes):
-            log.warning("malformed answer: %.100r", answer)
-            return Reply(api.Status.ERROR, broken=True)
-        reply = Reply(api.Status.OK, answer[0])
-        for figures in answer[1:]:
-            if isinstance(figures, bytes):
-                self._figures(reply, figures.decode("latin-1"))
+    def read(self, parsed: object) -> Reply:
+        """The outcome that a parsed reply stands for; a malformed one may have run."""
+        if isinstance(parsed, ServerError):
+            return self._read_error(str(parsed))
+        if not isinstance(parsed, list) or not parsed or not isinstance(parsed[0], bytes):
+            log.warning("malformed answer: %.100r", parsed)
+            return Reply(api.Status.ERROR, malformed=True)
+        reply = Reply(api.Status.OK, parsed[0])
+        for fields in parsed[1:]:
+            if isinstance(fields, bytes):
+                self._read_fields(reply, fields.decode("latin-1"))
         return reply
 
-    def _error(self, line: str) -> Reply:
-        word, *rest = line.split(" ")
-        if word == "SYNTAX":
+    def _read_error(self, line: str) -> Reply:
+        word, *fields = line.split(" ")
+        if word == SYNTAX_WORD:
             log.error("a server could not read a command: %.200s", line)
-        reply = Reply(api.Status.OVERLOADED if word == "BUSY" else api.Status.ERROR)
-        for figures in rest:
-            self._figures(reply, figures)
+        reply = Reply(api.Status.OVERLOADED if word == OVERLOADED_WORD else api.Status.ERROR)
+        for text in fields:
+            self._read_fields(reply, text)
         return reply
 
-    def _figures(self, reply: Reply, text: str) -> None:
-        figures = _pairs(text)
-        reply.used = figures.get("used", reply.used)
-        reply.cost = figures.get("cost", reply.cost)
-        load = {REPORT_FIELD.get(name, name): value for name, value in figures.items()}
+    def _read_fields(self, reply: Reply, text: str) -> None:
+        fields = _number_fields(text)
+        reply.metered_use_percent = fields.get("used", reply.metered_use_percent)
+        reply.final_units = fields.get("cost", reply.final_units)
+        load = {REPORT_FIELD.get(name, name): value for name, value in fields.items()}
         if self.load_fields and all(name in load for name in self.load_fields):
             reply.load = tuple(load[name] for name in self.load_fields)
+
+
+def _number_fields(text: str) -> dict[str, float]:
+    """``a=1,b=2`` as numbers; parts of another form, negative or not finite, are left out."""
+    fields = {}
+    for part in text.split(","):
+        name, _, number = part.partition("=")
+        with suppress(ValueError):
+            value = float(number)
+            if 0.0 <= value < inf:  # a negative or undefined cost would erase a customer's excess
+                fields[name] = value
+    return fields
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -27,7 +27,7 @@
     Status,
     TimerFired,
 )
-from quota_gateway.net import servers
+from quota_gateway.net.servers import pool
 from quota_gateway.state_machine import illegal_transitions
 
 CLASSES = (
@@ -147,7 +147,7 @@
 @pytest.fixture
 def no_rest(monkeypatch) -> None:
     """Connections to servers may be used again as soon as their answer has come."""
-    monkeypatch.setattr(servers, "REST_S", 0.0, raising=False)
+    monkeypatch.setattr(pool, "REST_S", 0.0)
 
 
 @pytest.fixture
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -10,7 +10,7 @@
 from test_net_servers import Ends
 
 from quota_gateway import Idempotency, IdempotencyScope, Limits, ListKind, Send, ServerState, Status
-from quota_gateway.net import servers as module
+from quota_gateway.net.servers import pool as pool_module
 
 KINDS = ["read", "post", "buy"]
 FREE = Limits(max_attempts=3, can_cancel=True, connect_timeout_ms=60_000.0)
@@ -237,7 +237,7 @@
 
 
 def test_second_answer_that_comes_behind_the_next_command_is_not_taken_for_its_answer(monkeypatch):
-    monkeypatch.setattr(module, "REST_S", 3600.0, raising=False)
+    monkeypatch.setattr(pool_module, "REST_S", 3600.0)
 
     async def test():
         def answer(words):
@@ -257,7 +257,7 @@
 
 
 def test_connection_that_has_rested_is_used_again_before_an_older_one(monkeypatch):
-    monkeypatch.setattr(module, "REST_S", 0.0, raising=False)
+    monkeypatch.setattr(pool_module, "REST_S", 0.0)
 
     async def test():
         fake = FakeServer()
@@ -298,7 +298,7 @@
                 await until(
                     lambda: (
                         not gateway.driver.calls
-                        or any(one.unread or one.head for one in gateway.servers.connections)
+                        or any(one.unparsed_bytes or one.head for one in gateway.servers.connections)
                     )
                 )
                 fake.writers[0].write(run_on[cut:])
@@ -325,7 +325,7 @@
     ],
 )
 def test_connection_of_a_broken_answer_is_never_used_again(monkeypatch, broken):
-    monkeypatch.setattr(module, "REST_S", 0.0, raising=False)
+    monkeypatch.setattr(pool_module, "REST_S", 0.0)
 
     async def test():
         answers = iter([broken])
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -9,8 +9,9 @@
 
 from quota_gateway import AttemptEnded, Limits, Status, StreamStarted
 from quota_gateway.net import clients as clients_module
-from quota_gateway.net import servers as servers_module
 from quota_gateway.net.declared_lengths import LONG, LONGEST_VALUE, long_value
+from quota_gateway.net.servers import connection as connection_module
+from quota_gateway.net.servers import pool as pool_module
 
 LENGTH = 3 * 1024 * 1024
 VALUE = bytes(range(256)) * (LENGTH // 256)
@@ -75,7 +76,7 @@
             assert await peer.ask(call(2)) == b"v"
             assert len(server.writers) == 1
             assert not gateway.driver.calls
-            assert not gateway.servers.passing
+            assert not gateway.servers.streams
             assert [c.metered_use_ratio for c in gateway.driver.gateway.customers.values()] == [0.4]
 
     run(test())
@@ -130,17 +131,19 @@
             await server.until(lambda: len(server.commands) == 1)
             read = asyncio.ensure_future(peer.reader.read())  # to its end
             server.writers[0].write(HEAD + VALUE + end[:cut])
-            await until(lambda: all(one.sink and not one.left for one in gateway.servers.connections))
+            await until(
+                lambda: all(one.sink and not one.value_bytes_left for one in gateway.servers.connections)
+            )
             server.writers[0].write(end[cut:] + TAIL)
             assert (b"$%d\r\n" % LENGTH + VALUE).startswith(await read)  # no line's end behind it
-            await until(lambda: not gateway.driver.calls and not gateway.servers.passing)
+            await until(lambda: not gateway.driver.calls and not gateway.servers.streams)
             assert not gateway.servers.connections
 
     run(test())
 
 
 def test_server_that_gives_no_more_of_a_value_is_given_up_after_a_while(monkeypatch):
-    monkeypatch.setattr(servers_module, "SILENT_S", 0.2)
+    monkeypatch.setattr(connection_module, "STREAM_SILENCE_S", 0.2)
 
     async def test():
         server = held(1)
@@ -181,7 +184,7 @@
             paused = gateway.servers.connections
             await until(lambda: all(not c.transport.is_reading() for c in paused))
             kept = [c.transport.get_write_buffer_size() for c in gateway.clients.connections]
-            assert max(kept) <= servers_module.READ
+            assert max(kept) <= pool_module.READ_BYTES
             for sock in socks:
                 got, size = 0, len(b"$%d\r\n" % LENGTH) + LENGTH + 2
                 while got < size:
@@ -195,11 +198,11 @@
 def test_reads_are_smaller_when_many_values_are_on_their_way():
     async def test():
         async with node() as gateway:
-            assert len(gateway.servers.room()) == servers_module.READ
+            assert len(gateway.servers.read_buffer()) == pool_module.READ_BYTES
             for passing in (100, 1000, 100_000):
-                gateway.servers.passing = passing
-                size = len(gateway.servers.room())
-                assert size == servers_module.LEAST_READ or size * passing <= servers_module.MOST_HELD
+                gateway.servers.streams = passing
+                size = len(gateway.servers.read_buffer())
+                assert size == pool_module.MIN_READ_BYTES or size * passing <= pool_module.MAX_STREAMED_BYTES
 
     run(test())
 
--- a/tests/test_net_servers.py
+++ b/tests/test_net_servers.py
@@ -10,7 +10,8 @@
 from quota_gateway import Limits, ListKind, ServerEntry, ServerState, Status
 from quota_gateway.net import servers as module
 from quota_gateway.net.declared_lengths import Lengths
-from quota_gateway.net.servers import Attempt, Readings, Reply
+from quota_gateway.net.servers import Attempt, Reply, ReplyReader
+from quota_gateway.net.servers import connection as connection_module
 
 COMMAND = resp("CALL.GET", "00000000b4d65521", "00000000000000aa", "c=read,t=free,d=10")
 
@@ -88,7 +89,7 @@
 
 @pytest.mark.parametrize("cut", [1, 2, 3, 5, 17, 1000])
 def test_lengths_of_good_answers_all_reach_the_parser(cut):
-    lengths = Lengths(module.LONGEST_ANSWER, answers=True)
+    lengths = Lengths(connection_module.MAX_REPLY_BYTES, answers=True)
     stream = array(b"*9\r\n$9\r\n" * 9, b"used=1") + b"-ERR failed used=3\r\n-BUSY\r\n$2\r\nab\r\n"
     pieces = [stream[at : at + cut] for at in range(0, len(stream), cut)]
     assert [lengths.good(piece) for piece in pieces] == [len(piece) for piece in pieces]
@@ -99,7 +100,7 @@
 
 
 def test_figures_on_use_and_load_in_answers_and_error_lines():
-    read = Readings(("utilisation", "queue")).reply
+    read = ReplyReader(("utilisation", "queue")).read
     assert read([b"v", b"used=37,cost=4", b"inflight=7,queue=2,util=0.61"]) == Reply(
         Status.OK, b"v", 37.0, 4.0, (0.61, 2.0)
     )
@@ -294,7 +295,7 @@
 
             ends = Ends()
             with monkeypatch.context() as patch:
-                patch.setattr(module.socket, "socket", none_left)
+                patch.setattr(connection_module.socket, "socket", none_left)
                 gateway.servers.start(1, ends.attempt())
                 assert await ends.status() is Status.CONNECT_FAILED
             gateway.servers.start(1, ends.attempt())
