--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -20,7 +20,6 @@
 log = logging.getLogger(__name__)
 
 WAY_MS = 10.0  # kept of the time in which a last byte may arrive: its way, and a loop that is late
-CLIENT_MARGIN_MS = 10.0  # kept of a client's wait: the way here and back, and a loop that is late
 
 
 class Clock:
--- a/quota_gateway/net/reload.py
+++ b/quota_gateway/net/reload.py
@@ -22,7 +22,7 @@
 from quota_gateway.config_reader import ConfigError
 from quota_gateway.net import admin
 from quota_gateway.net.admin import Answer, Handler
-from quota_gateway.net.clients import MOST_LINGERING, Clients
+from quota_gateway.net.clients import MAX_LINGERING, Clients
 from quota_gateway.net.discovery import Discovery
 from quota_gateway.net.driver import Driver
 from quota_gateway.net.hot_restart import Handover
@@ -31,7 +31,7 @@
 log = logging.getLogger(__name__)
 
 # Beside clients and servers: the log, the loop, discovery, the listener, a margin, clients that linger.
-OTHER_DESCRIPTORS = 32 + MOST_LINGERING
+OTHER_DESCRIPTORS = 32 + MAX_LINGERING
 AGAIN_S = 0.1  # between readings of a file that is torn or missing: it may be being written
 READINGS = 20  # after SIGHUP: half of the time in which the platform wants discovery to have moved
 READINGS_ASKED = 4  # after RELOAD: whoever asks waits 1 s
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -10,8 +10,9 @@
 from fakes import SETTINGS, FakeServer, Raw, array, call, node, resp, run, until
 
 from quota_gateway import Plan, SetServing
-from quota_gateway.net import clients as module
-from quota_gateway.net.clients import MOST_PIPELINED
+from quota_gateway.net.clients import connection as connection_module
+from quota_gateway.net.clients import registry as registry_module
+from quota_gateway.net.clients.connection import MAX_PIPELINED
 
 BUSY = b"-ERR max number of clients reached\r\n"
 
@@ -90,7 +91,7 @@
 
 
 def test_new_connection_without_a_request_at_the_stop_may_still_send_it_for_a_moment(monkeypatch):
-    monkeypatch.setattr(module, "LATE_S", 3600.0)
+    monkeypatch.setattr(registry_module, "LATE_S", 3600.0)
 
     async def test():
         async with node(server()) as gateway:
@@ -104,13 +105,15 @@
 
 
 def test_half_a_command_at_the_stop_is_served_if_its_rest_comes_soon(monkeypatch):
-    monkeypatch.setattr(module, "LATE_S", 3600.0)
+    monkeypatch.setattr(registry_module, "LATE_S", 3600.0)
 
     async def test():
         async with node(server()) as gateway:
             raw, command = await used(gateway), call(1)
             raw.send(command[:20])
-            await until(lambda: any(client.lengths.within() for client in gateway.clients.connections))
+            await until(
+                lambda: any(client.stream.is_within_command() for client in gateway.clients.connections)
+            )
             gateway.clients.stop_listening()
             raw.send(command[20:])
             assert await raw.rest() == (bulk(b"v"), "end")
@@ -119,13 +122,15 @@
 
 
 def test_request_that_is_here_unread_at_the_last_moment_of_the_stop_is_served(monkeypatch):
-    monkeypatch.setattr(module, "LATE_S", 3600.0)
+    monkeypatch.setattr(registry_module, "LATE_S", 3600.0)
 
     async def test():
         async with node(server()) as gateway:
             raws = [Raw(port(gateway)), await used(gateway)]
             raws[1].send(call(1)[:20])
-            await until(lambda: any(client.lengths.within() for client in gateway.clients.connections))
+            await until(
+                lambda: any(client.stream.is_within_command() for client in gateway.clients.connections)
+            )
             gateway.clients.stop_listening()
             await until(lambda: len(gateway.clients.connections) == 2)
             raws[0].send(call(2))
@@ -140,7 +145,7 @@
 @pytest.mark.parametrize("asked", [True, False])
 @pytest.mark.parametrize("late", [False, True])
 def test_connection_that_is_taken_over_at_the_stop_is_served_and_ends(monkeypatch, asked, late):
-    monkeypatch.setattr(module, "LATE_S", 3600.0)
+    monkeypatch.setattr(registry_module, "LATE_S", 3600.0)
 
     async def test():
         async with node(server()) as gateway:
@@ -162,8 +167,8 @@
 
 @pytest.mark.parametrize("parts", [1, 0])
 def test_command_whose_rest_comes_after_the_last_moment_of_the_stop_is_never_sent_on(monkeypatch, parts):
-    monkeypatch.setattr(module, "LATE_S", 0.0)
-    monkeypatch.setattr(module, "LINGER_S", 3600.0)
+    monkeypatch.setattr(registry_module, "LATE_S", 0.0)
+    monkeypatch.setattr(connection_module, "LINGER_S", 3600.0)
 
     async def test():
         fake = server()
@@ -172,11 +177,11 @@
             served = len(fake.commands)
             raw.send(command[: 20 * parts])
             (client,) = gateway.clients.connections
-            await until(lambda: client.lengths.within() == bool(parts))
+            await until(lambda: client.stream.is_within_command() == bool(parts))
             gateway.clients.stop_listening()
             assert await raw.rest() == (b"", "end")
             raw.send(command[20 * parts :], call(2))  # it crosses the end that the gateway has sent
-            await until(lambda: client.thrown >= len(command) - 20 * parts)
+            await until(lambda: client.discarded_bytes >= len(command) - 20 * parts)
             raw.sock.close()
             await until(lambda: not gateway.clients.lingering)
             assert len(fake.commands) == served
@@ -232,8 +237,8 @@
 
 
 def test_connections_that_linger_are_bounded(monkeypatch):
-    monkeypatch.setattr(module, "LINGER_S", 3600.0)
-    monkeypatch.setattr(module, "MOST_LINGERING", 2)
+    monkeypatch.setattr(connection_module, "LINGER_S", 3600.0)
+    monkeypatch.setattr(registry_module, "MAX_LINGERING", 2)
 
     async def test():
         async with node(FakeServer(lambda words: None), most_connections=1) as gateway:
@@ -251,7 +256,7 @@
 
 
 def test_what_is_thrown_away_behind_a_close_is_bounded(monkeypatch):
-    monkeypatch.setattr(module, "LINGER_S", 3600.0)
+    monkeypatch.setattr(connection_module, "LINGER_S", 3600.0)
 
     async def test():
         async with node(server()) as gateway:
@@ -270,8 +275,8 @@
 @pytest.mark.parametrize(
     "more",
     [
-        [call(number) for number in range(MOST_PIPELINED, 200)],
-        [call(number, "buy", body=bytes(60_000)) for number in range(MOST_PIPELINED, MOST_PIPELINED + 4)],
+        [call(number) for number in range(MAX_PIPELINED, 200)],
+        [call(number, "buy", body=bytes(60_000)) for number in range(MAX_PIPELINED, MAX_PIPELINED + 4)],
     ],
     ids=["many", "long"],
 )
@@ -280,13 +285,13 @@
         fake = FakeServer(lambda words: None)
         async with node(fake) as gateway:
             raw = Raw(port(gateway))
-            raw.send(*(call(number) for number in range(MOST_PIPELINED)), *more)
-            await fake.until(lambda: len(fake.commands) == MOST_PIPELINED)
+            raw.send(*(call(number) for number in range(MAX_PIPELINED)), *more)
+            await fake.until(lambda: len(fake.commands) == MAX_PIPELINED)
             raw.sock.close()
             await until(lambda: not gateway.clients.connections)
             assert not gateway.driver.calls
-            assert gateway.driver.figures.gone == MOST_PIPELINED
-            assert len(fake.commands) == MOST_PIPELINED
+            assert gateway.driver.figures.gone == MAX_PIPELINED
+            assert len(fake.commands) == MAX_PIPELINED
 
     run(test())
 
@@ -320,7 +325,7 @@
 
 @pytest.mark.parametrize("kind", ["read", "post", "buy"])
 def test_time_that_a_command_waited_behind_as_many_as_may_be_in_hand_is_not_given_again(kind):
-    first = range(MOST_PIPELINED)
+    first = range(MAX_PIPELINED)
     classes = tuple(
         replace(one, latency_objective_ms=60_000.0, deadline_ms=60_000.0) for one in SETTINGS.classes
     )
@@ -334,16 +339,16 @@
                 call(1000, kind, wait=6000),
                 call(1001, kind, wait=1000),
             )
-            await fake.until(lambda: len(fake.commands) == MOST_PIPELINED)
+            await fake.until(lambda: len(fake.commands) == MAX_PIPELINED)
             (client,) = gateway.clients.connections
-            assert client.full  # both are read, and wait
+            assert client.is_pipeline_full  # both are read, and wait
             clock = gateway.driver.clock
             gateway.driver.clock = lambda: clock() + 2000.0
             for number in (0, 1):
                 at = [int(words[2], 16) for words in fake.commands].index(number)
                 fake.writers[fake.by[at]].write(array(b"v"))
-            await until(lambda: gateway.driver.figures.asked == MOST_PIPELINED + 2)
-            await until(lambda: len(gateway.driver.calls) == MOST_PIPELINED - 2)
+            await until(lambda: gateway.driver.figures.asked == MAX_PIPELINED + 2)
+            await until(lambda: len(gateway.driver.calls) == MAX_PIPELINED - 2)
             behind = [words for words in fake.commands if int(words[2], 16) not in first]
             assert [int(words[2], 16) for words in behind] == [1000]  # the other one's time is up
             assert told(behind[0]) <= 4000
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -8,7 +8,8 @@
 from fakes import FakeServer, call, node, resp, run, until
 
 from quota_gateway import AttemptEnded, Limits, Status, StreamStarted
-from quota_gateway.net import clients as clients_module
+from quota_gateway.net.clients import connection as client_connection_module
+from quota_gateway.net.clients import registry as registry_module
 from quota_gateway.net.declared_lengths import LONG, LONGEST_VALUE, long_value
 from quota_gateway.net.servers import connection as connection_module
 from quota_gateway.net.servers import pool as pool_module
@@ -242,7 +243,7 @@
 
 
 def test_clients_that_read_no_answers_are_bounded_over_all_of_them(monkeypatch):
-    monkeypatch.setattr(clients_module, "MOST_UNSENT", 600_000)
+    monkeypatch.setattr(registry_module, "MAX_UNSENT_BYTES", 600_000)
 
     async def test():
         body = b"x" * 60_000
@@ -256,13 +257,13 @@
             for at, peer in enumerate(peers):  # the first of each is never answered: the rest wait behind it
                 peer.send(*(call(at * 16 + number) for number in range(6)))
             await until(lambda: len(gateway.clients.connections) < 4)
-            assert gateway.clients.unsent_bytes <= 600_000
+            assert gateway.clients.unsent.used_bytes <= 600_000
 
     run(test())
 
 
 def test_body_may_come_slowly_while_a_head_that_does_not_end_is_closed(monkeypatch):
-    monkeypatch.setattr(clients_module, "WHOLE_S", 0.3)
+    monkeypatch.setattr(client_connection_module, "COMMAND_TIMEOUT_S", 0.3)
 
     async def test():
         server = FakeServer()
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -6,8 +6,9 @@
 import pytest
 from fakes import FakeServer, array, call, node, resp, run, until
 
-from quota_gateway.net import clients as module
-from quota_gateway.net.clients import LONGEST_COMMAND, LONGEST_WORD, MOST_PIPELINED
+from quota_gateway.net.clients import connection as module
+from quota_gateway.net.clients.command_stream import MAX_COMMAND_BYTES, MAX_WORD_BYTES
+from quota_gateway.net.clients.connection import MAX_PIPELINED
 from quota_gateway.net.declared_lengths import Lengths
 
 GOOD = "c=read,t=free,d=4000,units=1,spread=2,first=0"
@@ -180,7 +181,7 @@
 
 @pytest.mark.parametrize("cut", [1, 2, 3, 5, 17, 1000])
 def test_lengths_within_bounds_all_reach_the_parser(cut):
-    lengths = Lengths(LONGEST_WORD)
+    lengths = Lengths(MAX_WORD_BYTES)
     stream = call(1, "post", body=b"*9\r\n$9\r\n" * 9) + resp("PING") + resp("A", "", "c")
     pieces = [stream[at : at + cut] for at in range(0, len(stream), cut)]
     assert [lengths.good(piece) for piece in pieces] == [len(piece) for piece in pieces]
@@ -193,7 +194,7 @@
 @pytest.mark.parametrize("cut", [1, 2, 3, 4, 5, 17, 1000])
 @pytest.mark.parametrize("end", [b"xy", b"\rx", b"x\n", b"\n\r", b"*1"])
 def test_word_without_a_lines_end_behind_it_never_reaches_the_parser_whole(answers, cut, end):
-    lengths, passed = Lengths(LONGEST_WORD, answers), b""
+    lengths, passed = Lengths(MAX_WORD_BYTES, answers), b""
     stream = b"*2\r\n$4\r\nPING\r\n$3\r\nabc" + end + b"*1\r\n$4\r\nPING\r\n"
     for at in range(0, len(stream), cut):
         piece = stream[at : at + cut]
@@ -223,14 +224,14 @@
 def test_endless_row_of_bad_commands_is_cut_short_and_a_request_between_begins_it_anew():
     async def test():
         async with node(FakeServer()) as gateway:
-            peer, few = await gateway.peer(), (module.MOST_BAD - 1) * [resp("JUNK")]
+            peer, few = await gateway.peer(), (module.MAX_BAD_COMMANDS - 1) * [resp("JUNK")]
             for number in range(3):
                 peer.send(*few, call(number))
                 for _ in few:
                     assert await peer.reply() == "-ERR unknown command"
                 assert await peer.reply() == b"%016x" % number
             peer.send(*few, resp("CALL.GET"))
-            for _ in range(module.MOST_BAD):
+            for _ in range(module.MAX_BAD_COMMANDS):
                 assert (await peer.reply()).startswith("-ERR ")
             assert await peer.reply() is None
 
@@ -276,10 +277,10 @@
             peer.reader._limit = 1  # the stream stops reading at once
             peer.send(*(call(number, wait=60_000) for number in range(many)))
             (client,) = gateway.clients.connections
-            await until(lambda: client.stuck)
-            assert client.paused
-            assert len(client.slots) <= MOST_PIPELINED
-            assert client.transport.get_write_buffer_size() <= (MOST_PIPELINED + 2) * (len(value) + 100)
+            await until(lambda: client.is_stuck)
+            assert client.is_reading_paused
+            assert len(client.slots) <= MAX_PIPELINED
+            assert client.transport.get_write_buffer_size() <= (MAX_PIPELINED + 2) * (len(value) + 100)
             for number in range(many):
                 assert await peer.reply() == b"%016x" % number + value
 
@@ -335,7 +336,7 @@
     async def test():
         async with node(FakeServer()) as gateway:
             peer = await gateway.peer()
-            peer.send(b"*4\r\n$500000000\r\n", b"x" * 2 * LONGEST_COMMAND)
+            peer.send(b"*4\r\n$500000000\r\n", b"x" * 2 * MAX_COMMAND_BYTES)
             assert (await peer.reply()).startswith("-ERR ")
             assert await (await gateway.peer()).ask(resp("PING")) == b"PONG"
 
@@ -353,7 +354,7 @@
     ],
 )
 def test_peer_without_a_whole_request_gets_a_close_and_for_half_a_command_an_error(monkeypatch, sent):
-    monkeypatch.setattr(module, "WHOLE_S", 0.5)
+    monkeypatch.setattr(module, "COMMAND_TIMEOUT_S", 0.5)
 
     async def test():
         async with node(FakeServer()) as gateway:
@@ -370,7 +371,7 @@
 
 
 def test_client_that_has_asked_may_be_idle_or_wait_for_its_answer(monkeypatch):
-    monkeypatch.setattr(module, "WHOLE_S", 0.5)
+    monkeypatch.setattr(module, "COMMAND_TIMEOUT_S", 0.5)
 
     async def test():
         server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(b"value"))
@@ -392,11 +393,11 @@
 def test_commands_read_but_not_taken_yet_are_served_when_the_gateway_leaves():
     async def test():
         held = []
-        server = FakeServer(lambda words: held.append(words) if len(held) < MOST_PIPELINED else array(b"v"))
+        server = FakeServer(lambda words: held.append(words) if len(held) < MAX_PIPELINED else array(b"v"))
         async with node(server) as gateway:
             peer, more = await gateway.peer(), 6
-            peer.send(*(call(number) for number in range(MOST_PIPELINED + more)))
-            await server.until(lambda: len(held) == MOST_PIPELINED)
+            peer.send(*(call(number) for number in range(MAX_PIPELINED + more)))
+            await server.until(lambda: len(held) == MAX_PIPELINED)
             gateway.clients.stop_listening()
             first = next(
                 n for n, words in zip(server.by, server.commands, strict=True) if int(words[2], 16) == 0
@@ -406,7 +407,7 @@
                     writer.write(array(b"v"))
             await until(lambda: len(gateway.driver.calls) == 1)
             server.writers[first].write(array(b"v"))  # all that are in hand are written at once
-            for _ in range(MOST_PIPELINED + more):
+            for _ in range(MAX_PIPELINED + more):
                 assert await peer.reply() == b"v"
             assert await peer.reply() is None
 
