--- /dev/null
+++ b/quota_gateway/net/servers/pool.py
@@ -0,0 +1,273 @@
+"""The servers of the endpoint list and the pool of all connections to them, bounded over all servers."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable, Mapping
+from contextlib import suppress
+from dataclasses import dataclass
+
+from quota_gateway import api
+from quota_gateway.net.servers.attempt import Attempt
+from quota_gateway.net.servers.connection import Connection
+from quota_gateway.net.servers.host import Address, Host
+from quota_gateway.net.servers.replies import Reply, ReplyReader
+
+IDLE_LIMIT_RATIO = 0.4  # of the servers' idle limit: connections are retired well before servers close them
+READ_BYTES = 64 * 1024
+MIN_READ_BYTES = 4 * 1024
+MAX_STREAMED_BYTES = 8 * 1024 * 1024  # of streamed values held by slow clients, over all connections
+RETIRE_INTERVAL_S = 1.0
+REST_S = 0.01  # after a reply before the next command: a second reply may come some milliseconds behind
+
+
+@dataclass(slots=True)
+class PoolCounts:
+    """What the pool has done since operators asked last."""
+
+    handshakes: int = 0  # connections begun
+    reuses: int = 0  # attempts on a connection that was idle
+    evicted: int = 0  # idle connections closed for lack of capacity
+    rejected: int = 0  # attempts that found no capacity
+
+    def describe(self) -> str:
+        """Text of the counts, as the admin endpoint's POOLS answers it."""
+        return (
+            f"{self.handshakes} handshakes, {self.reuses} reuses, {self.evicted} evicted, "
+            f"{self.rejected} turned away for want of room since the last look"
+        )
+
+
+class Servers:
+    """The servers of the endpoint list, and every connection to one of them."""
+
+    def __init__(self, settings: api.Settings, most_connections: int) -> None:
+        self.loop = asyncio.get_running_loop()
+        self.hosts: dict[int, Host] = {}
+        self.held: set[int] = set()  # administratively down, whatever discovery lists
+        self.connections: set[Connection] = set()
+        self.buffer = memoryview(bytearray(READ_BYTES))
+        self.streams = 0  # values being streamed
+        self.counts = PoolCounts()
+        self.elsewhere = 0  # connections that the process before this one still holds
+        # During a hot restart: passes a connection on to the next process; false if that failed.
+        self.pass_on: Callable[[Connection, int], bool] | None = None
+        self.on_linked: Callable[[api.IdleConnectionChanged], None] = lambda _: None  # set by the driver
+        self.retell(settings, most_connections)
+        self.retire_timer = self.loop.call_later(RETIRE_INTERVAL_S, self._retire_idle)
+
+    # ---- Settings and the endpoint list
+
+    def retell(self, settings: api.Settings, most_connections: int) -> None:
+        """Apply new settings; beyond the limit idle connections are closed, the longest idle first."""
+        self.connect_timeout_s = settings.limits.connect_timeout_ms / 1000.0
+        self.idle_limit_s = settings.limits.connection_idle_ms / 1000.0 * IDLE_LIMIT_RATIO
+        self.reply_reader = ReplyReader(settings.load_fields)
+        self.most_connections = most_connections
+        while self._is_over_limit() and self._evict():
+            pass
+
+    def update(self, endpoints: api.ServerList, addresses: Mapping[int, Address]) -> None:
+        """Take over an endpoint list; connections that it makes unusable are closed."""
+        listed = {entry.server for entry in endpoints.entries}
+        if endpoints.kind is not api.ListKind.CHANGES:
+            for server in [number for number in self.hosts if number not in listed]:
+                self._remove(server)
+        for entry in endpoints.entries:
+            if entry.state is api.ServerState.REMOVED:
+                self._remove(entry.server)
+            else:
+                self._update_host(entry, addresses[entry.server])
+
+    def _update_host(self, entry: api.ServerEntry, address: Address) -> None:
+        host = self.hosts.setdefault(entry.server, Host(entry.server))
+        # A server that restarted or moved must not be sent anything on a connection from before.
+        is_same_process = host.address == address and host.started_ms == entry.started_ms
+        host.address = address
+        host.started_ms = entry.started_ms
+        host.listed = entry.state is api.ServerState.READY
+        host.ready = host.listed and entry.server not in self.held
+        if not (is_same_process and host.ready):
+            self._invalidate(host)
+
+    def hold(self, server: int, held: bool) -> None:
+        """Use no connection to a server any more, or use it again; attempts in flight go on."""
+        if held:
+            self.held.add(server)
+        else:
+            self.held.discard(server)
+        host = self.hosts.get(server)
+        if host:
+            host.ready = host.listed and not held
+            self._invalidate(host)
+
+    def _remove(self, server: int) -> None:
+        host = self.hosts.pop(server, None)
+        if host:
+            host.ready = False
+            self._invalidate(host)
+
+    def _invalidate(self, host: Host) -> None:
+        """Make every connection to the server unusable; idle ones are closed."""
+        host.epoch += 1
+        for connection in list(host.idle):
+            connection.close(api.Status.RESET)
+
+    # ---- Attempts
+
+    def start(self, server: int, attempt: Attempt) -> None:
+        """Send an attempt on the connection used last, or on a new one."""
+        host = self.hosts.get(server)
+        if host is None or not host.ready:
+            attempt.finish(Reply(api.Status.CONNECT_FAILED))
+            return
+        while connection := self._reusable(host):
+            if connection.is_usable():
+                host.idle.remove(connection)
+                connection.send(attempt)
+                self.counts.reuses += 1
+                self._report_idle(host)
+                return
+            connection.close(api.Status.RESET)
+        self._connect(host, attempt)
+
+    def _reusable(self, host: Host) -> Connection | None:
+        """The idle connection used last, of those that have been quiet for a moment since their reply.
+
+        A server may send a reply twice. Behind the next command the second one would be taken for that
+        command's reply; while the connection is idle, whatever comes closes it.
+        """
+        latest = self.loop.time() - REST_S
+        return next((one for one in reversed(host.idle) if one.idle_since <= latest), None)
+
+    def _connect(self, host: Host, attempt: Attempt) -> None:
+        if self._is_at_limit() and not self._evict():
+            self.counts.rejected += 1
+            attempt.finish(Reply(api.Status.CONNECT_FAILED))
+            return
+        self.counts.handshakes += 1
+        connection = Connection(self, host, attempt)
+        self.connections.add(connection)
+        connection.task = self.loop.create_task(connection.open())
+
+    def stop(self, attempt: Attempt, status: api.Status) -> None:
+        """Close the attempt's connection, then report the outcome. Without its last byte it never ran."""
+        connection = attempt.connection
+        if attempt.done and connection:
+            connection.close(status if connection.last_byte_sent else api.Status.CONNECT_FAILED)
+
+    def stop_unsent(self, attempt: Attempt) -> None:
+        """Stop an attempt whose last byte has not gone out; one that is on its way is waited for."""
+        connection = attempt.connection
+        if attempt.done and connection and not connection.last_byte_sent:
+            connection.close(api.Status.CONNECT_FAILED)
+
+    # ---- The pool
+
+    def _is_over_limit(self) -> bool:
+        return len(self.connections) + self.elsewhere > self.most_connections
+
+    def _is_at_limit(self) -> bool:
+        return len(self.connections) + self.elsewhere >= self.most_connections
+
+    def read_buffer(self) -> memoryview:
+        """Buffer for one read: less for each when slow clients hold many streamed values."""
+        size = max(MIN_READ_BYTES, min(READ_BYTES, MAX_STREAMED_BYTES // max(1, self.streams)))
+        return self.buffer[:size]
+
+    def give_back(self, connection: Connection) -> None:
+        """Keep a connection whose attempt has ended well, unless its server has changed meanwhile."""
+        if connection.closed or connection.epoch != connection.host.epoch or self._is_over_limit():
+            connection.close(api.Status.RESET)
+            return
+        if self.pass_on:
+            self._pass(connection)
+            return
+        connection.become_idle()
+        connection.host.idle.append(connection)
+        self._report_idle(connection.host)
+
+    def close_idle(self, server: int) -> None:
+        """Close the idle connections to a server."""
+        host = self.hosts.get(server)
+        for connection in list(host.idle) if host else []:
+            connection.close(api.Status.RESET)
+
+    def _evict(self) -> bool:
+        """Close the connection that has been idle longest; false if none is idle."""
+        idle = [host.idle[0] for host in self.hosts.values() if host.idle]
+        oldest = min(idle, key=lambda connection: connection.idle_since, default=None)
+        if oldest is None:
+            return False
+        self.counts.evicted += 1
+        oldest.close(api.Status.RESET)
+        return True
+
+    def _retire_idle(self) -> None:
+        """Close idle connections well before the server does, which would reset a request written then."""
+        latest = self.loop.time() - self.idle_limit_s
+        for host in self.hosts.values():
+            for connection in [one for one in host.idle if one.idle_since < latest]:
+                connection.close(api.Status.RESET)
+        self.retire_timer = self.loop.call_later(RETIRE_INTERVAL_S, self._retire_idle)
+
+    def _report_idle(self, host: Host) -> None:
+        """Tell the decisions when the first connection becomes idle, or none is any more."""
+        if host.reported_idle != bool(host.idle):
+            host.reported_idle = not host.reported_idle
+            self.on_linked(api.IdleConnectionChanged(host.number, host.reported_idle))
+
+    def forget(self, connection: Connection) -> None:
+        """Count a connection that is closing no more."""
+        self.connections.discard(connection)
+        with suppress(ValueError):
+            connection.host.idle.remove(connection)
+        self._report_idle(connection.host)
+
+    # ---- Hot restart
+
+    def hand_over(self) -> None:
+        """Pass every idle connection on to the next process."""
+        for host in self.hosts.values():
+            for connection in list(host.idle):
+                self._pass(connection)
+
+    def _pass(self, connection: Connection) -> None:
+        assert connection.socket
+        if self.pass_on and connection.is_usable() and self.pass_on(connection, connection.socket.fileno()):
+            connection.detach()
+        else:
+            connection.close(api.Status.RESET)
+
+    async def adopt(self, server: int, sock: socket.socket) -> None:
+        """Take over an idle connection of the process before this one."""
+        host = self.hosts.get(server)
+        if host is None or not host.ready or self._is_at_limit():
+            sock.close()
+            return
+        connection = Connection(self, host, None)
+        connection.socket = sock
+        self.connections.add(connection)
+        await connection.come_up(sock)
+
+    # ---- Operators, and the end
+
+    def look(self) -> str:
+        """What the pool holds, and what it has done since the last look."""
+        open_count = len(self.connections)
+        idle = sum(len(host.idle) for host in self.hosts.values())
+        connecting = sum(connection.transport is None for connection in self.connections)
+        counts = self.counts.describe()
+        self.counts = PoolCounts()
+        peer = f", {self.elsewhere} in the process before" if self.elsewhere else ""
+        return (
+            f"{open_count} open ({idle} idle, {connecting} opening) of {self.most_connections}{peer} "
+            f"to {len(self.hosts)} servers; {counts}"
+        )
+
+    def close(self) -> None:
+        """Close everything, at the end of the process."""
+        self.retire_timer.cancel()
+        for connection in list(self.connections):
+            connection.close(api.Status.CANCELLED)
