--- a/tests/test_fault_bench.py
+++ b/tests/test_fault_bench.py
@@ -450,6 +450,11 @@
         return False
 
 
+def heed_sigint() -> None:
+    """A shell's background job ignores SIGINT, and what it starts inherits that."""
+    signal.signal(signal.SIGINT, signal.SIG_DFL)
+
+
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGINT])
 def test_no_process_outlives_the_rig_however_it_ends(tmp_path, number):
     command = [
@@ -462,7 +467,9 @@
         str(tmp_path / "rig"),
     ]
     with (tmp_path / "err").open("w") as sink:
-        rig = subprocess.Popen(command, cwd=ROOT, stderr=sink, stdout=sink, start_new_session=True)
+        rig = subprocess.Popen(
+            command, cwd=ROOT, stderr=sink, stdout=sink, start_new_session=True, preexec_fn=heed_sigint
+        )
     try:
         pids: list[int] = []
         while len(pids) < 5:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -480,7 +480,7 @@
     if fault == "leaks":
         kept.append(b"x" * 400_000)
     if fault == "refuses" and served % 2:
-        call.aim_ms = 0.0
+        call.latency_objective_ms = 0.0
         self.figures.asked += 1
         self.figures.answered(b"-BUSY", 0.0, 0.0)
         call.on_answer(b"-BUSY\\r\\n")
