--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -19,16 +19,16 @@
         self.attempts = attempts
         self.meter = customers.meter
         self.ceilings = customers.ceilings
-        self.answers = attempts.answers
-        self.pressure = attempts.pressure
-        self.choice = attempts.choice
-        self.hand = self.answers.hand
+        self.responses = attempts.responses
+        self.concurrency_limit = attempts.concurrency_limit
+        self.server_selection = attempts.server_selection
+        self.in_flight = self.responses.in_flight
 
     def _useful(self, kind: RequestClass) -> float:
         """How long a hold may last for the answer to come within the aim: what comes later earns nothing, or
         little. Harm: a class that earns much after its aim is refused what it could have had.
         """
-        return kind.latency_objective_ms - self.pressure.latencies.mean[kind.name]
+        return kind.latency_objective_ms - self.concurrency_limit.latencies.mean[kind.name]
 
     def _longest_hold(self, kind: RequestClass) -> float:
         """How long a hold may last: what is useful to the class worth most, less for one worth less.
@@ -42,7 +42,7 @@
     def request(self, event: Request, kind: RequestClass, plan: Plan) -> None:
         """A new request: the customer's meter says send, hold or refuse."""
         now = self.context.now
-        answers = self.answers
+        responses = self.responses
         customer = self.customers.find(event, plan)
         if event.is_retry and self.meter.thin(customer, plan):
             self._refuse(event, customer, plan, "thin")
@@ -55,13 +55,13 @@
         pending = PendingRequest(event, kind, plan, customer, now, turn, epoch)
         before = customer.excess_milliunits, customer.excess_updated_ms
         hold = self.meter.take(customer, plan, event.units, now)
-        if hold and hold >= min(event.client_timeout_ms, answers.ends_at - now, self._longest_hold(kind)):
+        if hold and hold >= min(event.client_timeout_ms, responses.ends_at - now, self._longest_hold(kind)):
             customer.excess_milliunits, customer.excess_updated_ms = before
             self._refuse(event, customer, plan, "quota")
             return
-        self.hand.take(pending)
-        answers.handover.tell(customer, event.units)
-        answers.limit(pending)
+        self.in_flight.take(pending)
+        responses.handover.tell(customer, event.units)
+        responses.limit(pending)
         if hold > 0.0:
             pending.release_timer_armed = True
             self.context.arm(hold, self._end_hold, pending)
@@ -69,9 +69,11 @@
             self._release(pending)
 
     def _refuse(self, event: Request, customer: Customer, plan: Plan, why: str) -> None:
-        self.answers.count(why, plan)
+        self.responses.count(why, plan)
         advice = self.meter.advice(customer, plan, event.units, self.context.now)
-        self.answers.refuse(event.request_id, advice if plan.rate else self.context.settings.meter_period_ms)
+        self.responses.refuse(
+            event.request_id, advice if plan.rate else self.context.settings.meter_period_ms
+        )
 
     def _end_hold(self, pending: PendingRequest) -> None:
         pending.release_timer_armed = False
@@ -83,12 +85,14 @@
         now = self.context.now
         wait = self.ceilings.wait(pending, now)
         if wait >= pending.deadline_ms - now:
-            self.answers.give_up(pending, "ceiling")
+            self.responses.give_up(pending, "ceiling")
             return
-        held = wait or self.ceilings.capped(pending, now) or self.pressure.full(pending.slow_start_draw)
-        server = None if held else self.choice.first(pending)
+        held = (
+            wait or self.ceilings.capped(pending, now) or self.concurrency_limit.full(pending.slow_start_draw)
+        )
+        server = None if held else self.server_selection.first(pending)
         if server:
-            self.hand.parked.pop(pending.request.request_id, None)
+            self.in_flight.parked.pop(pending.request.request_id, None)
             self.attempts.send(pending, server)
         else:
             self._park(pending, wait)
@@ -97,13 +101,13 @@
         """Hold what can't go now; the least worth for its work is refused when more wait than go at once: a
         queue must not outlast the aim. Harm: a short burst over few servers is refused needlessly.
         """
-        parked = self.hand.parked
+        parked = self.in_flight.parked
         if pending.request.request_id not in parked:
             last = pending.arrived_ms + self._useful(pending.request_class) - self.context.now
             self.context.arm(max(0.0, last), self._end_park, pending)
         parked[pending.request.request_id] = pending
-        if self.choice.fleet.servers and len(parked) > max(1.0, self.pressure.size):
-            self.answers.give_up(min(parked.values(), key=self.pressure.value), "crowded")
+        if self.server_selection.endpoints.servers and len(parked) > max(1.0, self.concurrency_limit.size):
+            self.responses.give_up(min(parked.values(), key=self.concurrency_limit.value), "crowded")
         if wait and not pending.answered and not pending.release_timer_armed:
             pending.release_timer_armed = (
                 True  # one timer each: every outcome tries all that are parked again
@@ -111,17 +115,17 @@
             self.context.arm(wait + self.context.settings.tick_ms, self._end_hold, pending)
 
     def _end_park(self, pending: PendingRequest) -> None:
-        if pending.attempts_started == 0 and self.choice.fleet.ready:
+        if pending.attempts_started == 0 and self.server_selection.endpoints.ready:
             now = self.context.now
             capped = self.ceilings.capped(pending, now)
             short = self.ceilings.wait(pending, now) > 0.0
             cause = "cap" if capped else "ceiling" if short else "pool"
-            self.answers.give_up(pending, f"waited: {cause}")
+            self.responses.give_up(pending, f"waited: {cause}")
 
     def retry_parked(self) -> None:
         """Whatever waits may go now: try it, what is worth most first."""
-        if not self.hand.parked:
+        if not self.in_flight.parked:
             return
-        for pending in sorted(self.hand.parked.values(), key=self.pressure.value, reverse=True):
+        for pending in sorted(self.in_flight.parked.values(), key=self.concurrency_limit.value, reverse=True):
             if not pending.answered:
                 self._release(pending)
--- a/quota_gateway/policy/concurrency_limit.py
+++ b/quota_gateway/policy/concurrency_limit.py
@@ -20,7 +20,7 @@
 KNOWN = 10  # servers that answered a class quickly last, which are compared beside some drawn at random
 
 
-class Pressure:
+class ConcurrencyLimit:
     """Owns the pool of attempts, and the latencies that move it (ms)."""
 
     def __init__(self, context: Context) -> None:
--- a/quota_gateway/policy/endpoint_list.py
+++ b/quota_gateway/policy/endpoint_list.py
@@ -1,21 +1,23 @@
 """Discovery's lists: which servers there are, and when discovery is asked."""
 
 from quota_gateway.api import DiscoveryMode, ListKind, ServerList, Subscribe
-from quota_gateway.policy.concurrency_limit import Pressure
-from quota_gateway.policy.slow_start import Cold
-from quota_gateway.state import Epochs, Fleet
+from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
+from quota_gateway.policy.slow_start import SlowStart
+from quota_gateway.state import Endpoints, Epochs
 
 ASK_SHARE = 0.5  # of the time in which discovery must be asked: room for one failed call
 
 
-class Lists:
+class EndpointList:
     """Owns the fleet's table."""
 
-    def __init__(self, fleet: Fleet, cold: Cold, pressure: Pressure, epochs: Epochs) -> None:
-        self.context = cold.context
-        self.fleet = fleet
-        self.cold = cold
-        self.pressure = pressure
+    def __init__(
+        self, endpoints: Endpoints, slow_start: SlowStart, concurrency_limit: ConcurrencyLimit, epochs: Epochs
+    ) -> None:
+        self.context = slow_start.context
+        self.endpoints = endpoints
+        self.slow_start = slow_start
+        self.concurrency_limit = concurrency_limit
         self.epochs = epochs
 
     def take(self, event: ServerList) -> bool:
@@ -27,13 +29,13 @@
             self.context.arm(delay, lambda _: self.context.actions.append(Subscribe(True)), None)
         if event.kind is ListKind.FAILED:
             return False
-        self.fleet.update(event)
+        self.endpoints.update(event)
         self.relist()
         if event.kind is ListKind.CACHED:
-            self.pressure.begin(len(self.fleet.servers), self.epochs.gateways)
+            self.concurrency_limit.begin(len(self.endpoints.servers), self.epochs.gateways)
         return True
 
     def relist(self) -> None:
         """Note which servers are ready, and which of them are cold."""
-        self.fleet.relist(lambda server: self.cold.warmth(server) < 1.0)
-        self.context.decay.servers = max(1, len(self.fleet.servers))
+        self.endpoints.relist(lambda server: self.slow_start.warmth(server) < 1.0)
+        self.context.decay.servers = max(1, len(self.endpoints.servers))
--- a/quota_gateway/policy/graceful_shutdown.py
+++ b/quota_gateway/policy/graceful_shutdown.py
@@ -1,7 +1,7 @@
 """What operators decide: servers that are out by hand, and the drain of this gateway."""
 
 from quota_gateway.api import DrainChanged, ServerAdminDown, SetServerUsable, SetServing
-from quota_gateway.policy.endpoint_list import Lists
+from quota_gateway.policy.endpoint_list import EndpointList
 from quota_gateway.state import Context
 
 MOST_OUT = 1024  # servers out by hand at once
@@ -14,10 +14,10 @@
 class Operators:
     """Owns which servers are out by hand (``Fleet.out``), and the steps of a drain."""
 
-    def __init__(self, context: Context, lists: Lists) -> None:
+    def __init__(self, context: Context, endpoint_list: EndpointList) -> None:
         self.context = context
-        self.lists = lists
-        self.fleet = lists.fleet
+        self.endpoint_list = endpoint_list
+        self.endpoints = endpoint_list.endpoints
         self.drains = 0  # how many times the drain began or ended: timers of an older one do nothing
         self.draining = self.left = False  # whether a drain is on, and whether its last step has come
 
@@ -25,15 +25,15 @@
         """Take a server out, or put it back; said twice it changes nothing (false). One put back counts as
         just started: operators restart what they take out, and discovery may not tell for seconds.
         """
-        out = self.fleet.out
+        out = self.endpoints.out
         now = self.context.now
         if event.admin_down == (event.server in out) or (event.admin_down and len(out) >= MOST_OUT):
             return False
         if event.admin_down:
-            self.fleet.take_out(event.server)
+            self.endpoints.take_out(event.server)
         else:
-            self.fleet.put_back(event.server, now, now + OWED_MS)
-        self.lists.relist()
+            self.endpoints.put_back(event.server, now, now + OWED_MS)
+        self.endpoint_list.relist()
         self.context.actions.append(SetServerUsable(event.server, not event.admin_down))
         return True
 
--- a/quota_gateway/policy/hot_restart.py
+++ b/quota_gateway/policy/hot_restart.py
@@ -8,9 +8,9 @@
 class Handover:
     """Owns whether the next process has taken over."""
 
-    def __init__(self, context: Context, hand: InFlightRequests, customers: Customers) -> None:
+    def __init__(self, context: Context, in_flight: InFlightRequests, customers: Customers) -> None:
         self.context = context
-        self.hand = hand
+        self.in_flight = in_flight
         self.customers = customers
         self.handed = False
 
@@ -18,7 +18,7 @@
         """Once handed over: the units charged here, the reading of the meter, what is in hand now."""
         if self.handed:
             plan, name = customer.key
-            self.context.actions.append(PeerUsage(plan, name, self.hand.places(customer), charged, used))
+            self.context.actions.append(PeerUsage(plan, name, self.in_flight.places(customer), charged, used))
 
     def hear(self, event: PeerUsage) -> bool:
         """What the process before this one holds and charges of a customer; false if nobody knows it."""
--- a/quota_gateway/policy/outlier_detection.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -1,7 +1,7 @@
 """Health: the share of failures that a server shows, apart for its class and for its plan."""
 
 from quota_gateway.api import Status
-from quota_gateway.state import Context, PendingRequest, Server, Shares
+from quota_gateway.state import Context, FailureRates, PendingRequest, Server
 
 DOUBT_PRIOR = 1.0  # answers that the share seen at all servers weighs against a server's own
 DOUBTED = 0.5  # share of failures from which a slow attempt is taken elsewhere, and a line is logged
@@ -10,12 +10,12 @@
 Priors = tuple[float, float]
 
 
-class Health:
+class OutlierDetection:
     """Owns the shares of failures: of servers, and of all together (those of no class by zone)."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.shares = Shares(context.decay, DOUBT_PRIOR)
+        self.shares = FailureRates(context.decay, DOUBT_PRIOR)
 
     def judge(self, pending: PendingRequest, server: Server, status: Status) -> None:
         """Note an outcome; attempts that wait in vain are noted as they become slow. A server that turns one
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -3,7 +3,7 @@
 from math import inf
 
 from quota_gateway.api import Cancel, ClientDisconnected, Fail, Plan, Reject, ShutdownBegun
-from quota_gateway.policy.concurrency_limit import Pressure
+from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
 from quota_gateway.policy.hot_restart import Handover
 from quota_gateway.policy.retry_policy import harmless
 from quota_gateway.state import Context, Customer, PendingRequest, Tally
@@ -12,14 +12,14 @@
 TALLY_MS = 5000.0  # between two lines that tell what was given up, and why
 
 
-class Answers:
+class Responses:
     """Owns when this gateway ends, and the count of what is given up."""
 
-    def __init__(self, context: Context, pressure: Pressure, handover: Handover) -> None:
+    def __init__(self, context: Context, concurrency_limit: ConcurrencyLimit, handover: Handover) -> None:
         self.context = context
-        self.pressure = pressure
+        self.concurrency_limit = concurrency_limit
         self.handover = handover
-        self.hand = handover.hand
+        self.in_flight = handover.in_flight
         self.customers = handover.customers
         self.meter = handover.customers.meter
         self.ends_at = inf  # of this gateway
@@ -40,7 +40,7 @@
     def stop(self, event: ShutdownBegun) -> None:
         """Guards against losing requests whose clients would wait longer than this gateway will live."""
         self.ends_at = self.context.now + event.within_ms
-        for pending in list(self.hand.pending_requests.values()):
+        for pending in list(self.in_flight.pending_requests.values()):
             if not pending.answered and pending.deadline_ms > self.ends_at:
                 self.limit(pending)
 
@@ -51,10 +51,10 @@
     def count(self, why: str, plan: Plan) -> None:
         """Count what is given up; a line every few seconds tells it."""
         if text := self.tally.add(why, plan.name, self.context.now, self.context.since):
-            pressure = self.pressure
+            concurrency_limit = self.concurrency_limit
             self.context.log(
-                f"given up: {text}; pool {pressure.size:.1f}, out {len(pressure.young)}, "
-                f"parked {len(self.hand.parked)}"
+                f"given up: {text}; pool {concurrency_limit.size:.1f}, out {len(concurrency_limit.young)}, "
+                f"parked {len(self.in_flight.parked)}"
             )
 
     def give_up(self, pending: PendingRequest, why: str) -> None:
@@ -71,12 +71,12 @@
 
     def _come_back(self, pending: PendingRequest) -> float:
         """When it may come again: the quota has room then, and those that wait here now have had a turn."""
-        turns = self.pressure.turns_ms(pending.request_class, len(self.hand.parked))
+        turns = self.concurrency_limit.turns_ms(pending.request_class, len(self.in_flight.parked))
         return max(turns, self.meter.advice(pending.customer, pending.plan, 0.0, self.context.now))
 
     def gone(self, event: ClientDisconnected) -> None:
         """The client has left: nothing is owed any more."""
-        pending = self.hand.pending_requests.get(event.request_id)
+        pending = self.in_flight.pending_requests.get(event.request_id)
         if pending and not pending.answered:
             pending.answered = True
             self.let_go(pending)
@@ -100,6 +100,6 @@
         """Forget a request that has its answer and no attempt out."""
         if not pending.answered:
             return
-        if self.hand.drop(pending):
+        if self.in_flight.drop(pending):
             self.customers.ended(pending)
         self.handover.tell(pending.customer, 0.0)
--- a/quota_gateway/policy/settings_change.py
+++ b/quota_gateway/policy/settings_change.py
@@ -6,9 +6,9 @@
 from dataclasses import replace
 
 from quota_gateway.api import HotRestartBegun, Plan, SettingsChanged
-from quota_gateway.policy.endpoint_list import Lists
+from quota_gateway.policy.endpoint_list import EndpointList
 from quota_gateway.policy.hot_restart import Handover
-from quota_gateway.policy.outlier_detection import Health
+from quota_gateway.policy.outlier_detection import OutlierDetection
 from quota_gateway.state import CustomerKey
 
 SETTLE_MS = 4000.0  # the platform gives a change of configuration so long: others may go by the old one
@@ -35,15 +35,21 @@
 class Changes:
     """Owns the bounds of what is in hand while settings change; hands the settings to every part."""
 
-    def __init__(self, handover: Handover, health: Health, lists: Lists, again: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        handover: Handover,
+        outlier_detection: OutlierDetection,
+        endpoint_list: EndpointList,
+        again: Callable[[], None],
+    ) -> None:
         self.context = handover.context
         self.handover = handover
-        self.hand = handover.hand
+        self.in_flight = handover.in_flight
         self.customers = handover.customers
         self.epochs = handover.customers.epochs
-        self.health = health
-        self.lists = lists
-        self.pressure = lists.pressure
+        self.outlier_detection = outlier_detection
+        self.endpoint_list = endpoint_list
+        self.concurrency_limit = endpoint_list.concurrency_limit
         self.again = again  # tries again what is parked
 
     def take(self, event: SettingsChanged) -> bool:
@@ -52,17 +58,19 @@
         """
         settings = event.settings
         plans = {item.name: item for item in settings.plans}
-        kinds = (pending.request_class for pending in self.hand.pending_requests.values())
-        latency = self.pressure.means([*settings.classes, *kinds])
+        kinds = (pending.request_class for pending in self.in_flight.pending_requests.values())
+        latency = self.concurrency_limit.means([*settings.classes, *kinds])
         gateways = max(self.epochs.gateways, settings.gateways)
         bounds = self._bounds(plans)
         # All that may fail came before the first thing that is altered.
         self._turn(plans, gateways)
         self.context.configure(settings)
-        self.pressure.latencies.keep(latency)
-        self.health.shares.keep(self.context.classes, plans, self.lists.fleet.servers.values())
+        self.concurrency_limit.latencies.keep(latency)
+        self.outlier_detection.shares.keep(
+            self.context.classes, plans, self.endpoint_list.endpoints.servers.values()
+        )
         self._keep_in_hand(bounds)
-        self.lists.relist()
+        self.endpoint_list.relist()
         if settings.gateways < gateways:
             self.context.arm(SETTLE_MS, self._settled, self.epochs.epoch)
         return True
@@ -76,7 +84,7 @@
 
     def _turn(self, plans: dict[str, Plan], gateways: int) -> None:
         """Begin a new epoch."""
-        self.pressure.rescale(self.epochs.gateways, gateways)
+        self.concurrency_limit.rescale(self.epochs.gateways, gateways)
         self.customers.turn(plans, gateways)
         if self.epochs.lagging:
             self.context.arm(self.context.settings.tick_ms, self._sweep, self.epochs.epoch)
@@ -90,7 +98,7 @@
     def _bounds(self, plans: dict[str, Plan]) -> dict[CustomerKey, Plan]:
         """For customers with something in hand whose ceiling or cap changes: the stricter of old and new."""
         bounds: dict[CustomerKey, Plan] = {}
-        for pending in self.hand.pending_requests.values():
+        for pending in self.in_flight.pending_requests.values():
             old = pending.plan
             customer = pending.customer
             new = plans.get(old.name, old)
@@ -104,11 +112,11 @@
 
     def _keep_in_hand(self, bounds: dict[CustomerKey, Plan]) -> None:
         """Bring up to date whoever has something in hand; until that has ended the stricter bounds hold."""
-        for pending in self.hand.pending_requests.values():
+        for pending in self.in_flight.pending_requests.values():
             self.customers.catch_up(pending.customer)
             if pending.customer.key in bounds:
                 pending.customer.pending_before_transition = 0
-        for pending in self.hand.pending_requests.values():
+        for pending in self.in_flight.pending_requests.values():
             customer = pending.customer
             if customer.key in bounds:
                 customer.transition_plan = bounds[customer.key]
@@ -121,4 +129,4 @@
         self._turn(self.epochs.plans, self.epochs.gateways)
         self._keep_in_hand({})
         self.customers.step(len(self.epochs.lagging))
-        self.context.log(f"handed over with {len(self.hand.pending_requests)} requests in hand")
+        self.context.log(f"handed over with {len(self.in_flight.pending_requests)} requests in hand")
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -6,7 +6,7 @@
 ROUNDING = 1e-9  # a turn found by its phase is checked exactly: none may be missed
 
 
-class Cold:
+class SlowStart:
     """Owns nothing but the rules: how fast servers warm up, how much tips them over."""
 
     def __init__(self, context: Context) -> None:
--- a/quota_gateway/simulation/day.py
+++ b/quota_gateway/simulation/day.py
@@ -110,13 +110,13 @@
 
     def _listen(self, gateway: Gateway) -> None:
         """Hear why the decisions give a request up: they count it just before they answer."""
-        count = gateway.answers.count
+        count = gateway.responses.count
 
         def heard(why: str, plan: api.Plan) -> None:
             self.why = why
             count(why, plan)
 
-        gateway.answers.count = heard  # type: ignore[method-assign]
+        gateway.responses.count = heard  # type: ignore[method-assign]
 
     def kill(self) -> None:
         """The process dies with all that it has in hand."""
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -2,8 +2,8 @@
 
 from quota_gateway.state.context import Context
 from quota_gateway.state.customer import Customer
-from quota_gateway.state.endpoints import Fleet, Group
-from quota_gateway.state.estimates import Latencies, Reports, Shares
+from quota_gateway.state.endpoints import Endpoints, Group
+from quota_gateway.state.estimates import FailureRates, Latencies, LoadReports
 from quota_gateway.state.in_flight import InFlightRequests
 from quota_gateway.state.outcome_counters import Tally
 from quota_gateway.state.pending_request import PendingRequest
@@ -16,7 +16,7 @@
     "Context",
     "Customer",
     "Epochs",
-    "Fleet",
+    "Endpoints",
     "PendingRequest",
     "Group",
     "InFlightRequests",
@@ -24,9 +24,9 @@
     "Latencies",
     "FailureRecord",
     "Moment",
-    "Reports",
+    "LoadReports",
     "Server",
-    "Shares",
+    "FailureRates",
     "Tally",
     "Views",
 ]
--- a/quota_gateway/state/endpoints.py
+++ b/quota_gateway/state/endpoints.py
@@ -14,7 +14,7 @@
 Group = tuple[()] | tuple[str] | tuple[str, int]  # all servers, those of a zone, of a cell in a zone
 
 
-class Others(Sequence[Server]):
+class ServersExcept(Sequence[Server]):
     """Servers of a list without those at some places (ascending), seen and not copied."""
 
     def __init__(self, servers: list[Server], places: Mapping[int, int], gaps: list[int]) -> None:
@@ -37,7 +37,7 @@
         return place is not None and place not in self.gaps and self.servers[place] is server
 
 
-class Fleet:
+class Endpoints:
     """Servers by number. What is ready, cold, owed and in a group is as of the last ``relist``, in the order
     of the lists: whoever alters a server calls it.
     """
@@ -47,7 +47,7 @@
         self.out: set[int] = set()  # the numbers of servers that are out by hand, listed or not
         self.servers: dict[int, Server] = {}
         self.ready: list[Server] = []
-        self.cold: list[Server] = []
+        self.warming_up: list[Server] = []
         self.owed: list[Server] = []  # cold ones that were put back by hand and are not used yet
         self._groups: dict[Group, tuple[list[Server], dict[int, int]]] = {}
         self._phases: list[tuple[float, int]] = []  # of cold servers, with their places
@@ -95,33 +95,35 @@
             server.must_be_used_by_ms = owed_at
             server.is_ready = server.is_listed_ready
 
-    def relist(self, cold: Callable[[Server], bool]) -> None:
+    def relist(self, warming_up: Callable[[Server], bool]) -> None:
         """Note which servers are ready, and which of them are cold."""
         self.ready = [server for server in self.servers.values() if server.is_ready]
-        self.cold = [server for server in self.ready if cold(server)]
-        self.owed = [server for server in self.cold if server.must_be_used_by_ms < inf]
+        self.warming_up = [server for server in self.ready if warming_up(server)]
+        self.owed = [server for server in self.warming_up if server.must_be_used_by_ms < inf]
         self._groups = {}
-        self._phases = sorted((server.slow_start_phase, place) for place, server in enumerate(self.cold))
+        self._phases = sorted(
+            (server.slow_start_phase, place) for place, server in enumerate(self.warming_up)
+        )
 
-    def others(self, key: Group, tried: Collection[int]) -> Others:
+    def others(self, key: Group, tried: Collection[int]) -> ServersExcept:
         """The ready servers of a group but for those tried. A group is made once for each list."""
         found = self._groups.get(key)
         if found is None:
             servers = [s for s in self.ready if key == (s.zone, s.cell)[: len(key)]]
             found = self._groups[key] = servers, {server.id: n for n, server in enumerate(servers)}
         servers, places = found
-        return Others(servers, places, sorted(places[number] for number in tried if number in places))
+        return ServersExcept(servers, places, sorted(places[number] for number in tried if number in places))
 
     def in_phase(self, low: float, width: float) -> list[Server]:
         """Cold servers with phases from ``low`` on, as far as ``width``, round one; in the lists' order."""
         if width >= 1.0:
-            return self.cold
+            return self.warming_up
         phases = self._phases
         high = low + width
         found = phases[bisect_left(phases, (low, -1)) : bisect_left(phases, (high, -1))]
         if high > 1.0:
             found += phases[: bisect_left(phases, (high - 1.0, -1))]
-        return [self.cold[place] for place in sorted(place for _, place in found)]
+        return [self.warming_up[place] for place in sorted(place for _, place in found)]
 
     def due(self, now: float) -> Server | None:
         """A cold server that was put back by hand and must be used by now; the first of the list."""
--- a/quota_gateway/state/estimates.py
+++ b/quota_gateway/state/estimates.py
@@ -7,12 +7,12 @@
 from quota_gateway.api import HealthCheckResult, IdleConnectionChanged
 from quota_gateway.state.context import Context
 from quota_gateway.state.decay import Decay
-from quota_gateway.state.endpoints import Fleet
+from quota_gateway.state.endpoints import Endpoints
 from quota_gateway.state.records import NEVER, FailureRecord, failure_keys
 from quota_gateway.state.server import Server
 
 
-class Shares:
+class FailureRates:
     """Shares of failures by key: of each server, and of all, which stand in while one shows little."""
 
     def __init__(self, decay: Decay, prior: float) -> None:
@@ -97,12 +97,12 @@
                 del known[next(iter(known))]
 
 
-class Reports:
+class LoadReports:
     """What servers tell of their load, and whether a connection to them stands idle."""
 
-    def __init__(self, context: Context, fleet: Fleet) -> None:
+    def __init__(self, context: Context, endpoints: Endpoints) -> None:
         self.context = context
-        self.fleet = fleet
+        self.endpoints = endpoints
         self.linking = False  # whether anybody tells of connections
 
     def take(self, server: Server, load: tuple[float, ...] | None) -> None:
@@ -114,11 +114,11 @@
 
     def probed(self, event: HealthCheckResult) -> None:
         """A report without a request."""
-        if server := self.fleet.servers.get(event.server):
+        if server := self.endpoints.servers.get(event.server):
             self.take(server, event.load)
 
     def linked(self, event: IdleConnectionChanged) -> None:
         """News of the connections to a server."""
         self.linking = True
-        if server := self.fleet.servers.get(event.server):
+        if server := self.endpoints.servers.get(event.server):
             server.has_idle_connection = event.has_idle
--- a/quota_gateway/state_document.py
+++ b/quota_gateway/state_document.py
@@ -70,7 +70,7 @@
 
 def save(gateway: Gateway, server_ids: Mapping[int, str]) -> Document:
     """The gateway's state after ``HotRestartBegun``: what this process still has to do is reserved in it."""
-    reserved_units = gateway.hand.reserved_units()
+    reserved_units = gateway.in_flight.reserved_units()
     newest = islice(reversed(gateway.customers.values()), MAX_CUSTOMERS)
     rows = [_write_customer(gateway, customer, reserved_units) for customer in newest]
     return {
@@ -139,7 +139,7 @@
         gateway.quick[class_name] = {
             number: gateway.servers[number] for number in numbers if number in gateway.servers
         }
-    gateway.lists.relist()
+    gateway.endpoint_list.relist()
 
 
 def _write_customer(
@@ -158,7 +158,7 @@
         customer.ceiling_updated_ms,
         customer.demand_units,
         customer.demand_updated_ms,
-        gateway.hand.places(customer),
+        gateway.in_flight.places(customer),
     ]
 
 
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -67,7 +67,7 @@
     made = rig.gateway
     assert not [name for name in names.split() if not hasattr(made, name)]
     made.pool = 6.0
-    assert made.pressure.size == made.pool == 6.0  # and written where its owner keeps it
+    assert made.concurrency_limit.size == made.pool == 6.0  # and written where its owner keeps it
     assert made.news_ms() == 4000.0
     assert made.first_latency(SETTINGS.classes[0]) == 400.0
     assert made.fresh_ceiling(SETTINGS.plans[2], 2) == 0.0
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -22,14 +22,14 @@
     Status,
     state_document,
 )
-from quota_gateway.policy.concurrency_limit import Pressure
+from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
 from quota_gateway.policy.customers import Customers
-from quota_gateway.policy.outlier_detection import Health
+from quota_gateway.policy.outlier_detection import OutlierDetection
 from quota_gateway.policy.quota_meter import Meter
 from quota_gateway.policy.rate_ceiling import Ceilings
 from quota_gateway.policy.retry_policy import group, harmless
-from quota_gateway.policy.slow_start import Cold
-from quota_gateway.state import Context, Customer, Fleet, PendingRequest, Server
+from quota_gateway.policy.slow_start import SlowStart
+from quota_gateway.state import Context, Customer, Endpoints, PendingRequest, Server
 
 RECORDINGS = Path(__file__).parent / "recordings"
 METERED, CAPPED = (next(p for p in SETTINGS.plans if p.name == name) for name in ("metered", "only-cap"))
@@ -76,7 +76,7 @@
 
 def test_health_tells_a_class_from_a_server_and_forgets():
     made = context()
-    health, bad, good = Health(made), Server(entry(1), 0.1), Server(entry(2), 0.2)
+    health, bad, good = OutlierDetection(made), Server(entry(1), 0.1), Server(entry(2), 0.2)
     one, other = (pending(kind) for kind in SETTINGS.classes[:2])
     for _ in range(4):
         health.judge(one, bad, Status.ERROR)
@@ -90,7 +90,7 @@
 
 
 def test_the_pool_moves_by_what_answers_show():
-    pressure, server, kind = Pressure(context()), Server(entry(1), 0.1), SETTINGS.classes[0]
+    pressure, server, kind = ConcurrencyLimit(context()), Server(entry(1), 0.1), SETTINGS.classes[0]
     pressure.begin(servers=10, gateways=2)
     assert pressure.size == 10.0
     assert not pressure.full()
@@ -136,7 +136,7 @@
 def test_the_fleets_tables_find_what_a_loop_finds(size, seed, turn):
     made = Context(SETTINGS, seed, 4000.0)
     made.begin(5000.0)
-    fleet, cold = Fleet(made.random), Cold(made)
+    fleet, cold = Endpoints(made.random), SlowStart(made)
     states = (ServerState.READY, ServerState.DRAINING)
     fleet.update(
         ServerList(
@@ -163,7 +163,7 @@
         assert len(found) == len(wanted)
         assert [s for s in fleet.servers.values() if s in found] == wanted
     if ready:
-        turns = [s for s in fleet.cold if cold.in_turn(asked, s, len(ready))]
+        turns = [s for s in fleet.warming_up if cold.in_turn(asked, s, len(ready))]
         near = fleet.in_phase((1.0 - turn) % 1.0, cold.widest_turn(len(ready)))
         assert [s for s in near if cold.in_turn(asked, s, len(ready))] == turns
 
@@ -194,10 +194,10 @@
                 for n in range(size)
             )
         )
-        fleet = rig.gateway.fleet
+        fleet = rig.gateway.endpoints
         rig.finish(rig.ask(), Status.RESET)  # a group is made once for each list
         Counted.seen = 0
-        fleet.ready, fleet.cold = Counted(fleet.ready), Counted(fleet.cold)
+        fleet.ready, fleet.warming_up = Counted(fleet.ready), Counted(fleet.warming_up)
         fleet._groups = {key: (Counted(found[0]), found[1]) for key, found in fleet._groups.items()}
         for _ in range(40):
             name = rig.ask()
@@ -307,9 +307,9 @@
     state_document.load(
         new.gateway, state_document.save(old.gateway, names), {name: number for number, name in names.items()}
     )
-    cold, fleet = new.gateway.warming, new.gateway.fleet
+    cold, fleet = new.gateway.slow_start, new.gateway.endpoints
     for turn in (number / 500 for number in range(500)):
         asked = pending(SETTINGS.classes[0], turn=turn)
-        turns = [server for server in fleet.cold if cold.in_turn(asked, server, 60)]
+        turns = [server for server in fleet.warming_up if cold.in_turn(asked, server, 60)]
         near = fleet.in_phase((1.0 - turn) % 1.0, cold.widest_turn(60))
         assert [server for server in near if cold.in_turn(asked, server, 60)] == turns
--- a/tests/test_quota_meter.py
+++ b/tests/test_quota_meter.py
@@ -255,7 +255,7 @@
         else:
             assert rig.answers[name] == "Reject"  # at once, and nothing is left of it
         customer.metered_use_ratio, customer.metered_use_at_ms = heard
-    assert not rig.gateway.hand.pending_requests
+    assert not rig.gateway.in_flight.pending_requests
     return out
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -413,8 +413,8 @@
 
 def test_of_a_large_fleet_few_servers_are_compared():
     rig, compared = fleet(300), []
-    cost = rig.gateway.choice.cost
-    rig.gateway.choice.cost = lambda pending, server, priors: (
+    cost = rig.gateway.server_selection.cost
+    rig.gateway.server_selection.cost = lambda pending, server, priors: (
         compared.append(server) or cost(pending, server, priors)
     )
     for _ in range(50):
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -286,7 +286,7 @@
     rig = a_rig()
     sent(rig, 3, plan="metered")
     gateway = rig.gateway
-    monkeypatch.setattr(type(gateway.pressure), "means", lambda self, kinds: 1 / 0)
+    monkeypatch.setattr(type(gateway.concurrency_limit), "means", lambda self, kinds: 1 / 0)
     watched = (
         "settings",
         "classes",
