--- a/quota_gateway/state/views.py
+++ b/quota_gateway/state/views.py
@@ -48,7 +48,7 @@
     retries = _alias("attempts.retries")
     handed = _alias("handover.handed")
     pooled = _alias("load_reports.linking")
-    tally_at = _alias("responses.tally.at")
+    tally_at = _alias("responses.tally.last_logged_ms")
     tally = _alias("responses.tally")
     tokens = _alias("context.tokens")
     drains = _alias("operators.drains")
