--- /dev/null
+++ b/quota_gateway/policy/admin_down.py
@@ -0,0 +1,43 @@
+"""Servers that are administratively down: taken out by operators, whatever discovery lists."""
+
+from __future__ import annotations
+
+from quota_gateway.api import ServerAdminDown, SetServerUsable
+from quota_gateway.policy.endpoint_list import EndpointList
+from quota_gateway.state import Context
+
+MAX_ADMIN_DOWN = 1024  # servers at once
+USE_WITHIN_MS = 1500.0  # after it is put back a server gets a request, whether a draw falls to it or not
+
+
+class AdminDown:
+    """Takes servers out and puts them back."""
+
+    def __init__(self, context: Context, endpoint_list: EndpointList) -> None:
+        self.context = context
+        self.endpoint_list = endpoint_list
+        self.endpoints = endpoint_list.endpoints
+
+    def on_server_admin_down(self, event: ServerAdminDown) -> bool:
+        """Take a server out or put it back; whether that changed anything.
+
+        A server put back counts as just started: operators restart what they take out, and discovery may not
+        tell for seconds.
+        """
+        if not self.is_change(event):
+            return False
+        if event.admin_down:
+            self.endpoints.take_out(event.server)
+        else:
+            now_ms = self.context.now
+            self.endpoints.put_back(event.server, now_ms, now_ms + USE_WITHIN_MS)
+        self.endpoint_list.refresh()
+        self.context.actions.append(SetServerUsable(event.server, not event.admin_down))
+        return True
+
+    def is_change(self, event: ServerAdminDown) -> bool:
+        """Whether an operator's call changes anything: it is no repetition, and there is room for it."""
+        admin_down = self.endpoints.admin_down
+        if event.admin_down == (event.server in admin_down):
+            return False
+        return not event.admin_down or len(admin_down) < MAX_ADMIN_DOWN
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -1,17 +1,60 @@
-"""Admission: what goes out at once, is held, is parked, or is refused, and with what advice.
+"""Admission: which requests are sent at once, held, queued, rejected or shed.
 
-The customer's meter says send, hold or refuse; after a hold, or at once, cap, ceiling and pool let a request
-out to a server; else it is parked, and tried again whenever an attempt ends or the list changes.
+A new request first meets its customer's limits: it is rejected, held until the quota share has room, or
+admitted. An admitted request then needs a place under the concurrency cap, units of the rate ceiling, room
+under the concurrency limit and a server; until it has all of these it is queued, and tried again whenever an
+attempt ends or the endpoint list changes.
 """
 
+from __future__ import annotations
+
+from dataclasses import dataclass
+
 from quota_gateway.api import Plan, Request, RequestClass
 from quota_gateway.policy.attempts import Attempts
 from quota_gateway.policy.customers import Customers
-from quota_gateway.state import Context, Customer, PendingRequest
+from quota_gateway.state import Context, Customer, GiveUpReason, PendingRequest, Server
+
+
+@dataclass(frozen=True, slots=True)
+class Hold:
+    """The request is admitted after a delay; 0 is at once."""
+
+    delay_ms: float
+
+
+@dataclass(frozen=True, slots=True)
+class SendTo:
+    """The first attempt goes to this server now."""
+
+    server: Server
+
+
+@dataclass(frozen=True, slots=True)
+class Queue:
+    """The request waits; above 0 is the time until the rate ceiling has units for it."""
+
+    rate_ceiling_wait_ms: float
+
+
+@dataclass(frozen=True, slots=True)
+class GiveUp:
+    """The request gets its final answer from this gateway."""
+
+    reason: GiveUpReason
+
+
+HOLD_NOTHING = Hold(0.0)
+QUEUE = Queue(0.0)
+REJECT_OVER_QUOTA = GiveUp(GiveUpReason.OVER_QUOTA)
 
 
 class Admission:
-    """Owns who waits for the end of a hold, and who is parked (``InFlightRequests.parked``)."""
+    """Decides on new and queued requests, and carries the decisions out.
+
+    The methods that return a decision change nothing, apart from the draws and the quota's account that
+    their docstrings name.
+    """
 
     def __init__(self, context: Context, customers: Customers, attempts: Attempts) -> None:
         self.context = context
@@ -22,110 +65,176 @@
         self.responses = attempts.responses
         self.concurrency_limit = attempts.concurrency_limit
         self.server_selection = attempts.server_selection
-        self.in_flight = self.responses.in_flight
+        self.in_flight = attempts.in_flight
 
-    def _useful(self, kind: RequestClass) -> float:
-        """How long a hold may last for the answer to come within the aim: what comes later earns nothing, or
-        little. Harm: a class that earns much after its aim is refused what it could have had.
-        """
-        return kind.latency_objective_ms - self.concurrency_limit.latencies.mean[kind.name]
+    # New requests
 
-    def _longest_hold(self, kind: RequestClass) -> float:
-        """How long a hold may last: what is useful to the class worth most, less for one worth less.
-
-        Guards against inversion: at a customer over its quota the excess settles where the class with the
-        longest aim is still held, and classes with shorter aims, maybe worth more, find it beyond theirs.
-        Harm: a burst of what is worth little is refused though its hold would have ended within the aim.
-        """
-        return max(0.0, self._useful(kind)) * kind.priority_weight / self.context.highest_priority_weight
-
-    def request(self, event: Request, kind: RequestClass, plan: Plan) -> None:
-        """A new request: the customer's meter says send, hold or refuse."""
-        now = self.context.now
-        responses = self.responses
-        customer = self.customers.find(event, plan)
-        if event.is_retry and self.meter.thin(customer, plan):
-            self._refuse(event, customer, plan, "thin")
+    def on_request(self, request: Request, request_class: RequestClass, plan: Plan) -> None:
+        """Admit, hold or reject a new request."""
+        customer = self.customers.find(request, plan)
+        if reason := self._exceeded_limit(request, customer, plan):
+            self._reject(request, customer, plan, reason)
             return
-        if self.ceilings.overused(customer, plan, now):
-            self._refuse(event, customer, plan, "cap")
+        slow_start_draw = self.context.random.random()
+        decision = self._take_from_quota(request, request_class, customer, plan)
+        if isinstance(decision, GiveUp):
+            self._reject(request, customer, plan, decision.reason)
             return
-        turn = self.context.random.random()
+        now_ms = self.context.now
         epoch = self.customers.epochs.epoch
-        pending = PendingRequest(event, kind, plan, customer, now, turn, epoch)
-        before = customer.excess_milliunits, customer.excess_updated_ms
-        hold = self.meter.take(customer, plan, event.units, now)
-        if hold and hold >= min(event.client_timeout_ms, responses.ends_at - now, self._longest_hold(kind)):
-            customer.excess_milliunits, customer.excess_updated_ms = before
-            self._refuse(event, customer, plan, "quota")
-            return
-        self.in_flight.take(pending)
-        responses.handover.tell(customer, event.units)
-        responses.limit(pending)
-        if hold > 0.0:
-            pending.release_timer_armed = True
-            self.context.arm(hold, self._end_hold, pending)
+        pending = PendingRequest(request, request_class, plan, customer, now_ms, slow_start_draw, epoch)
+        self._admit(pending, decision.delay_ms)
+
+    def useful_hold_ms(self, request_class: RequestClass) -> float:
+        """How long a request may wait and still be answered within its latency objective.
+
+        A response later than that is worth little or nothing.
+        """
+        mean_latency_ms = self.concurrency_limit.latencies.mean_ms[request_class.name]
+        return request_class.latency_objective_ms - mean_latency_ms
+
+    def longest_hold_ms(self, request: Request, request_class: RequestClass) -> float:
+        """The longest delay for which a new request is held rather than rejected.
+
+        It ends with the client's timeout, with this gateway, and with the useful hold, which is scaled by the
+        class's priority weight. Without the scaling priorities would invert at a customer over its quota: its
+        excess settles where the class with the longest objective is still held, and classes with shorter
+        objectives, maybe of more weight, would always be rejected.
+        """
+        highest_weight = self.context.highest_priority_weight
+        useful_ms = max(0.0, self.useful_hold_ms(request_class)) * request_class.priority_weight
+        remaining_ms = self.responses.shutdown_at_ms - self.context.now
+        return min(request.client_timeout_ms, remaining_ms, useful_ms / highest_weight)
+
+    def _exceeded_limit(self, request: Request, customer: Customer, plan: Plan) -> GiveUpReason | None:
+        """A limit other than the quota for which a new request is rejected; may draw a random number."""
+        if request.is_retry and self.meter.thin(customer, plan):
+            return GiveUpReason.THIN_SHARE_RETRY
+        if self.ceilings.overused(customer, plan, self.context.now):
+            return GiveUpReason.OVER_CONCURRENCY_CAP
+        return None
+
+    def _take_from_quota(
+        self, request: Request, request_class: RequestClass, customer: Customer, plan: Plan
+    ) -> Hold | GiveUp:
+        """Whether the quota share has room, now or soon enough; takes the units unless it has not."""
+        excess_milliunits = customer.excess_milliunits
+        excess_updated_ms = customer.excess_updated_ms
+        delay_ms = self.meter.take(customer, plan, request.units, self.context.now)
+        if not delay_ms:
+            return HOLD_NOTHING
+        if delay_ms >= self.longest_hold_ms(request, request_class):
+            customer.excess_milliunits = excess_milliunits
+            customer.excess_updated_ms = excess_updated_ms
+            return REJECT_OVER_QUOTA
+        return Hold(delay_ms)
+
+    def _reject(self, request: Request, customer: Customer, plan: Plan, reason: GiveUpReason) -> None:
+        """Reject a new request, with the time after which its customer's quota share has room for it."""
+        self.responses.count_given_up(reason, plan)
+        if plan.rate:
+            retry_after_ms = self.meter.advice(customer, plan, request.units, self.context.now)
         else:
-            self._release(pending)
+            retry_after_ms = self.context.settings.meter_period_ms
+        self.responses.reject(request.request_id, retry_after_ms)
 
-    def _refuse(self, event: Request, customer: Customer, plan: Plan, why: str) -> None:
-        self.responses.count(why, plan)
-        advice = self.meter.advice(customer, plan, event.units, self.context.now)
-        self.responses.refuse(
-            event.request_id, advice if plan.rate else self.context.settings.meter_period_ms
-        )
+    def _admit(self, pending: PendingRequest, delay_ms: float) -> None:
+        """Take a request; it is sent or queued at once, or at the end of its hold."""
+        self.in_flight.add(pending)
+        self.responses.handover.tell(pending.customer, pending.request.units)
+        self.responses.arm_deadline(pending)
+        if delay_ms > 0.0:
+            self.in_flight.hold(pending)
+            self.context.arm(delay_ms, self._on_hold_ended, pending)
+        else:
+            self._send_or_queue(pending)
 
-    def _end_hold(self, pending: PendingRequest) -> None:
-        pending.release_timer_armed = False
-        if not pending.answered and pending.attempts_started == 0:
-            self._release(pending)
-
-    def _release(self, pending: PendingRequest) -> None:
-        """First send: within the in-flight cap and the ceiling, to a server; else parked until it may go."""
-        now = self.context.now
-        wait = self.ceilings.wait(pending, now)
-        if wait >= pending.deadline_ms - now:
-            self.responses.give_up(pending, "ceiling")
-            return
-        held = (
-            wait or self.ceilings.capped(pending, now) or self.concurrency_limit.full(pending.slow_start_draw)
-        )
-        server = None if held else self.server_selection.first(pending)
-        if server:
-            self.in_flight.parked.pop(pending.request.request_id, None)
-            self.attempts.send(pending, server)
+    def _on_hold_ended(self, pending: PendingRequest) -> None:
+        if pending.is_held:
+            self._send_or_queue(pending)
+
+    # Requests that were admitted
+
+    def placement(self, pending: PendingRequest) -> SendTo | Queue | GiveUp:
+        """What becomes of a request that waits for its first attempt; the choice of a server draws."""
+        now_ms = self.context.now
+        wait_ms = self.ceilings.wait(pending, now_ms)
+        if wait_ms >= pending.deadline_ms - now_ms:
+            return GiveUp(GiveUpReason.OVER_RATE_CEILING)
+        if wait_ms:
+            return Queue(wait_ms)
+        if self.ceilings.capped(pending, now_ms):
+            return QUEUE
+        if self.concurrency_limit.is_reached(pending.slow_start_draw):
+            return QUEUE
+        server = self.server_selection.first(pending)
+        return SendTo(server) if server else QUEUE
+
+    def _send_or_queue(self, pending: PendingRequest) -> None:
+        """Carry out where a request goes that waits for its first attempt."""
+        decision = self.placement(pending)
+        if isinstance(decision, SendTo):
+            self.attempts.send(pending, decision.server)
+        elif isinstance(decision, Queue):
+            self._queue(pending, decision.rate_ceiling_wait_ms)
         else:
-            self._park(pending, wait)
+            self.responses.reject_or_fail(pending, decision.reason)
 
-    def _park(self, pending: PendingRequest, wait: float) -> None:
-        """Hold what can't go now; the least worth for its work is refused when more wait than go at once: a
-        queue must not outlast the aim. Harm: a short burst over few servers is refused needlessly.
-        """
-        parked = self.in_flight.parked
-        if pending.request.request_id not in parked:
-            last = pending.arrived_ms + self._useful(pending.request_class) - self.context.now
-            self.context.arm(max(0.0, last), self._end_park, pending)
-        parked[pending.request.request_id] = pending
-        if self.server_selection.endpoints.servers and len(parked) > max(1.0, self.concurrency_limit.size):
-            self.responses.give_up(min(parked.values(), key=self.concurrency_limit.value), "crowded")
-        if wait and not pending.answered and not pending.release_timer_armed:
-            pending.release_timer_armed = (
-                True  # one timer each: every outcome tries all that are parked again
+    def _queue(self, pending: PendingRequest, rate_ceiling_wait_ms: float) -> None:
+        """Queue a request, or leave it in the queue, and shed one if too many are queued now."""
+        if not pending.is_queued:
+            useful_until_ms = pending.arrived_ms + self.useful_hold_ms(pending.request_class)
+            self.context.arm(
+                max(0.0, useful_until_ms - self.context.now), self._on_useful_hold_ended, pending
             )
-            self.context.arm(wait + self.context.settings.tick_ms, self._end_hold, pending)
-
-    def _end_park(self, pending: PendingRequest) -> None:
-        if pending.attempts_started == 0 and self.server_selection.endpoints.ready:
-            now = self.context.now
-            capped = self.ceilings.capped(pending, now)
-            short = self.ceilings.wait(pending, now) > 0.0
-            cause = "cap" if capped else "ceiling" if short else "pool"
-            self.responses.give_up(pending, f"waited: {cause}")
-
-    def retry_parked(self) -> None:
-        """Whatever waits may go now: try it, what is worth most first."""
-        if not self.in_flight.parked:
+            self.in_flight.enqueue(pending)
+        shed = self.request_to_shed()
+        if shed:
+            self.responses.reject_or_fail(shed, GiveUpReason.QUEUE_FULL)
+        # At most one timer for each request: whenever an attempt ends, all that are queued are tried again.
+        if rate_ceiling_wait_ms and pending.is_queued and not pending.rate_ceiling_timer_armed:
+            pending.rate_ceiling_timer_armed = True
+            delay_ms = rate_ceiling_wait_ms + self.context.settings.tick_ms
+            self.context.arm(delay_ms, self._on_rate_ceiling_wait_ended, pending)
+
+    def request_to_shed(self) -> PendingRequest | None:
+        """The queued request of least priority, if more are queued than may be in flight at once.
+
+        A longer queue would outlast the latency objective of what waits in it.
+        """
+        queued = self.in_flight.queued
+        if not self.server_selection.endpoints.servers:
+            return None
+        if len(queued) <= max(1.0, self.concurrency_limit.limit):
+            return None
+        return min(queued.values(), key=self.concurrency_limit.queue_priority)
+
+    def _on_rate_ceiling_wait_ended(self, pending: PendingRequest) -> None:
+        pending.rate_ceiling_timer_armed = False
+        if pending.is_queued:
+            self._send_or_queue(pending)
+
+    def _on_useful_hold_ended(self, pending: PendingRequest) -> None:
+        """A response could no longer be within the objective; without any server it waits on all the same."""
+        if pending.is_queued and self.server_selection.endpoints.ready:
+            self.responses.reject_or_fail(pending, self.queued_reason(pending))
+
+    def queued_reason(self, pending: PendingRequest) -> GiveUpReason:
+        """What a queued request waits for, as the reason for which it is given up."""
+        now_ms = self.context.now
+        if self.ceilings.capped(pending, now_ms):
+            return GiveUpReason.QUEUED_FOR_CONCURRENCY_CAP
+        if self.ceilings.wait(pending, now_ms) > 0.0:
+            return GiveUpReason.QUEUED_FOR_RATE_CEILING
+        return GiveUpReason.QUEUED_FOR_CONCURRENCY_LIMIT
+
+    def release_queued(self) -> None:
+        """Try all queued requests again, those of highest priority first."""
+        if not self.in_flight.queued:
             return
-        for pending in sorted(self.in_flight.parked.values(), key=self.concurrency_limit.value, reverse=True):
-            if not pending.answered:
-                self._release(pending)
+        by_priority = sorted(
+            self.in_flight.queued.values(), key=self.concurrency_limit.queue_priority, reverse=True
+        )
+        for pending in by_priority:
+            if pending.is_queued:  # it may have been shed meanwhile
+                self._send_or_queue(pending)
--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -1,20 +1,32 @@
-"""Attempts: sent, judged when they end or become slow, sent again as class, budget and time allow."""
+"""Attempts: each is sent, watched until its latency threshold, and judged when it ends.
 
-from quota_gateway.api import AttemptEnded, Cancel, Idempotency, Send, Status, StreamStarted
-from quota_gateway.policy.concurrency_limit import SLOW
+A failed attempt leads to a retry or to the final answer.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from quota_gateway.api import AttemptEnded, Cancel, Send, Status, StreamStarted
+from quota_gateway.policy.concurrency_limit import LATENCY_THRESHOLD_RATIO
+from quota_gateway.policy.hedging import CancelAttempt, Hedging, SendHedge
 from quota_gateway.policy.rate_ceiling import Ceilings
 from quota_gateway.policy.responses import Responses
-from quota_gateway.policy.retry_policy import window
+from quota_gateway.policy.retry_budget import RetryBudget
+from quota_gateway.policy.retry_policy import idempotency_window_left_ms, may_have_run, may_retry
 from quota_gateway.policy.server_selection import ServerSelection
-from quota_gateway.state import Context, PendingRequest, Server
+from quota_gateway.state import Attempt, Context, GiveUpReason, PendingRequest, Server
+
 
-RETRY_SHARE = 0.2  # further attempts per first one, over time: bounds what failures can add to the load
-RETRY_STORE = 10.0  # further attempts saved up at most
-NEVER_RAN = (Status.OVERLOADED, Status.CONNECT_FAILED, Status.NOT_SENT)
+class WatchedAttempt(NamedTuple):
+    """An attempt whose latency threshold a timer awaits."""
+
+    pending: PendingRequest
+    number: int
 
 
 class Attempts:
-    """Owns the budget of further attempts; moves requests from attempt to attempt to the answer."""
+    """Owns the retry budget; moves requests from attempt to attempt to the final answer."""
 
     def __init__(
         self, context: Context, ceilings: Ceilings, server_selection: ServerSelection, responses: Responses
@@ -26,99 +38,116 @@
         self.outlier_detection = server_selection.outlier_detection
         self.responses = responses
         self.in_flight = responses.in_flight
-        self.retries = RETRY_STORE
+        self.retry_budget = RetryBudget()
+        self.hedging = Hedging(
+            context,
+            self.concurrency_limit,
+            self.outlier_detection,
+            server_selection,
+            self.retry_budget,
+        )
 
     def send(self, pending: PendingRequest, server: Server) -> None:
-        """Send an attempt; its server, its customer and the budgets are charged."""
+        """Send an attempt; the customer's ceiling or the retry budget is charged for it."""
         request_id = pending.request.request_id
-        now = self.context.now
+        now_ms = self.context.now
         if pending.attempts_started == 0:
-            self.ceilings.draw(pending, now)
-            self.retries = min(RETRY_STORE, self.retries + RETRY_SHARE)
+            self.ceilings.draw(pending, now_ms)
+            self.retry_budget.on_first_attempt()
         else:
-            self.retries -= 1.0
-        number = self.in_flight.send(pending, server, now)
+            self.retry_budget.on_retry()
+        number = self.in_flight.start_attempt(pending, server, now_ms)
         self.context.decay.sends += 1
-        self.concurrency_limit.young.add((request_id, number))
-        self.context.actions.append(Send(request_id, server.id, begin_within_ms=window(pending, now)))
-        self.context.arm(SLOW * pending.request_class.latency_objective_ms, self._on_slow, (pending, number))
-
-    def may_resend(self, pending: PendingRequest) -> bool:
-        """Whether the number of attempts and the budget allow a further one."""
-        return pending.attempts_started < self.context.limits.max_attempts and self.retries >= 1.0
-
-    def ended(self, event: AttemptEnded) -> bool:
-        """An attempt has ended: judge it, then answer or send again. False if nobody knows it."""
-        known = self.in_flight.end(event)
-        if known is None:
+        self.concurrency_limit.add(request_id, number)
+        begin_within_ms = idempotency_window_left_ms(pending, now_ms)
+        self.context.actions.append(Send(request_id, server.id, begin_within_ms=begin_within_ms))
+        threshold_ms = LATENCY_THRESHOLD_RATIO * pending.request_class.latency_objective_ms
+        self.context.arm(threshold_ms, self._on_latency_threshold, WatchedAttempt(pending, number))
+
+    def on_attempt_ended(self, event: AttemptEnded) -> bool:
+        """Judge an attempt that has ended, then retry or answer; whether the attempt is known."""
+        ended = self.in_flight.end_attempt(event)
+        if ended is None:
             return False
-        pending, server, sent = known
-        self.concurrency_limit.young.discard((event.request_id, event.attempt))
-        self.outlier_detection.judge(pending, server, event.status)
-        served = event.status is Status.OK
-        self.server_selection.load_reports.take(server, event.load)
-        if event.metered_use_percent is not None:
-            self.responses.meter.read(pending.customer, event.metered_use_percent, self.context.now)
-            self.responses.handover.tell(pending.customer, 0.0, event.metered_use_percent)
-        if served and not pending.streaming:
-            self.concurrency_limit.answered(server, pending.request_class, event.latency_ms)
-        if served and event.final_units is not None and not pending.answered:
-            self.responses.settle(pending.customer, pending.request.units, event.final_units)
-        pending.answered = pending.answered or event.closed or served
-        if not pending.answered:
-            self._again(pending, event.status, (server, sent))
-        self.responses.drop_if_done(pending)
+        pending = ended.pending
+        server = ended.attempt.server
+        succeeded = event.status is Status.OK
+        self.concurrency_limit.remove(event.request_id, event.attempt)
+        self.outlier_detection.on_attempt_ended(pending, server, event.status)
+        self.server_selection.load_reports.record(server, event.load)
+        self._record_metered_use(pending, event.metered_use_percent)
+        if succeeded and not pending.is_streaming:
+            self.concurrency_limit.on_response(server, pending.request_class, event.latency_ms)
+        if succeeded and event.final_units is not None and not pending.is_answered:
+            self.responses.settle_units(pending.customer, pending.request.units, event.final_units)
+        if not pending.is_answered:
+            if succeeded or event.closed:
+                self.in_flight.answer(pending)
+            else:
+                self._retry_or_answer(pending, event.status, ended.attempt)
+        self.responses.finish_if_idle(pending)
         return True
 
-    def _again(self, pending: PendingRequest, status: Status, attempt: tuple[Server, float]) -> None:
-        """After a failed attempt: another one where class, budget and time allow it, else the answer."""
-        if status not in NEVER_RAN and pending.first_possible_run is None:
-            pending.first_possible_run = attempt
-        if pending.attempts_in_flight or pending.streaming:
+    def _record_metered_use(self, pending: PendingRequest, metered_use_percent: float | None) -> None:
+        """Take over the late reading of the customer's use by all gateways, if the response had one."""
+        if metered_use_percent is None:
+            return
+        self.responses.meter.read(pending.customer, metered_use_percent, self.context.now)
+        self.responses.handover.tell(pending.customer, 0.0, metered_use_percent)
+
+    def _retry_or_answer(self, pending: PendingRequest, status: Status, failed: Attempt) -> None:
+        """After a failed attempt: retry where class, budget and time allow it, else answer.
+
+        While another attempt is in flight, or a response streams, that one decides.
+        """
+        if may_have_run(status) and pending.first_possible_run is None:
+            pending.first_possible_run = failed
+        if pending.attempts_in_flight or pending.is_streaming:
             return
-        in_time = status is not Status.NOT_SENT and self.context.now < pending.deadline_ms
-        server = self.server_selection.again(pending) if in_time and self.may_resend(pending) else None
+        server = self._retry_server(pending, status)
         if server:
             self.send(pending, server)
         else:
-            self.responses.give_up(pending, status.value)
+            self.responses.reject_or_fail(pending, GiveUpReason.of_attempt(status))
+
+    def _retry_server(self, pending: PendingRequest, status: Status) -> Server | None:
+        """The server for a retry, or None if there is to be none; the choice of a server draws."""
+        if status is Status.NOT_SENT:  # it was too late to send it
+            return None
+        if self.context.now >= pending.deadline_ms:
+            return None
+        if not may_retry(pending, self.context.limits.max_attempts, self.retry_budget):
+            return None
+        return self.server_selection.for_retry(pending)
 
-    def streams(self, event: StreamStarted) -> bool:
-        """A long answer has begun: the server has done its work, what the rest takes is the client's pace,
-        and tells nothing of it. False if nobody knows the attempt, or it has begun before.
+    def on_stream_started(self, event: StreamStarted) -> bool:
+        """Note that a response has begun to stream; whether it is the first such news of its request.
+
+        The latency is measured here: what the rest of the response takes depends on the client's pace.
         """
         pending = self.in_flight.pending_requests.get(event.request_id)
-        if pending is None or pending.streaming or event.attempt not in pending.attempts_in_flight:
+        if pending is None or pending.is_streaming or event.attempt not in pending.attempts_in_flight:
             return False
-        pending.streaming = True
-        server, _ = pending.attempts_in_flight[event.attempt]
-        self.concurrency_limit.young.discard((event.request_id, event.attempt))
-        self.concurrency_limit.answered(server, pending.request_class, event.latency_ms)
+        self.in_flight.begin_stream(pending)
+        server = pending.attempts_in_flight[event.attempt].server
+        self.concurrency_limit.remove(event.request_id, event.attempt)
+        self.concurrency_limit.on_response(server, pending.request_class, event.latency_ms)
         return True
 
-    def _on_slow(self, which: tuple[PendingRequest, int]) -> None:
-        """An attempt still out when it is slow tells so before its answer does; it may be taken elsewhere."""
-        pending, number = which
-        request_id = pending.request.request_id
-        self.concurrency_limit.young.discard((request_id, number))
-        if number not in pending.attempts_in_flight or pending.streaming:
+    def _on_latency_threshold(self, watched: WatchedAttempt) -> None:
+        """An attempt still without a response counts as a failure of its server, and may be hedged."""
+        pending = watched.pending
+        self.concurrency_limit.remove(pending.request.request_id, watched.number)
+        attempt = pending.attempts_in_flight.get(watched.number)
+        if attempt is None or pending.is_streaming:
             return
-        server, sent = pending.attempts_in_flight[number]
-        self.outlier_detection.mark(server, pending.failure_keys[1], failed=True, why="silent")
-        doubted = self.outlier_detection.doubted(server, pending.failure_keys[1])
-        if (
-            pending.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
-            or pending.answered
-            or len(pending.attempts_in_flight) > 1
-            or not doubted
-        ):
+        self.outlier_detection.record_failure(attempt.server, pending.failure_keys.request_class, "silent")
+        if not self.hedging.is_candidate(pending, attempt.server):
             return
         if pending.first_possible_run is None:
-            pending.first_possible_run = (server, sent)
-        if not self.may_resend(pending) or self.concurrency_limit.full():
-            return
-        other = self.server_selection.again(pending)
-        if other and other is not server and self.context.limits.may_duplicate:
-            self.send(pending, other)
-        elif other and self.context.limits.can_cancel:
-            self.context.actions.append(Cancel(request_id, number))
+            pending.first_possible_run = attempt
+        decision = self.hedging.decide(pending, attempt.server)
+        if isinstance(decision, SendHedge):
+            self.send(pending, decision.server)
+        elif isinstance(decision, CancelAttempt):
+            self.context.actions.append(Cancel(pending.request.request_id, watched.number))
--- a/quota_gateway/policy/concurrency_limit.py
+++ b/quota_gateway/policy/concurrency_limit.py
@@ -1,4 +1,10 @@
-"""Pressure and latency: how much may be out from here at all servers together, found by what answers show."""
+"""Adaptive concurrency limit: how many attempts this gateway keeps in flight, over all servers together.
+
+The limit grows as responses come quickly and shrinks as they come late, measured by the latency objective of
+each request's class.
+"""
+
+from __future__ import annotations
 
 from collections.abc import Iterable
 from math import inf
@@ -6,72 +12,96 @@
 from quota_gateway.api import RequestClass
 from quota_gateway.state import Context, Latencies, PendingRequest, Server
 
-FIRST_LATENCY = 0.2  # of a class's aim: its latency until answers have been seen
-LATENCY_STEP = 0.03  # weight of one answer in a class's mean latency: some thirty answers of memory
-SERVER_STEP = 0.15  # weight of one answer in a server's relative latency: some seven answers of memory
-FIRST_LIMIT = 2.0  # attempts out at a server, over all gateways, until quick answers prove more
-FIRST_HERE = 2.0  # attempts out from here at first, at least: one that waits must not stop all the others,
-HERD_LIMIT = 6.0  # but no more at a server than this over all gateways, however many they are
-LEAST_POOL = 0.3  # attempts out: a pool below it sees too few answers to recover
-POOL_GROWTH = 0.035  # attempts by which a quick answer lifts a pool that is used up: thirty lift it by one
-POOL_CUT = 0.3  # attempts that a slow answer takes off: one slow answer in ten holds the pool level
-QUICK = 0.3  # of the aim: answers faster than this lift the pool
-SLOW = 0.5  # of the aim: answers slower than this cut the pool, and attempts out so long are doubtful
-KNOWN = 10  # servers that answered a class quickly last, which are compared beside some drawn at random
+INITIAL_LATENCY_RATIO = 0.2  # of a class's latency objective: its mean latency until responses were seen
+MEAN_LATENCY_WEIGHT = 0.03  # of one response in a class's mean latency
+SERVER_LATENCY_WEIGHT = 0.15  # of one response in a server's relative latency
+INITIAL_ATTEMPTS_PER_SERVER = 2.0  # over all gateways
+MIN_INITIAL_LIMIT = 2.0  # attempts: a single slow one must not stop all others,
+MAX_INITIAL_ATTEMPTS_PER_SERVER = 6.0  # but over all gateways, however many, no more than this
+MIN_LIMIT = 0.3  # attempts: with fewer there are too few responses to recover by
+LIMIT_INCREASE = 0.035  # attempts for each quick response while the limit is used up
+LIMIT_DECREASE = 0.3  # attempts for each slow response: one in ten keeps the limit level
+QUICK_RATIO = 0.3  # of the latency objective: faster responses raise the limit
+LATENCY_THRESHOLD_RATIO = 0.5  # of the latency objective: slower responses lower the limit
+MAX_QUICK_SERVERS = 10  # remembered for each class
 
 
 class ConcurrencyLimit:
-    """Owns the pool of attempts, and the latencies that move it (ms)."""
+    """Limit on attempts within their latency threshold, and the latencies that move it.
+
+    Guards against servers slower than the latency objective, whatever the cause. One limit over all servers,
+    as limits for each server would be hundreds, and each gateway meets a server once in seconds. Attempts
+    past their threshold no longer count, so that servers that hang do not stop the work of the others.
+    """
 
     def __init__(self, context: Context) -> None:
-        self.size = inf  # attempts out from here at once; until the first list
-        self.young: set[tuple[str, int]] = set()  # attempts out that are not slow yet: what the pool counts
-        self.latencies = Latencies(context.decay, LATENCY_STEP, SERVER_STEP, KNOWN)
-        self.latencies.keep(self.means(context.classes.values()))
-
-    def means(self, kinds: Iterable[RequestClass]) -> dict[str, float]:
-        """Mean latencies of these classes: as seen, or at first a share of the aim."""
-        return {kind.name: self.latencies.mean.get(kind.name, self.first_latency(kind)) for kind in kinds}
-
-    def first_latency(self, kind: RequestClass) -> float:
-        """A class's mean latency (ms) until answers have been seen."""
-        return kind.latency_objective_ms * FIRST_LATENCY
-
-    def begin(self, servers: int, gateways: int) -> None:
-        """The first list: an even part of a cautious limit at each server."""
-        share = servers / gateways
-        self.size = max(FIRST_LIMIT * share, min(FIRST_HERE, HERD_LIMIT * share))
-
-    def rescale(self, before: int, after: int) -> None:
-        """Another number of gateways shares the servers."""
-        self.size = max(LEAST_POOL, self.size * before / after)
-
-    def full(self, turn: float = 0.0) -> bool:
-        """Whether no more may go out. A pool of 1.4: one out for each, a second for four turns in ten."""
-        return len(self.young) >= self.size - turn
-
-    def turns_ms(self, kind: RequestClass, waiting: int) -> float:
-        """How long so many that wait take to have had their turns, each pool of them in a mean latency."""
-        return (1.0 + waiting / max(1.0, self.size)) * self.latencies.mean[kind.name]
-
-    def value(self, pending: PendingRequest) -> float:
-        """Worth for the work: what is refused last and released first."""
-        worth = pending.request_class.priority_weight * pending.plan.price * pending.request.units
-        return worth / self.latencies.mean[pending.request_class.name]
-
-    def answered(self, server: Server, kind: RequestClass, latency_ms: float) -> None:
-        """A good answer, or its beginning.
-
-        Guards against any cause that makes servers slower than the aim. It sums over all gateways, however
-        many: a limit of one at each server would be hundreds, and each gateway meets a server once in
-        seconds. Silent attempts leave it as they become slow, so that servers that hang don't stop the rest.
-        Harm: few slow servers hold all back a little; where single requests take most of the aim by nature,
-        it keeps too little out.
+        self.limit = inf  # attempts; until the first endpoint list there is no limit
+        self.attempts_within_threshold: set[tuple[str, int]] = set()  # request id and number of the attempt
+        self.latencies = Latencies(
+            context.decay, MEAN_LATENCY_WEIGHT, SERVER_LATENCY_WEIGHT, MAX_QUICK_SERVERS
+        )
+        self.latencies.keep(self.mean_latencies_ms(context.classes.values()))
+
+    def mean_latencies_ms(self, classes: Iterable[RequestClass]) -> dict[str, float]:
+        """Mean latencies of these classes by name: as observed, or else the initial ones."""
+        observed_ms = self.latencies.mean_ms
+        return {item.name: observed_ms.get(item.name, self.initial_latency_ms(item)) for item in classes}
+
+    def initial_latency_ms(self, request_class: RequestClass) -> float:
+        """A class's mean latency until responses were seen."""
+        return request_class.latency_objective_ms * INITIAL_LATENCY_RATIO
+
+    def start(self, servers: int, gateways: int) -> None:
+        """Set the limit by the first endpoint list: an even part of a cautious limit at each server."""
+        servers_per_gateway = servers / gateways
+        self.limit = max(
+            INITIAL_ATTEMPTS_PER_SERVER * servers_per_gateway,
+            min(MIN_INITIAL_LIMIT, MAX_INITIAL_ATTEMPTS_PER_SERVER * servers_per_gateway),
+        )
+
+    def rescale(self, gateways_before: int, gateways_after: int) -> None:
+        """Scale the limit when another number of gateways shares the servers."""
+        self.limit = max(MIN_LIMIT, self.limit * gateways_before / gateways_after)
+
+    def is_reached(self, draw: float = 0.0) -> bool:
+        """Whether no further attempt may be sent.
+
+        The draw, 0 to 1, decides on the fraction of a limit: with a limit of 1.4 every request may be the
+        first in flight, and four in ten may be the second.
         """
-        quick = latency_ms < QUICK * kind.latency_objective_ms
-        self.latencies.note_quick(server, kind.name, quick)
-        if latency_ms > SLOW * kind.latency_objective_ms:
-            self.size = max(LEAST_POOL, self.size - POOL_CUT * min(1.0, self.size))
-        elif quick and len(self.young) + 2 >= self.size:
-            self.size += POOL_GROWTH  # as the one that ended and one more would not have fitted
-        self.latencies.learn(server, kind.name, latency_ms)
+        return len(self.attempts_within_threshold) >= self.limit - draw
+
+    def add(self, request_id: str, attempt: int) -> None:
+        """Count an attempt that is sent."""
+        self.attempts_within_threshold.add((request_id, attempt))
+
+    def remove(self, request_id: str, attempt: int) -> None:
+        """Stop counting an attempt that has ended, begun to stream or passed its threshold."""
+        self.attempts_within_threshold.discard((request_id, attempt))
+
+    def on_response(self, server: Server, request_class: RequestClass, latency_ms: float) -> None:
+        """Learn from a good response, or from the beginning of one."""
+        is_quick = latency_ms < QUICK_RATIO * request_class.latency_objective_ms
+        self.latencies.record_quick(server, request_class.name, is_quick)
+        self.limit = self.limit_after(request_class, latency_ms)
+        self.latencies.record(server, request_class.name, latency_ms)
+
+    def limit_after(self, request_class: RequestClass, latency_ms: float) -> float:
+        """The limit after a response: lower after a slow one, higher after a quick one if it was used up."""
+        if latency_ms > LATENCY_THRESHOLD_RATIO * request_class.latency_objective_ms:
+            return max(MIN_LIMIT, self.limit - LIMIT_DECREASE * min(1.0, self.limit))
+        is_quick = latency_ms < QUICK_RATIO * request_class.latency_objective_ms
+        # Used up: the attempt that has ended and one more would not have fitted.
+        if is_quick and len(self.attempts_within_threshold) + 2 >= self.limit:
+            return self.limit + LIMIT_INCREASE
+        return self.limit
+
+    def queue_wait_ms(self, request_class: RequestClass, queued: int) -> float:
+        """How long the queue takes to be served, as many requests as the limit in each mean latency."""
+        mean_latency_ms = self.latencies.mean_ms[request_class.name]
+        return (1.0 + queued / max(1.0, self.limit)) * mean_latency_ms
+
+    def queue_priority(self, pending: PendingRequest) -> float:
+        """Priority in the queue: the request's value for the time that a server works for it."""
+        value = pending.request_class.priority_weight * pending.plan.price * pending.request.units
+        return value / self.latencies.mean_ms[pending.request_class.name]
--- a/quota_gateway/policy/endpoint_list.py
+++ b/quota_gateway/policy/endpoint_list.py
@@ -1,18 +1,24 @@
-"""Discovery's lists: which servers there are, and when discovery is asked."""
+"""Endpoint list: which servers there are, and when discovery is asked for them."""
+
+from __future__ import annotations
 
 from quota_gateway.api import DiscoveryMode, ListKind, ServerList, Subscribe
 from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
 from quota_gateway.policy.slow_start import SlowStart
 from quota_gateway.state import Endpoints, Epochs
 
-ASK_SHARE = 0.5  # of the time in which discovery must be asked: room for one failed call
+POLL_DELAY_RATIO = 0.5  # of the time within which discovery must be polled: leaves room for a failed call
 
 
 class EndpointList:
-    """Owns the fleet's table."""
+    """Takes over discovery's lists and refreshes what is derived from them."""
 
     def __init__(
-        self, endpoints: Endpoints, slow_start: SlowStart, concurrency_limit: ConcurrencyLimit, epochs: Epochs
+        self,
+        endpoints: Endpoints,
+        slow_start: SlowStart,
+        concurrency_limit: ConcurrencyLimit,
+        epochs: Epochs,
     ) -> None:
         self.context = slow_start.context
         self.endpoints = endpoints
@@ -20,22 +26,34 @@
         self.concurrency_limit = concurrency_limit
         self.epochs = epochs
 
-    def take(self, event: ServerList) -> bool:
-        """Discovery's news; false if it had none."""
-        settings = self.context.settings
-        if settings.discovery is DiscoveryMode.POLL and event.kind in (ListKind.CACHED, ListKind.FAILED):
-            # Subscribe at the start; after a failure again well within the time the rules give.
-            delay = 0.0 if event.kind is ListKind.CACHED else settings.contract.poll_within_ms * ASK_SHARE
-            self.context.arm(delay, lambda _: self.context.actions.append(Subscribe(True)), None)
+    def on_server_list(self, event: ServerList) -> bool:
+        """Take over a list, or news that there is none; whether servers may have changed."""
+        delay_ms = self.subscribe_delay_ms(event.kind)
+        if delay_ms is not None:
+            self.context.arm(delay_ms, self._subscribe, None)
         if event.kind is ListKind.FAILED:
             return False
         self.endpoints.update(event)
-        self.relist()
+        self.refresh()
         if event.kind is ListKind.CACHED:
-            self.concurrency_limit.begin(len(self.endpoints.servers), self.epochs.gateways)
+            self.concurrency_limit.start(len(self.endpoints.servers), self.epochs.gateways)
         return True
 
-    def relist(self) -> None:
-        """Note which servers are ready, and which of them are cold."""
-        self.endpoints.relist(lambda server: self.slow_start.warmth(server) < 1.0)
+    def subscribe_delay_ms(self, kind: ListKind) -> float | None:
+        """When to subscribe: at the start, and after a failure within the time that the contract sets."""
+        settings = self.context.settings
+        if settings.discovery is not DiscoveryMode.POLL:
+            return None
+        if kind is ListKind.CACHED:
+            return 0.0
+        if kind is ListKind.FAILED:
+            return settings.contract.poll_within_ms * POLL_DELAY_RATIO
+        return None
+
+    def _subscribe(self, _: None) -> None:
+        self.context.actions.append(Subscribe(True))
+
+    def refresh(self) -> None:
+        """Note which servers are ready and which of them are warming up."""
+        self.endpoints.refresh(self.slow_start.is_warming_up)
         self.context.decay.servers = max(1, len(self.endpoints.servers))
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -1,17 +1,22 @@
-"""The gateway: one event in, the actions it gives rise to out. Each decision has a module of its own, and
-docs/design.md says which event goes through which of them, in order.
+"""The gateway: one event in, the actions that it gives rise to out.
+
+Each decision has a module of its own. This one builds them, from the bottom up, and holds the table of which
+part takes which event.
 """
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from typing import Any
 
 from quota_gateway import api
+from quota_gateway.policy.admin_down import AdminDown
 from quota_gateway.policy.admission import Admission
 from quota_gateway.policy.attempts import Attempts
 from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
 from quota_gateway.policy.customers import Customers
 from quota_gateway.policy.endpoint_list import EndpointList
-from quota_gateway.policy.graceful_shutdown import ELSEWHERE_MS, Operators
+from quota_gateway.policy.graceful_shutdown import RETRY_ELSEWHERE_MS, GracefulShutdown
 from quota_gateway.policy.hot_restart import Handover
 from quota_gateway.policy.outlier_detection import OutlierDetection
 from quota_gateway.policy.quota_meter import Meter
@@ -20,16 +25,18 @@
 from quota_gateway.policy.server_selection import ServerSelection
 from quota_gateway.policy.settings_change import Changes
 from quota_gateway.policy.slow_start import SlowStart
-from quota_gateway.state import Context, Endpoints, InFlightRequests, LoadReports, Views
+from quota_gateway.state import Context, Endpoints, GiveUpReason, InFlightRequests, LoadReports, Views
+
+ESTIMATE_DECAY_MS = 4000.0  # time constant of estimates, so that a server is tried again; see `Decay`
 
-FADE_MS = 4000.0  # time constant with which figures fade, so that a server is tried again; but see Decay
+Handler = Callable[[Any], None]
 
 
 class Gateway(Views):
     """One gateway's decisions. Feed events in order; carry out the actions in order."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.context = context = Context(settings, seed, FADE_MS)
+        self.context = context = Context(settings, seed, ESTIMATE_DECAY_MS)
         self.endpoints = Endpoints(context.random)
         self.in_flight = InFlightRequests()
         self.meter = Meter(context)
@@ -47,41 +54,47 @@
         self.responses = Responses(context, self.concurrency_limit, self.handover)
         self.attempts = Attempts(context, self.ceilings, self.server_selection, self.responses)
         self.admission = Admission(context, self.book, self.attempts)
-        self.retry_parked = self.admission.retry_parked
+        self.release_queued = self.admission.release_queued
         self.endpoint_list = EndpointList(
             self.endpoints, self.slow_start, self.concurrency_limit, self.epochs
         )
-        self.operators = Operators(context, self.endpoint_list)
-        self.changes = Changes(self.handover, self.outlier_detection, self.endpoint_list, self.retry_parked)
-        self.handlers: dict[type, Callable[[Any], None]] = {
+        self.admin_down = AdminDown(context, self.endpoint_list)
+        self.graceful_shutdown = GracefulShutdown(context)
+        self.changes = Changes(self.handover, self.outlier_detection, self.endpoint_list, self.release_queued)
+        self.handlers = self._handlers()
+
+    def _handlers(self) -> dict[type, Handler]:
+        """Which part takes an event; `then_release` tries the queued requests again if it may help them."""
+        then_release = self._then_release_queued
+        return {
             api.Request: self._on_request,
-            api.ClientDisconnected: self.responses.gone,
-            api.AttemptEnded: self._freeing(self.attempts.ended),
-            api.ServerList: self._freeing(self.endpoint_list.take),
-            api.StreamStarted: self._freeing(self.attempts.streams),
-            api.TimerFired: context.fire,
-            api.ServerAdminDown: self._freeing(self.operators.by_hand),
-            api.DrainChanged: self.operators.drain,
-            api.ShutdownBegun: self.responses.stop,
+            api.AttemptEnded: then_release(self.attempts.on_attempt_ended),
+            api.StreamStarted: then_release(self.attempts.on_stream_started),
+            api.ClientDisconnected: self.responses.on_client_disconnected,
+            api.TimerFired: self.context.fire,
+            api.ServerList: then_release(self.endpoint_list.on_server_list),
+            api.ServerAdminDown: then_release(self.admin_down.on_server_admin_down),
+            api.HealthCheckResult: self.load_reports.on_health_check_result,
+            api.IdleConnectionChanged: self.load_reports.on_idle_connection_changed,
+            api.DrainChanged: self.graceful_shutdown.on_drain_changed,
+            api.ShutdownBegun: self.responses.on_shutdown_begun,
             api.HotRestartBegun: self.changes.hand_over,
-            api.PeerUsage: self._freeing(self.handover.hear),
-            api.PeerExited: self._freeing(self.handover.end),
-            api.SettingsChanged: self._freeing(self.changes.take),
-            api.IdleConnectionChanged: self.load_reports.linked,
-            api.HealthCheckResult: self.load_reports.probed,
+            api.PeerUsage: then_release(self.handover.hear),
+            api.PeerExited: then_release(self.handover.end),
+            api.SettingsChanged: then_release(self.changes.take),
         }
 
-    def _freeing(self, take: Callable[[Any], bool]) -> Callable[[Any], None]:
-        """Whatever alters what may go (true) lets the parked be tried again."""
+    def _then_release_queued(self, handler: Callable[[Any], bool]) -> Handler:
+        """A handler that tries the queued requests again if this one says that capacity may have grown."""
 
-        def on_event(event: Any) -> None:
-            if take(event):
-                self.retry_parked()
+        def handle_and_release(event: Any) -> None:
+            if handler(event):
+                self.release_queued()
 
-        return on_event
+        return handle_and_release
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        """Decide on one event at this time (ms). Raises ValueError if the time goes back."""
+        """Decide on one event at this time. Raises ValueError if the time goes back."""
         self.context.begin(now_ms)
         handler = self.handlers.get(type(event))
         if handler:
@@ -89,15 +102,16 @@
         return self.context.actions
 
     def _on_request(self, event: api.Request) -> None:
-        kind = self.context.classes.get(event.class_name)
-        plan = self.epochs.plans.get(event.plan)
+        """Pass a new request on to admission, if it is one that this gateway may serve."""
         if event.request_id in self.in_flight.pending_requests:
-            return  # it is in hand already, and may have run: a refusal here would be its answer
-        if kind is None or plan is None:
+            return  # it is being served, and may have run: a rejection here would be its answer
+        request_class = self.context.classes.get(event.class_name)
+        plan = self.epochs.plans.get(event.plan)
+        if request_class is None or plan is None:
             self.context.log_once(f"refused: unknown class {event.class_name!r} or plan {event.plan!r}")
-            self.responses.refuse(event.request_id, 0.0)
-        elif self.operators.left:
-            self.responses.count("drained", plan)
-            self.responses.refuse(event.request_id, ELSEWHERE_MS)
+            self.responses.reject(event.request_id, 0.0)
+        elif self.graceful_shutdown.is_drained:
+            self.responses.count_given_up(GiveUpReason.GATEWAY_DRAINED, plan)
+            self.responses.reject(event.request_id, RETRY_ELSEWHERE_MS)
         else:
-            self.admission.request(event, kind, plan)
+            self.admission.on_request(event, request_class, plan)
--- a/quota_gateway/policy/graceful_shutdown.py
+++ b/quota_gateway/policy/graceful_shutdown.py
@@ -1,57 +1,70 @@
-"""What operators decide: servers that are out by hand, and the drain of this gateway."""
+"""Graceful shutdown: the steps by which a gateway is drained of its clients, and taken back into service."""
 
-from quota_gateway.api import DrainChanged, ServerAdminDown, SetServerUsable, SetServing
-from quota_gateway.policy.endpoint_list import EndpointList
-from quota_gateway.state import Context
+from __future__ import annotations
 
-MOST_OUT = 1024  # servers out by hand at once
-OWED_MS = 1500.0  # after it is put back a server is used, whether its turn has come or not
-LEAVING_MS = (800.0, 1500.0)  # into a drain: connections close as they are answered; all that are idle close
-IDLE_MS = 300.0  # without a request a connection is closed in the first of these steps
-ELSEWHERE_MS = 200.0  # advice to a client that comes after all: the front has sent nobody for longer
+from typing import NamedTuple
 
+from quota_gateway.api import DrainChanged, SetServing
+from quota_gateway.state import Context, DrainState, drain_transition
 
-class Operators:
-    """Owns which servers are out by hand (``Fleet.out``), and the steps of a drain."""
 
-    def __init__(self, context: Context, endpoint_list: EndpointList) -> None:
+class DrainStep(NamedTuple):
+    """A step of a drain: when it is due, and how long a client connection may be idle from then on."""
+
+    after_ms: float
+    keep_idle_ms: float
+
+
+DRAIN_STEPS = (DrainStep(800.0, 300.0), DrainStep(1500.0, 0.0))
+RETRY_ELSEWHERE_MS = 200.0  # Retry-After for requests that come after a drain
+
+
+class ScheduledStep(NamedTuple):
+    """A step that a timer awaits, and the drain to which it belongs."""
+
+    drain_number: int
+    step: DrainStep
+
+
+class GracefulShutdown:
+    """Owns the state of the drain."""
+
+    def __init__(self, context: Context) -> None:
         self.context = context
-        self.endpoint_list = endpoint_list
-        self.endpoints = endpoint_list.endpoints
-        self.drains = 0  # how many times the drain began or ended: timers of an older one do nothing
-        self.draining = self.left = False  # whether a drain is on, and whether its last step has come
-
-    def by_hand(self, event: ServerAdminDown) -> bool:
-        """Take a server out, or put it back; said twice it changes nothing (false). One put back counts as
-        just started: operators restart what they take out, and discovery may not tell for seconds.
+        self.state = DrainState.SERVING
+        self.drain_number = 0  # changes as a drain begins or ends: timers of an earlier one do nothing
+
+    @property
+    def is_draining(self) -> bool:
+        """Whether a drain has begun and was not undone."""
+        return self.state is not DrainState.SERVING
+
+    @property
+    def is_drained(self) -> bool:
+        """Whether the last step of a drain has come."""
+        return self.state is DrainState.DRAINED
+
+    def on_drain_changed(self, event: DrainChanged) -> None:
+        """Begin a drain, or undo it; a repeated call changes nothing.
+
+        Load balancers are notified at once; client connections are closed once they must have noticed.
         """
-        out = self.endpoints.out
-        now = self.context.now
-        if event.admin_down == (event.server in out) or (event.admin_down and len(out) >= MOST_OUT):
-            return False
-        if event.admin_down:
-            self.endpoints.take_out(event.server)
-        else:
-            self.endpoints.put_back(event.server, now, now + OWED_MS)
-        self.endpoint_list.relist()
-        self.context.actions.append(SetServerUsable(event.server, not event.admin_down))
-        return True
-
-    def drain(self, event: DrainChanged) -> None:
-        """The front is told at once; clients' connections are closed when it has long taken notice."""
-        if event.active == self.draining:
+        if event.active == self.is_draining:
             return
-        self.draining = event.active
-        self.left = False
-        self.drains += 1
+        self._move_to(DrainState.DRAINING if event.active else DrainState.SERVING)
+        self.drain_number += 1
         self.context.actions.append(SetServing(not event.active))
         self.context.log("drained by hand" if event.active else "takes clients again")
         if event.active:
-            for delay, linger in zip(LEAVING_MS, (IDLE_MS, 0.0), strict=True):
-                self.context.arm(delay, self._on_leaving, (self.drains, linger))
-
-    def _on_leaving(self, step: tuple[int, float]) -> None:
-        drain, linger = step
-        if drain == self.drains:
-            self.left = linger == 0.0
-            self.context.actions.append(SetServing(False, linger))
+            for step in DRAIN_STEPS:
+                self.context.arm(step.after_ms, self._on_step, ScheduledStep(self.drain_number, step))
+
+    def _on_step(self, scheduled: ScheduledStep) -> None:
+        if scheduled.drain_number != self.drain_number:
+            return
+        if scheduled.step is DRAIN_STEPS[-1]:
+            self._move_to(DrainState.DRAINED)
+        self.context.actions.append(SetServing(False, scheduled.step.keep_idle_ms))
+
+    def _move_to(self, state: DrainState) -> None:
+        self.state = drain_transition(self.state, state)
--- a/quota_gateway/policy/hot_restart.py
+++ b/quota_gateway/policy/hot_restart.py
@@ -18,7 +18,9 @@
         """Once handed over: the units charged here, the reading of the meter, what is in hand now."""
         if self.handed:
             plan, name = customer.key
-            self.context.actions.append(PeerUsage(plan, name, self.in_flight.places(customer), charged, used))
+            self.context.actions.append(
+                PeerUsage(plan, name, self.in_flight.occupied_places(customer), charged, used)
+            )
 
     def hear(self, event: PeerUsage) -> bool:
         """What the process before this one holds and charges of a customer; false if nobody knows it."""
--- a/quota_gateway/policy/outlier_detection.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -1,54 +1,89 @@
-"""Health: the share of failures that a server shows, apart for its class and for its plan."""
+"""Outlier detection: how likely a server fails a request, by its recent failures.
+
+Failures are recorded for a server as a whole, for a class there, and for a class of one plan there, as a
+server may fail for one of these and serve the others well.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
 
 from quota_gateway.api import Status
 from quota_gateway.state import Context, FailureRates, PendingRequest, Server
 
-DOUBT_PRIOR = 1.0  # answers that the share seen at all servers weighs against a server's own
-DOUBTED = 0.5  # share of failures from which a slow attempt is taken elsewhere, and a line is logged
-# Which of a pending's keys a failure speaks of: the whole server, its class, its class of its plan.
-FAULTS = {Status.CONNECT_FAILED: 0, Status.RESET: 0, Status.ERROR: 1, Status.OVERLOADED: 2}
-Priors = tuple[float, float]
+PRIOR_WEIGHT = 1.0  # outcomes: weight of the failures of all servers beside a server's own
+SUSPECTED_RATIO = 0.5  # failure rate from which a server is logged and its silent attempts are hedged
+
+
+class FailurePriors(NamedTuple):
+    """Failures at all servers that count beside a server's own, for a request's class and for its plan."""
+
+    request_class: float
+    plan: float
 
 
 class OutlierDetection:
-    """Owns the shares of failures: of servers, and of all together (those of no class by zone)."""
+    """Owns the failure rates of servers, and of all servers together."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.shares = FailureRates(context.decay, DOUBT_PRIOR)
+        self.rates = FailureRates(context.decay, PRIOR_WEIGHT)
 
-    def judge(self, pending: PendingRequest, server: Server, status: Status) -> None:
-        """Note an outcome; attempts that wait in vain are noted as they become slow. A server that turns one
-        away as full may do so to its class and plan alone, and others go on there.
-        """
+    def on_attempt_ended(self, pending: PendingRequest, server: Server, status: Status) -> None:
+        """Record how an attempt ended; a timeout was recorded when the latency threshold passed."""
         if status is Status.OK:
             for key in pending.failure_keys:
-                self.mark(server, key, failed=False)
-        elif status in FAULTS:
-            self.mark(server, pending.failure_keys[FAULTS[status]], failed=True, why=status.value)
-
-    def mark(self, server: Server, key: str, failed: bool, why: str = "") -> None:
-        """Note how an attempt went, for its server and for all."""
-        self.shares.note(server, key, key or server.zone, failed)
-        if failed and self.doubted(server, key):
-            self.context.log_once(f"server {server.id} doubted{' for ' if key else ''}{key}: {why}")
-
-    def doubted(self, server: Server, key: str) -> bool:
-        """Whether a server fails so often that a slow attempt is taken elsewhere."""
-        prior = self.shares.prior(key or server.zone)
-        return self.shares.worst(server, (key,), (prior,)) >= DOUBTED
-
-    def priors(self, pending: PendingRequest) -> Priors:
-        """What all servers showed to the request's class and plan: the same for each that is compared."""
-        return self.shares.prior(pending.failure_keys[1]), self.shares.prior(pending.failure_keys[2])
-
-    def doubt(self, pending: PendingRequest, server: Server, priors: Priors) -> float:
-        """How likely the request fails there, 0 to 1.
-
-        Guards against silent, half-working and refusing servers, for all requests or a class or plan: who was
-        answered there goes there again, who was not goes elsewhere; while many fail, servers not tried yet
-        come after those that answered. Nothing is closed: the best of bad servers still gets work. Harm: slow
-        answers by chance turn requests away from a good server.
+                self._record(server, key, failed=False)
+            return
+        failed_key = self.failed_key(pending, status)
+        if failed_key is not None:
+            self.record_failure(server, failed_key, status.value)
+
+    def failed_key(self, pending: PendingRequest, status: Status) -> str | None:
+        """The key under which a failure with this status is recorded; None if it shows nothing.
+
+        A connection that fails tells of the whole server, an error of the request's class there. An
+        overloaded server may reject one class of one plan and serve others.
+        """
+        keys = pending.failure_keys
+        if status is Status.OVERLOADED:
+            return keys.class_of_plan
+        if status is Status.ERROR:
+            return keys.request_class
+        if status in (Status.CONNECT_FAILED, Status.RESET):
+            return keys.server
+        return None
+
+    def record_failure(self, server: Server, key: str, cause: str) -> None:
+        """Record a failure under a key, and log the server if it is suspected now."""
+        self._record(server, key, failed=True)
+        if self.is_suspected(server, key):
+            self.context.log_once(f"server {server.id} doubted{' for ' if key else ''}{key}: {cause}")
+
+    def _record(self, server: Server, key: str, *, failed: bool) -> None:
+        self.rates.record(server, key, self._fleet_key(server, key), failed)
+
+    def _fleet_key(self, server: Server, key: str) -> str:
+        """The key for all servers together: the failures of servers as a whole are counted by zone."""
+        return key or server.zone
+
+    def is_suspected(self, server: Server, key: str) -> bool:
+        """Whether a server fails so often under a key that silent attempts there should be hedged."""
+        prior = self.rates.prior(self._fleet_key(server, key))
+        return self.rates.highest(server, (key,), (prior,)) >= SUSPECTED_RATIO
+
+    def priors(self, pending: PendingRequest) -> FailurePriors:
+        """The priors of a request: the same for all servers that are compared for it."""
+        keys = pending.failure_keys
+        return FailurePriors(self.rates.prior(keys.request_class), self.rates.prior(keys.class_of_plan))
+
+    def failure_probability(self, pending: PendingRequest, server: Server, priors: FailurePriors) -> float:
+        """How likely the request fails at a server, 0 to 1.
+
+        Guards against servers that are silent, fail or reject, for all requests or for a class or plan.
+        Shows as a server that keeps its share of requests while they fail. Holds because what fails there
+        raises its cost for the next choice; while many servers fail, those not tried yet come after those
+        that answered. No server is excluded: the best of bad ones still gets work.
         """
-        shares = self.shares
-        return shares.worst(server, pending.failure_keys, (shares.prior(server.zone), *priors))
+        zone_prior = self.rates.prior(server.zone)
+        return self.rates.highest(server, pending.failure_keys, (zone_prior, *priors))
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -1,19 +1,21 @@
-"""Final answers: exactly one for each request in hand, before its deadline."""
+"""Final answers: exactly one for each request that was taken, before its deadline."""
+
+from __future__ import annotations
 
 from math import inf
 
 from quota_gateway.api import Cancel, ClientDisconnected, Fail, Plan, Reject, ShutdownBegun
 from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
 from quota_gateway.policy.hot_restart import Handover
-from quota_gateway.policy.retry_policy import harmless
-from quota_gateway.state import Context, Customer, OutcomeCounters, PendingRequest
+from quota_gateway.policy.retry_policy import is_client_retry_harmless
+from quota_gateway.state import Context, Customer, GiveUpReason, OutcomeCounters, PendingRequest
 
-ANSWER_TICKS = 2.0  # ticks before the client's deadline of the last answer: one to fire, one to spare
-TALLY_MS = 5000.0  # between two lines that tell what was given up, and why
+FINAL_ANSWER_TICKS = 2.0  # before the deadline: one tick for the timer to fire, one to spare
+COUNTERS_LOG_INTERVAL_MS = 5000.0
 
 
 class Responses:
-    """Owns when this gateway ends, and the count of what is given up."""
+    """Gives the final answers that come from this gateway and counts them by reason."""
 
     def __init__(self, context: Context, concurrency_limit: ConcurrencyLimit, handover: Handover) -> None:
         self.context = context
@@ -22,84 +24,93 @@
         self.in_flight = handover.in_flight
         self.customers = handover.customers
         self.meter = handover.customers.meter
-        self.ends_at = inf  # of this gateway
-        self.tally = OutcomeCounters(TALLY_MS)
+        self.shutdown_at_ms = inf  # when this gateway will be ended
+        self.outcome_counters = OutcomeCounters(COUNTERS_LOG_INTERVAL_MS)
 
-    def refuse(self, request_id: str, advice_ms: float) -> None:
-        """Refuse, with the advice to come again after so long, where the settings allow to give any."""
+    def reject(self, request_id: str, retry_after_ms: float) -> None:
+        """Reject a request; the time to retry after is left out or bounded as the settings demand."""
         limits = self.context.limits
-        advised = min(limits.max_retry_after_ms, advice_ms) if limits.can_advise_retry else 0.0
-        self.context.actions.append(Reject(request_id, advised))
-
-    def limit(self, pending: PendingRequest) -> None:
-        """Arm the final answer: before the client's deadline, and before this gateway is ended."""
-        pending.deadline_ms = min(pending.deadline_ms, self.ends_at)
-        last = pending.deadline_ms - self.context.now - ANSWER_TICKS * self.context.settings.tick_ms
-        self.context.arm(max(0.0, last), self._on_deadline, pending)
-
-    def stop(self, event: ShutdownBegun) -> None:
-        """Guards against losing requests whose clients would wait longer than this gateway will live."""
-        self.ends_at = self.context.now + event.within_ms
-        for pending in list(self.in_flight.pending_requests.values()):
-            if not pending.answered and pending.deadline_ms > self.ends_at:
-                self.limit(pending)
+        allowed_ms = min(limits.max_retry_after_ms, retry_after_ms) if limits.can_advise_retry else 0.0
+        self.context.actions.append(Reject(request_id, allowed_ms))
+
+    def arm_deadline(self, pending: PendingRequest) -> None:
+        """Set the timer of the final answer: before the client's deadline and before this gateway ends."""
+        pending.deadline_ms = min(pending.deadline_ms, self.shutdown_at_ms)
+        margin_ms = FINAL_ANSWER_TICKS * self.context.settings.tick_ms
+        remaining_ms = pending.deadline_ms - self.context.now - margin_ms
+        self.context.arm(max(0.0, remaining_ms), self._on_deadline, pending)
 
     def _on_deadline(self, pending: PendingRequest) -> None:
-        if not pending.streaming:
-            self.give_up(pending, "deadline")
+        if not pending.is_streaming:
+            self.reject_or_fail(pending, GiveUpReason.DEADLINE_EXCEEDED)
 
-    def count(self, why: str, plan: Plan) -> None:
-        """Count what is given up; a line every few seconds tells it."""
-        if text := self.tally.add(why, plan.name, self.context.now, self.context.since):
-            concurrency_limit = self.concurrency_limit
+    def on_shutdown_begun(self, event: ShutdownBegun) -> None:
+        """Bring the deadlines forward of requests whose clients would wait beyond this gateway's end.
+
+        Their clients would otherwise lose the connection without an answer.
+        """
+        self.shutdown_at_ms = self.context.now + event.within_ms
+        for pending in list(self.in_flight.pending_requests.values()):
+            if not pending.is_answered and pending.deadline_ms > self.shutdown_at_ms:
+                self.arm_deadline(pending)
+
+    def count_given_up(self, reason: GiveUpReason, plan: Plan) -> None:
+        """Count a request that this gateway answers itself; every few seconds the counts are logged."""
+        text = self.outcome_counters.add(reason, plan.name, self.context.now, self.context.since)
+        if text:
+            limit = self.concurrency_limit
             self.context.log(
-                f"given up: {text}; pool {concurrency_limit.size:.1f}, out {len(concurrency_limit.young)}, "
-                f"parked {len(self.in_flight.parked)}"
+                f"given up: {text}; pool {limit.limit:.1f}, out {len(limit.attempts_within_threshold)}, "
+                f"parked {len(self.in_flight.queued)}"
             )
 
-    def give_up(self, pending: PendingRequest, why: str) -> None:
-        """The final answer: a refusal where a retry is proven harmless, else a failure."""
-        if pending.answered:
+    def reject_or_fail(self, pending: PendingRequest, reason: GiveUpReason) -> None:
+        """Give the final answer, unless there is one: reject if a client's retry is harmless, else fail."""
+        if pending.is_answered:
             return
-        pending.answered = True
-        self.count(why, pending.plan)
-        if harmless(pending):
-            self.refuse(pending.request.request_id, self._come_back(pending))
+        self.count_given_up(reason, pending.plan)
+        if is_client_retry_harmless(pending):
+            self.reject(pending.request.request_id, self.retry_after_ms(pending))
         else:
             self.context.actions.append(Fail(pending.request.request_id))
-        self.let_go(pending)
+        self.in_flight.answer(pending)
+        self._abandon(pending)
 
-    def _come_back(self, pending: PendingRequest) -> float:
-        """When it may come again: the quota has room then, and those that wait here now have had a turn."""
-        turns = self.concurrency_limit.turns_ms(pending.request_class, len(self.in_flight.parked))
-        return max(turns, self.meter.advice(pending.customer, pending.plan, 0.0, self.context.now))
+    def retry_after_ms(self, pending: PendingRequest) -> float:
+        """When the client may retry: the quota share has room then, and the queue of now has been served."""
+        queue_ms = self.concurrency_limit.queue_wait_ms(pending.request_class, len(self.in_flight.queued))
+        quota_ms = self.meter.advice(pending.customer, pending.plan, 0.0, self.context.now)
+        return max(queue_ms, quota_ms)
 
-    def gone(self, event: ClientDisconnected) -> None:
-        """The client has left: nothing is owed any more."""
+    def on_client_disconnected(self, event: ClientDisconnected) -> None:
+        """The client has left: no answer is owed any more."""
         pending = self.in_flight.pending_requests.get(event.request_id)
-        if pending and not pending.answered:
-            pending.answered = True
-            self.let_go(pending)
+        if pending and not pending.is_answered:
+            self.in_flight.answer(pending)
+            self._abandon(pending)
+
+    def _abandon(self, pending: PendingRequest) -> None:
+        """Cancel the attempts of an answered request; one that was never sent gives its units back.
 
-    def let_go(self, pending: PendingRequest) -> None:
-        """It is over. What was never sent on leaves no excess: guards against holds of clients that left."""
+        Without that, requests whose clients left while they were held would fill the quota share.
+        """
         if pending.attempts_started == 0:
-            self.settle(pending.customer, pending.request.units, 0.0)
+            self.settle_units(pending.customer, pending.request.units, 0.0)
         if self.context.limits.can_cancel:
             request_id = pending.request.request_id
             self.context.actions.extend(Cancel(request_id, number) for number in pending.attempts_in_flight)
-        self.drop_if_done(pending)
+        self.finish_if_idle(pending)
 
-    def settle(self, customer: Customer, guess: float, true: float) -> None:
-        """Put a guess of units right."""
-        units = self.meter.correction(guess, true)
-        self.meter.charge(customer, units)
-        self.handover.tell(customer, units)
+    def settle_units(self, customer: Customer, estimated_units: float, final_units: float) -> None:
+        """Correct what a customer was charged for a request by the units that it really used."""
+        correction_units = self.meter.correction(estimated_units, final_units)
+        self.meter.charge(customer, correction_units)
+        self.handover.tell(customer, correction_units)
 
-    def drop_if_done(self, pending: PendingRequest) -> None:
-        """Forget a request that has its answer and no attempt out."""
-        if not pending.answered:
+    def finish_if_idle(self, pending: PendingRequest) -> None:
+        """Forget an answered request that has no attempt in flight, and notify the next process."""
+        if not pending.is_answered:
             return
-        if self.in_flight.drop(pending):
+        if self.in_flight.finish(pending):
             self.customers.ended(pending)
         self.handover.tell(pending.customer, 0.0)
--- /dev/null
+++ b/quota_gateway/policy/retry_budget.py
@@ -0,0 +1,30 @@
+"""Retry budget: how many further attempts this gateway may make, over all requests."""
+
+from __future__ import annotations
+
+MAX_RETRIES_PER_REQUEST_RATIO = 0.2  # retries per first attempt: bounds the load that failures add
+MAX_STORED_RETRIES = 10.0
+
+
+class RetryBudget:
+    """Token bucket that bounds retries to a ratio of first attempts.
+
+    Guards against retry storms: when every server fails, each client request would otherwise become
+    `max_attempts` requests. Shows as attempts growing while successes fall. Holds because a retry costs one
+    token and only a first attempt earns any.
+    """
+
+    def __init__(self) -> None:
+        self.tokens = MAX_STORED_RETRIES
+
+    def on_first_attempt(self) -> None:
+        """Earn the part of a retry that a first attempt allows."""
+        self.tokens = min(MAX_STORED_RETRIES, self.tokens + MAX_RETRIES_PER_REQUEST_RATIO)
+
+    def on_retry(self) -> None:
+        """Pay for one retry or hedged request."""
+        self.tokens -= 1.0
+
+    def allows_retry(self) -> bool:
+        """Whether a retry can be paid for."""
+        return self.tokens >= 1.0
--- a/quota_gateway/policy/retry_policy.py
+++ b/quota_gateway/policy/retry_policy.py
@@ -1,36 +1,68 @@
-"""What may be sent again, by its class: where to, and what a client may be told of it. Owns nothing."""
+"""Retry rules: where a request may be sent again, and whether its client may safely retry.
 
-from quota_gateway.api import Idempotency, IdempotencyScope
-from quota_gateway.state import Group, PendingRequest
+All of them follow from the request's class and from the first of its attempts that may have had an effect.
+"""
 
-EVERYWHERE: Group = ()
+from __future__ import annotations
 
+from quota_gateway.api import Idempotency, IdempotencyScope, Status
+from quota_gateway.policy.retry_budget import RetryBudget
+from quota_gateway.state import PendingRequest, ServerGroup
 
-def window(pending: PendingRequest, now: float) -> float:
-    """Milliseconds in which a repeat has to arrive; 0: nothing has run that bounds it."""
-    if pending.first_possible_run is None or pending.request_class.idempotency is not Idempotency.WITH_KEY:
+ALL_SERVERS = ServerGroup()
+STATUSES_OF_ATTEMPTS_NOT_RUN = (Status.OVERLOADED, Status.CONNECT_FAILED, Status.NOT_SENT)
+
+
+def may_retry(pending: PendingRequest, max_attempts: int, retry_budget: RetryBudget) -> bool:
+    """Whether the number of attempts and the retry budget allow another one."""
+    return pending.attempts_started < max_attempts and retry_budget.allows_retry()
+
+
+def may_have_run(status: Status) -> bool:
+    """Whether an attempt that failed with this status may have had its effect."""
+    return status not in STATUSES_OF_ATTEMPTS_NOT_RUN
+
+
+def idempotency_window_left_ms(pending: PendingRequest, now_ms: float) -> float:
+    """Time in which a retry with the request's idempotency key has to arrive.
+
+    0 where nothing bounds it: no attempt may have run yet, or the class has no idempotency key. Below 0 the
+    window has passed.
+    """
+    if pending.first_possible_run is None:
+        return 0.0
+    if pending.request_class.idempotency is not Idempotency.WITH_KEY:
         return 0.0
-    return pending.first_possible_run[1] + pending.request_class.idempotency_window_ms - now
+    return pending.first_possible_run.started_ms + pending.request_class.idempotency_window_ms - now_ms
+
 
+def retry_group(pending: PendingRequest, now_ms: float) -> ServerGroup | None:
+    """The servers to which the request may be sent again; None if to none.
 
-def group(pending: PendingRequest, now: float) -> Group | None:
-    """The servers that the request may go to at this time (ms), by what may have run already; None: none."""
-    if pending.first_possible_run is None or pending.request_class.idempotency is Idempotency.IDEMPOTENT:
-        return EVERYWHERE
-    if pending.request_class.idempotency is Idempotency.NOT_IDEMPOTENT or window(pending, now) <= 0.0:
+    A request that may have run goes again only where a repeat has no second effect: anywhere if it is
+    idempotent; with an idempotency key, within its window, to the servers that share knowledge of the key.
+    """
+    request_class = pending.request_class
+    if pending.first_possible_run is None or request_class.idempotency is Idempotency.IDEMPOTENT:
+        return ALL_SERVERS
+    if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
         return None
-    first = pending.first_possible_run[0]
-    scope = pending.request_class.idempotency_scope
-    if scope is IdempotencyScope.ALL:
-        return EVERYWHERE
-    return (first.zone,) if scope is IdempotencyScope.ZONE else (first.zone, first.cell)
-
-
-def harmless(pending: PendingRequest) -> bool:
-    """Whether a client's retry is proven harmless: the request may be answered as refused."""
-    unproven = pending.first_possible_run is not None or bool(pending.attempts_in_flight)
-    keyed_all = (
-        pending.request_class.idempotency is Idempotency.WITH_KEY
-        and pending.request_class.idempotency_scope is IdempotencyScope.ALL
-    )
-    return pending.request_class.idempotency is Idempotency.IDEMPOTENT or keyed_all or not unproven
+    if idempotency_window_left_ms(pending, now_ms) <= 0.0:
+        return None
+    first_server = pending.first_possible_run.server
+    if request_class.idempotency_scope is IdempotencyScope.ALL:
+        return ALL_SERVERS
+    if request_class.idempotency_scope is IdempotencyScope.ZONE:
+        return ServerGroup(first_server.zone)
+    return ServerGroup(first_server.zone, first_server.cell)
+
+
+def is_client_retry_harmless(pending: PendingRequest) -> bool:
+    """Whether a retry by the client is proven to have no second effect: the request may be rejected."""
+    request_class = pending.request_class
+    if request_class.idempotency is Idempotency.IDEMPOTENT:
+        return True
+    with_key = request_class.idempotency is Idempotency.WITH_KEY
+    if with_key and request_class.idempotency_scope is IdempotencyScope.ALL:
+        return True
+    return pending.first_possible_run is None and not pending.attempts_in_flight
--- a/quota_gateway/policy/server_selection.py
+++ b/quota_gateway/policy/server_selection.py
@@ -1,21 +1,29 @@
-"""Choice of a server: the best of some that are ready."""
+"""Server selection: the ready server with the lowest expected cost, of a few that are compared."""
+
+from __future__ import annotations
+
+from collections.abc import Collection
 
 from quota_gateway.api import Idempotency
 from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
-from quota_gateway.policy.outlier_detection import OutlierDetection, Priors
-from quota_gateway.policy.retry_policy import group
+from quota_gateway.policy.outlier_detection import FailurePriors, OutlierDetection
+from quota_gateway.policy.retry_policy import retry_group
 from quota_gateway.policy.slow_start import SlowStart
 from quota_gateway.state import LoadReports, PendingRequest, Server
 
-QUEUE_WEIGHT = 1.0  # requests out that one reported as waiting stands for
-CROSS_WEIGHT = 10.0  # how many times its price a zone crossing weighs against a mean latency
-SPREAD = 0.1  # share of a cost drawn at random, so that gateways with the same reports do not choose alike
-DOUBT_COST = 6.0  # mean latencies that a failure costs beside a wait: most of a request's worth is lost
-SAMPLE = 10  # servers compared for a request, drawn at random, beside those that answered it quickly last
+REPORTED_QUEUE_WEIGHT = 1.0  # of a request in a reported queue, beside one of our own in flight
+CROSS_ZONE_WEIGHT = 10.0  # mean latencies for each unit of the price of a zone crossing
+RANDOM_COST_RATIO = 0.1  # keeps gateways with the same reports from choosing alike
+FAILURE_COST = 6.0  # mean latencies: a failure costs most of a request's value
+SAMPLE_SIZE = 10  # servers compared that are drawn at random
 
 
 class ServerSelection:
-    """Weighs what is known of servers; owns nothing."""
+    """Chooses servers for first attempts and retries; keeps no state of its own.
+
+    Servers are compared in few: a sample drawn at random, those that answered the class quickly last, and
+    warming servers whose share the request falls into.
+    """
 
     def __init__(
         self,
@@ -33,53 +41,66 @@
         self.decay = self.context.decay
         self.random = self.context.random
 
-    def cost(self, pending: PendingRequest, server: Server, priors: Priors) -> float:
-        """The wait expected at a server, in mean latencies."""
-        load = 1.0 + len(server.attempts_in_flight)
+    def cost(self, pending: PendingRequest, server: Server, priors: FailurePriors) -> float:
+        """The expected cost of a request at a server, in mean latencies; draws its random part."""
         settings = self.context.settings
+        load = 1.0 + len(server.attempts_in_flight)
         if server.reported_queue:
-            load += QUEUE_WEIGHT * server.reported_queue * self.decay.left(server.reported_queue_at)
-        doubt = self.outlier_detection.doubt(pending, server, priors)
-        cost = self.latencies.ratio(server) * load * (1.0 + DOUBT_COST * doubt)
-        if self.load_reports.linking and not server.has_idle_connection:
-            cost += DOUBT_COST * settings.handshake_price  # as a failure, and paid once however busy it is
-        cost *= self.slow_start.warmth(server)  # who comes in the turn of a cold server should take it
+            remaining_ratio = self.decay.left(server.reported_queue_at)
+            load += REPORTED_QUEUE_WEIGHT * server.reported_queue * remaining_ratio
+        failure_probability = self.outlier_detection.failure_probability(pending, server, priors)
+        latency_ratio = self.latencies.server_ratio(server)
+        cost = latency_ratio * load * (1.0 + FAILURE_COST * failure_probability)
+        if self.load_reports.has_connection_news and not server.has_idle_connection:
+            # Paid once, as a failure is, however busy the server.
+            cost += FAILURE_COST * settings.handshake_price
+        # A request that falls into the share of a warming server should take it.
+        cost *= self.slow_start.capacity_ratio(server)
         if server.zone != settings.zone:
-            cost *= 1.0 + CROSS_WEIGHT * settings.cross_zone_price
-        return cost * (1.0 + SPREAD * self.random.random())
+            cost *= 1.0 + CROSS_ZONE_WEIGHT * settings.cross_zone_price
+        return cost * (1.0 + RANDOM_COST_RATIO * self.random.random())
 
     def first(self, pending: PendingRequest) -> Server | None:
-        """For a first attempt: one that is owed a turn, or the best that the request may go to."""
-        if owed := self.endpoints.due(self.context.now):
-            return owed
-        few = self.endpoints.ready
-        if len(few) > 2 * SAMPLE:
-            turns = self.endpoints.in_phase(
-                (1.0 - pending.slow_start_draw) % 1.0, self.slow_start.widest_turn(len(few))
-            )
-            few = [*self.random.sample(few, SAMPLE), *self._quick(pending), *turns]
-        return self._best(pending, few)
+        """The server for a first attempt: one that is overdue to be used, or the best of those compared."""
+        overdue = self.endpoints.overdue(self.context.now)
+        if overdue:
+            return overdue
+        ready = self.endpoints.ready
+        if len(ready) <= 2 * SAMPLE_SIZE:
+            return self._best(pending, ready)
+        phase = (1.0 - pending.slow_start_draw) % 1.0
+        width = self.slow_start.widest_share_ratio(len(ready))
+        warming_up = self.endpoints.warming_up_in(phase, width)
+        sample = self.random.sample(ready, SAMPLE_SIZE)
+        return self._best(pending, [*sample, *self._quick_servers(pending), *warming_up])
+
+    def for_retry(self, pending: PendingRequest) -> Server | None:
+        """The server for a retry, among those that the retry rules allow; None if there is none.
 
-    def again(self, pending: PendingRequest) -> Server | None:
-        """For a further attempt: one in its group not tried yet; a request with a key may try one again."""
-        key = group(pending, self.context.now)
-        if key is None:
+        Servers not tried yet come first; with an idempotency key a server may be tried twice.
+        """
+        group = retry_group(pending, self.context.now)
+        if group is None:
             return None
-        others = self.endpoints.others(key, pending.tried_servers)
-        if not others and pending.request_class.idempotency is Idempotency.WITH_KEY:
-            others = self.endpoints.others(key, ())
-        if len(others) <= 2 * SAMPLE:
-            return self._best(pending, list(others))
-        quick = [server for server in self._quick(pending) if server in others]
-        return self._best(pending, self.random.sample(others, SAMPLE) + quick)
+        servers = self.endpoints.ready_in_group(group, pending.tried_servers)
+        if not servers and pending.request_class.idempotency is Idempotency.WITH_KEY:
+            servers = self.endpoints.ready_in_group(group, ())
+        if len(servers) <= 2 * SAMPLE_SIZE:
+            return self._best(pending, list(servers))
+        quick = [server for server in self._quick_servers(pending) if server in servers]
+        return self._best(pending, self.random.sample(servers, SAMPLE_SIZE) + quick)
 
-    def _quick(self, pending: PendingRequest) -> list[Server]:
-        return list(self.latencies.quick[pending.request_class.name].values())
+    def _quick_servers(self, pending: PendingRequest) -> Collection[Server]:
+        """Servers that answered the request's class quickly last."""
+        return self.latencies.quick_servers[pending.request_class.name].values()
 
-    def _best(self, pending: PendingRequest, few: list[Server]) -> Server | None:
-        ready = len(self.endpoints.ready)
+    def _best(self, pending: PendingRequest, servers: list[Server]) -> Server | None:
+        """The server of lowest cost among those that are ready and eligible."""
+        ready_count = len(self.endpoints.ready)
         priors = self.outlier_detection.priors(pending)
-        few = [
-            server for server in few if server.is_ready and self.slow_start.in_turn(pending, server, ready)
+        eligible = [
+            server
+            for server in servers
+            if server.is_ready and self.slow_start.is_eligible(pending, server, ready_count)
         ]
-        return min(few, key=lambda server: self.cost(pending, server, priors), default=None)
+        return min(eligible, key=lambda server: self.cost(pending, server, priors), default=None)
--- a/quota_gateway/policy/settings_change.py
+++ b/quota_gateway/policy/settings_change.py
@@ -50,7 +50,7 @@
         self.outlier_detection = outlier_detection
         self.endpoint_list = endpoint_list
         self.concurrency_limit = endpoint_list.concurrency_limit
-        self.again = again  # tries again what is parked
+        self.again = again  # tries again what is queued
 
     def take(self, event: SettingsChanged) -> bool:
         """Take them over. A larger number of gateways holds at once, as shares shrink; a smaller one once the
@@ -59,18 +59,18 @@
         settings = event.settings
         plans = {item.name: item for item in settings.plans}
         kinds = (pending.request_class for pending in self.in_flight.pending_requests.values())
-        latency = self.concurrency_limit.means([*settings.classes, *kinds])
+        latency = self.concurrency_limit.mean_latencies_ms([*settings.classes, *kinds])
         gateways = max(self.epochs.gateways, settings.gateways)
         bounds = self._bounds(plans)
         # All that may fail came before the first thing that is altered.
         self._turn(plans, gateways)
         self.context.configure(settings)
         self.concurrency_limit.latencies.keep(latency)
-        self.outlier_detection.shares.keep(
+        self.outlier_detection.rates.keep_only(
             self.context.classes, plans, self.endpoint_list.endpoints.servers.values()
         )
         self._keep_in_hand(bounds)
-        self.endpoint_list.relist()
+        self.endpoint_list.refresh()
         if settings.gateways < gateways:
             self.context.arm(SETTLE_MS, self._settled, self.epochs.epoch)
         return True
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -1,44 +1,50 @@
-"""Cold servers: who may be sent how much."""
+"""Slow start: how much of the load a server gets while it is warming up."""
+
+from __future__ import annotations
 
 from quota_gateway.state import Context, PendingRequest, Server
 
-COLD_SAFETY = 0.33  # of the tipping budget that a full fleet's even share may use: chance and heavy requests
-ROUNDING = 1e-9  # a turn found by its phase is checked exactly: none may be missed
+OVERLOAD_MARGIN_RATIO = 0.33  # of the load that would overload a warming server: chance and heavy requests
+ROUNDING_MARGIN = 1e-9  # candidates found by their phase are checked exactly: none may be missed
 
 
 class SlowStart:
-    """Owns nothing but the rules: how fast servers warm up, how much tips them over."""
+    """Knows how fast servers warm up; keeps no state."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
 
-    def warmth(self, server: Server) -> float:
-        """The share of its capacity that a server has at least, by the time since its start."""
-        rules = self.context.settings.contract
-        age = self.context.now - server.started_ms
-        if server.started_ms <= 0 or age >= rules.warm_up_ms:
+    def capacity_ratio(self, server: Server) -> float:
+        """The part of its capacity, 0 to 1, that a server has at least, by the time since its start."""
+        contract = self.context.settings.contract
+        age_ms = self.context.now - server.started_ms
+        if server.started_ms <= 0 or age_ms >= contract.warm_up_ms:
             return 1.0
-        return (
-            rules.initial_capacity_ratio
-            + (1.0 - rules.initial_capacity_ratio) * max(0.0, age) / rules.warm_up_ms
-        )
-
-    def in_turn(self, pending: PendingRequest, server: Server, ready: int) -> bool:
-        """Whether this request may go to a server: a cold one only in its turn, drawn once for each request.
-
-        Guards against pushing a cold server over: of all requests at all gateways, however many, it is open
-        to its even share times its least warmth at most, however good it looks, however often one asks.
-        It also spreads the burst after a list change. Harm: where most servers are cold at once, requests
-        wait or are refused though the multiple would allow more.
+        growth_ratio = 1.0 - contract.initial_capacity_ratio
+        return contract.initial_capacity_ratio + growth_ratio * max(0.0, age_ms) / contract.warm_up_ms
+
+    def is_warming_up(self, server: Server) -> bool:
+        """Whether a server has less than its full capacity."""
+        return self.capacity_ratio(server) < 1.0
+
+    def is_eligible(self, pending: PendingRequest, server: Server, ready_servers: int) -> bool:
+        """Whether a request may go to a server: to one that is warming up only if its draw falls there.
+
+        Guards against overloading a warming server, which looks idle to every gateway at once. Shows as
+        rejections and timeouts at servers just started. Holds because each request is drawn once: over all
+        gateways the server is open to its even share of the requests times its least capacity, however good
+        it looks and however often a request is tried.
         """
-        warmth = self.warmth(server)
-        if warmth >= 1.0:
+        capacity_ratio = self.capacity_ratio(server)
+        if capacity_ratio >= 1.0:
             return True
-        return (pending.slow_start_draw + server.slow_start_phase) % 1.0 < self._even() * warmth / ready
+        distance = (pending.slow_start_draw + server.slow_start_phase) % 1.0
+        return distance < self._even_share_limit() * capacity_ratio / ready_servers
 
-    def widest_turn(self, ready: int) -> float:
-        """The share of all requests, 0 to 1, that a server as warm as can be may have in its turn."""
-        return self._even() / ready + ROUNDING
+    def widest_share_ratio(self, ready_servers: int) -> float:
+        """The largest part of all requests, 0 to 1, that any warming server is open to."""
+        return self._even_share_limit() / ready_servers + ROUNDING_MARGIN
 
-    def _even(self) -> float:
-        return min(1.0, COLD_SAFETY * self.context.settings.contract.overload_multiple)
+    def _even_share_limit(self) -> float:
+        """The largest load of a warming server with full capacity, in even shares of all requests."""
+        return min(1.0, OVERLOAD_MARGIN_RATIO * self.context.settings.contract.overload_multiple)
--- a/quota_gateway/simulation/day.py
+++ b/quota_gateway/simulation/day.py
@@ -17,6 +17,7 @@
 from quota_gateway.simulation.referee import Ledger, Referee, Try
 from quota_gateway.simulation.world import Kind, Tariff, Trouble, World
 from quota_gateway.simulator_adapter import Handles
+from quota_gateway.state import GiveUpReason
 
 NOTICED = 1000.0  # ms after which the front sends nobody to a dead gateway
 RECONNECT = 5.0  # ms that a client takes to try the next gateway when one is dead
@@ -110,13 +111,13 @@
 
     def _listen(self, gateway: Gateway) -> None:
         """Hear why the decisions give a request up: they count it just before they answer."""
-        count = gateway.responses.count
+        count = gateway.responses.count_given_up
 
-        def heard(why: str, plan: api.Plan) -> None:
-            self.why = why
-            count(why, plan)
+        def heard(reason: GiveUpReason, plan: api.Plan) -> None:
+            self.why = reason
+            count(reason, plan)
 
-        gateway.responses.count = heard  # type: ignore[method-assign]
+        gateway.responses.count_given_up = heard  # type: ignore[method-assign]
 
     def kill(self) -> None:
         """The process dies with all that it has in hand."""
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -2,24 +2,31 @@
 
 from quota_gateway.state.context import Context
 from quota_gateway.state.customer import Customer
-from quota_gateway.state.endpoints import Endpoints, Group
+from quota_gateway.state.drain_state import DrainState, drain_transition
+from quota_gateway.state.endpoints import Endpoints, ServerGroup
 from quota_gateway.state.estimates import FailureRates, Latencies, LoadReports
 from quota_gateway.state.give_up_reason import GiveUpReason
 from quota_gateway.state.in_flight import InFlightRequests
 from quota_gateway.state.outcome_counters import OutcomeCounters
-from quota_gateway.state.pending_request import PendingRequest
-from quota_gateway.state.records import CustomerKey, FailureRecord, Moment
+from quota_gateway.state.pending_request import Attempt, PendingRequest
+from quota_gateway.state.records import CustomerKey, FailureKeys, FailureRecord, Moment
+from quota_gateway.state.request_state import RequestState
 from quota_gateway.state.server import Server
 from quota_gateway.state.settings_epochs import Epochs
 from quota_gateway.state.views import Views
 
 __all__ = [
+    "Attempt",
+    "DrainState",
+    "drain_transition",
+    "FailureKeys",
+    "RequestState",
     "Context",
     "Customer",
     "Epochs",
     "Endpoints",
     "PendingRequest",
-    "Group",
+    "ServerGroup",
     "InFlightRequests",
     "CustomerKey",
     "Latencies",
--- a/quota_gateway/state/estimates.py
+++ b/quota_gateway/state/estimates.py
@@ -1,4 +1,4 @@
-"""Estimates from answers that fade: shares of failures, latencies."""
+"""Estimates that fade: failure rates, latencies, and what servers reported of their load."""
 
 from __future__ import annotations
 
@@ -13,112 +13,114 @@
 
 
 class FailureRates:
-    """Shares of failures by key: of each server, and of all, which stand in while one shows little."""
+    """Failure rates by key: of each server, and of all, which stand in while a server has shown little."""
 
-    def __init__(self, decay: Decay, prior: float) -> None:
+    def __init__(self, decay: Decay, prior_weight: float) -> None:
         self.decay = decay
-        self.prior_weight = prior  # outcomes that the share of all weighs against a server's own
-        self.marks: dict[str, FailureRecord] = {}  # of all servers together
+        self.prior_weight = prior_weight  # outcomes: weight of all servers' rate beside a server's own
+        self.records: dict[str, FailureRecord] = {}  # of all servers together
 
-    def note(self, server: Server, key: str, everywhere: str, failed: bool) -> None:
-        """One outcome at a server, under its key there and the one for all servers."""
+    def record(self, server: Server, key: str, fleet_key: str, failed: bool) -> None:
+        """Record an outcome at a server, under its key there and under the key for all servers."""
         moment = self.decay.moment()
-        for marks, name in ((server.failure_records, key), (self.marks, everywhere)):
-            bad, seen, then = marks.get(name, (0.0, 0.0, NEVER))
-            fade = self.decay.left(then)
-            marks[name] = (bad * fade + failed, seen * fade + 1.0, moment)
+        for records, name in ((server.failure_records, key), (self.records, fleet_key)):
+            failures, outcomes, recorded_at = records.get(name, (0.0, 0.0, NEVER))
+            remaining_ratio = self.decay.left(recorded_at)
+            records[name] = (failures * remaining_ratio + failed, outcomes * remaining_ratio + 1.0, moment)
 
-    def prior(self, everywhere: str) -> float:
+    def prior(self, fleet_key: str) -> float:
         """The failures of all servers, in outcomes, that count beside a server's own."""
-        bad, seen, _ = self.marks.get(everywhere, (0.0, 0.0, NEVER))
-        return self.prior_weight * bad / (seen + 1.0)
-
-    def worst(self, server: Server, names: Sequence[str], priors: Sequence[float]) -> float:
-        """The largest share of failures, 0 to 1, expected at a server under these keys with their priors."""
-        worst = 0.0
-        marks = server.failure_records
-        weight = self.prior_weight
-        for name, prior in zip(names, priors, strict=True):
-            mark = marks.get(name)
-            if mark is None or not mark[1]:
-                share = prior / weight
+        failures, outcomes, _ = self.records.get(fleet_key, (0.0, 0.0, NEVER))
+        return self.prior_weight * failures / (outcomes + 1.0)
+
+    def highest(self, server: Server, keys: Sequence[str], priors: Sequence[float]) -> float:
+        """The highest failure rate, 0 to 1, expected at a server under these keys with their priors."""
+        highest = 0.0
+        records = server.failure_records
+        prior_weight = self.prior_weight
+        for key, prior in zip(keys, priors, strict=True):
+            record = records.get(key)
+            if record is None or not record[1]:
+                rate = prior / prior_weight
             else:
-                fade = self.decay.left(mark[2])
-                share = (mark[0] * fade + prior) / (mark[1] * fade + weight)
-            if share > worst:
-                worst = share
-        return worst
-
-    def keep(self, classes: Iterable[str], plans: Iterable[str], servers: Iterable[Server]) -> None:
-        """Forget every key of a class or plan that is not among these: bounded however many come and go."""
-        known = {key for kind in classes for plan in ("", *plans) for key in failure_keys(kind, plan)}
-        for marks in [self.marks, *(server.failure_records for server in servers)]:
-            for key in [key for key in marks if key.startswith("class ") and key not in known]:
-                del marks[key]
+                failures, outcomes, recorded_at = record
+                remaining_ratio = self.decay.left(recorded_at)
+                rate = (failures * remaining_ratio + prior) / (outcomes * remaining_ratio + prior_weight)
+            if rate > highest:
+                highest = rate
+        return highest
+
+    def keep_only(self, classes: Iterable[str], plans: Iterable[str], servers: Iterable[Server]) -> None:
+        """Forget the keys of all other classes and plans, however many have come and gone."""
+        plan_names = ("", *plans)
+        known = {key for name in classes for plan in plan_names for key in failure_keys(name, plan)}
+        for records in [self.records, *(server.failure_records for server in servers)]:
+            for key in [key for key in records if key.startswith("class ") and key not in known]:
+                del records[key]
 
 
 class Latencies:
-    """Mean latencies of classes (ms), relative ones of servers, and servers that answered quickly last."""
+    """Mean latencies of classes, relative ones of servers, and the servers that answered quickly last."""
 
-    def __init__(self, decay: Decay, mean_step: float, ratio_step: float, most_quick: int) -> None:
+    def __init__(self, decay: Decay, mean_weight: float, server_weight: float, max_quick: int) -> None:
         self.decay = decay
-        self.mean_step = mean_step
-        self.ratio_step = ratio_step
-        self.most_quick = most_quick
-        self.mean: dict[str, float] = {}
-        self.quick: dict[str, dict[int, Server]] = {}
-
-    def keep(self, mean: Mapping[str, float]) -> None:
-        """The classes are these from now on, with these means."""
-        self.mean = dict(mean)
-        self.quick = {name: self.quick.get(name, {}) for name in mean}
-
-    def learn(self, server: Server, name: str, latency_ms: float) -> None:
-        """One good answer to a class."""
-        mean = self.mean[name]
-        self.mean[name] = mean + self.mean_step * (latency_ms - mean)
-        ratio = self.ratio(server)
-        server.latency_ratio = ratio + self.ratio_step * (latency_ms / mean - ratio)
+        self.mean_weight = mean_weight  # of one response in a class's mean latency
+        self.server_weight = server_weight  # of one response in a server's relative latency
+        self.max_quick = max_quick
+        self.mean_ms: dict[str, float] = {}  # by class
+        self.quick_servers: dict[str, dict[int, Server]] = {}  # by class, then by number, latest last
+
+    def keep(self, mean_ms: Mapping[str, float]) -> None:
+        """The classes are these from now on, with these mean latencies."""
+        self.mean_ms = dict(mean_ms)
+        self.quick_servers = {name: self.quick_servers.get(name, {}) for name in mean_ms}
+
+    def record(self, server: Server, class_name: str, latency_ms: float) -> None:
+        """Record the latency of a good response."""
+        mean_ms = self.mean_ms[class_name]
+        self.mean_ms[class_name] = mean_ms + self.mean_weight * (latency_ms - mean_ms)
+        ratio = self.server_ratio(server)
+        server.latency_ratio = ratio + self.server_weight * (latency_ms / mean_ms - ratio)
         server.latency_ratio_at = self.decay.moment()
 
-    def ratio(self, server: Server) -> float:
+    def server_ratio(self, server: Server) -> float:
         """A server's latency in mean latencies, as far as it has not faded."""
         if server.latency_ratio == 1.0:
             return 1.0
         return 1.0 + (server.latency_ratio - 1.0) * self.decay.left(server.latency_ratio_at)
 
-    def note_quick(self, server: Server, name: str, quick: bool) -> None:
-        """Whether a server's last answer to a class was quick; the longest known gives way."""
-        known = self.quick[name]
-        known.pop(server.id, None)
-        if quick:
-            known[server.id] = server
-            if len(known) > self.most_quick:
-                del known[next(iter(known))]
+    def record_quick(self, server: Server, class_name: str, is_quick: bool) -> None:
+        """Record whether a server's last response to a class was quick; the oldest entry gives way."""
+        servers = self.quick_servers[class_name]
+        servers.pop(server.id, None)
+        if is_quick:
+            servers[server.id] = server
+            if len(servers) > self.max_quick:
+                del servers[next(iter(servers))]
 
 
 class LoadReports:
-    """What servers tell of their load, and whether a connection to them stands idle."""
+    """What servers report of their load, and whether a connection to them is idle."""
 
     def __init__(self, context: Context, endpoints: Endpoints) -> None:
         self.context = context
         self.endpoints = endpoints
-        self.linking = False  # whether anybody tells of connections
+        self.has_connection_news = False  # whether idle connections are reported at all
 
-    def take(self, server: Server, load: tuple[float, ...] | None) -> None:
-        """A report, in the order of the settings' fields, or none."""
+    def record(self, server: Server, load: tuple[float, ...] | None) -> None:
+        """Take over a load report, in the order of the settings' load fields, or none."""
         if load:
             report = dict(zip(self.context.settings.load_fields, load, strict=False))
             server.reported_queue = report.get("queue") or 0.0
             server.reported_queue_at = self.context.decay.moment()
 
-    def probed(self, event: HealthCheckResult) -> None:
-        """A report without a request."""
+    def on_health_check_result(self, event: HealthCheckResult) -> None:
+        """Take over a load report that came without a request."""
         if server := self.endpoints.servers.get(event.server):
-            self.take(server, event.load)
+            self.record(server, event.load)
 
-    def linked(self, event: IdleConnectionChanged) -> None:
-        """News of the connections to a server."""
-        self.linking = True
+    def on_idle_connection_changed(self, event: IdleConnectionChanged) -> None:
+        """Note whether a connection to a server is idle: an attempt there costs no handshake."""
+        self.has_connection_news = True
         if server := self.endpoints.servers.get(event.server):
             server.has_idle_connection = event.has_idle
--- a/quota_gateway/state/in_flight.py
+++ b/quota_gateway/state/in_flight.py
@@ -1,69 +1,107 @@
-"""The requests in hand, and what they hold."""
+"""The requests that this gateway has taken and not finished with, and what they occupy."""
 
 from __future__ import annotations
 
 from math import inf
+from typing import NamedTuple
 
 from quota_gateway.api import AttemptEnded
 from quota_gateway.state.customer import Customer
-from quota_gateway.state.pending_request import PendingRequest
+from quota_gateway.state.pending_request import Attempt, PendingRequest
 from quota_gateway.state.records import CustomerKey
+from quota_gateway.state.request_state import RequestState
 from quota_gateway.state.server import Server
 
 
+class EndedAttempt(NamedTuple):
+    """An attempt that has ended, with its request."""
+
+    pending: PendingRequest
+    attempt: Attempt
+
+
 class InFlightRequests:
-    """Requests in hand by id; ``parked`` are those of them that wait for a server or a turn."""
+    """Pending requests by id, and the queue of those that wait for a server or for capacity.
+
+    Every change of a request's state is made here, together with the counts that depend on it.
+    """
 
     def __init__(self) -> None:
         self.pending_requests: dict[str, PendingRequest] = {}
-        self.parked: dict[str, PendingRequest] = {}
+        self.queued: dict[str, PendingRequest] = {}  # exactly those in state QUEUED, longest queued first
 
-    def take(self, pending: PendingRequest) -> None:
-        """A request is in hand from now on."""
+    def add(self, pending: PendingRequest) -> None:
+        """Take a request that was admitted."""
         self.pending_requests[pending.request.request_id] = pending
         pending.customer.pending_count += 1
 
-    def drop(self, pending: PendingRequest) -> bool:
-        """It has its answer: parked no more, and forgotten (true) once no attempt is out."""
-        request_id = pending.request.request_id
-        self.parked.pop(request_id, None)
-        if pending.attempts_in_flight or request_id not in self.pending_requests:
-            return False
-        del self.pending_requests[request_id]
-        pending.customer.pending_count -= 1
-        return True
+    def hold(self, pending: PendingRequest) -> None:
+        """Hold a request that was admitted until its customer's quota share has room."""
+        pending.move_to(RequestState.HELD)
+
+    def enqueue(self, pending: PendingRequest) -> None:
+        """Queue a request that can't be sent yet."""
+        pending.move_to(RequestState.QUEUED)
+        self.queued[pending.request.request_id] = pending
 
-    def send(self, pending: PendingRequest, server: Server, now: float) -> int:
-        """An attempt goes out; its number, from 0."""
+    def start_attempt(self, pending: PendingRequest, server: Server, now_ms: float) -> int:
+        """Record an attempt that is sent now; returns its number, from 0."""
+        request_id = pending.request.request_id
+        if pending.state is not RequestState.IN_FLIGHT:
+            self.queued.pop(request_id, None)
+            pending.move_to(RequestState.IN_FLIGHT)
         number = pending.attempts_started
         pending.attempts_started += 1
         pending.tried_servers.add(server.id)
-        pending.attempts_in_flight[number] = (server, now)
+        pending.attempts_in_flight[number] = Attempt(server, now_ms)
         pending.customer.attempts_in_flight += 1
-        server.attempts_in_flight.add((pending.request.request_id, number))
+        server.attempts_in_flight.add((request_id, number))
         server.must_be_used_by_ms = inf
         return number
 
-    def end(self, event: AttemptEnded) -> tuple[PendingRequest, Server, float] | None:
-        """An attempt is over: its request, its server, and when it was sent; None if it is not known."""
+    def end_attempt(self, event: AttemptEnded) -> EndedAttempt | None:
+        """Record that an attempt is over; None if it is not known."""
         pending = self.pending_requests.get(event.request_id)
         if pending is None or event.attempt not in pending.attempts_in_flight:
             return None
-        server, sent = pending.attempts_in_flight.pop(event.attempt)
-        server.attempts_in_flight.discard((event.request_id, event.attempt))
+        attempt = pending.attempts_in_flight.pop(event.attempt)
+        attempt.server.attempts_in_flight.discard((event.request_id, event.attempt))
         pending.customer.attempts_in_flight -= 1
-        return pending, server, sent
+        return EndedAttempt(pending, attempt)
+
+    def begin_stream(self, pending: PendingRequest) -> None:
+        """Record that a server's response has begun to stream to the client."""
+        answered = pending.state is RequestState.ANSWERED
+        pending.move_to(RequestState.ANSWERED_STREAMING if answered else RequestState.STREAMING)
+
+    def answer(self, pending: PendingRequest) -> None:
+        """Record that a request has its final answer, or that its client has left."""
+        self.queued.pop(pending.request.request_id, None)
+        streaming = pending.state is RequestState.STREAMING
+        pending.move_to(RequestState.ANSWERED_STREAMING if streaming else RequestState.ANSWERED)
+
+    def finish(self, pending: PendingRequest) -> bool:
+        """Forget an answered request once no attempt is in flight; whether it was forgotten now."""
+        if pending.attempts_in_flight or pending.state is RequestState.FINISHED:
+            return False
+        pending.move_to(RequestState.FINISHED)
+        del self.pending_requests[pending.request.request_id]
+        pending.customer.pending_count -= 1
+        return True
 
-    def places(self, customer: Customer) -> int:
-        """Places under the in-flight cap that a customer's requests here hold, or will."""
-        mine = (pending for pending in self.pending_requests.values() if pending.customer is customer)
-        return sum(max(len(pending.attempts_in_flight), 0 if pending.answered else 1) for pending in mine)
+    def occupied_places(self, customer: Customer) -> int:
+        """Places under the concurrency cap that a customer's requests here occupy, or will."""
+        places = 0
+        for pending in self.pending_requests.values():
+            if pending.customer is customer:
+                places += max(len(pending.attempts_in_flight), 0 if pending.is_answered else 1)
+        return places
 
     def reserved_units(self) -> dict[CustomerKey, float]:
-        """Units still to be drawn from ceilings here, by customer."""
+        """Units that waiting requests will still take from rate ceilings, by customer."""
         units: dict[CustomerKey, float] = {}
         for pending in self.pending_requests.values():
-            if not pending.answered and not pending.attempts_started:
+            if pending.is_waiting:
                 key = pending.customer.key
                 units[key] = units.get(key, 0.0) + pending.request.units
         return units
--- a/quota_gateway/state/pending_request.py
+++ b/quota_gateway/state/pending_request.py
@@ -2,14 +2,36 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from quota_gateway.api import Plan, Request, RequestClass
 from quota_gateway.state.customer import Customer
 from quota_gateway.state.records import failure_keys
+from quota_gateway.state.request_state import (
+    ANSWERED_STATES,
+    STREAMING_STATES,
+    TRANSITIONS,
+    WAITING_STATES,
+    RequestState,
+)
 from quota_gateway.state.server import Server
+from quota_gateway.state_machine import transition
+
+# Looked up once: to read an enum's member takes longer than all else in the methods below.
+ADMITTED = RequestState.ADMITTED
+HELD = RequestState.HELD
+QUEUED = RequestState.QUEUED
+
+
+class Attempt(NamedTuple):
+    """One attempt of a request: the server it was sent to, and when."""
+
+    server: Server
+    started_ms: float
 
 
 class PendingRequest:
-    """A request that is held, queued or in flight, or answered with attempts still in flight."""
+    """A request and its state; see `RequestState`."""
 
     __slots__ = (
         "request",
@@ -21,12 +43,11 @@
         "settings_epoch",
         "failure_keys",
         "slow_start_draw",
+        "state",
+        "rate_ceiling_timer_armed",
         "attempts_started",
         "attempts_in_flight",
         "tried_servers",
-        "answered",
-        "streaming",
-        "release_timer_armed",
         "first_possible_run",
     )
 
@@ -50,10 +71,38 @@
         self.failure_keys = failure_keys(request_class.name, plan.name)
         # Drawn once: which servers in slow start the request may go to, and its rank at a full limit.
         self.slow_start_draw = slow_start_draw
+        self.state = ADMITTED
+        self.rate_ceiling_timer_armed = False  # while queued: a timer ends the wait for the rate ceiling
         self.attempts_started = 0
-        self.attempts_in_flight: dict[int, tuple[Server, float]] = {}  # by number: server and start (ms)
+        self.attempts_in_flight: dict[int, Attempt] = {}  # by number
         self.tried_servers: set[int] = set()
-        self.answered = False
-        self.streaming = False
-        self.release_timer_armed = False  # a timer ends its hold, or its wait for the rate ceiling
-        self.first_possible_run: tuple[Server, float] | None = None  # first attempt that may have run
+        self.first_possible_run: Attempt | None = None  # the first attempt that may have had an effect
+
+    @property
+    def is_answered(self) -> bool:
+        """Whether the client has its final answer, or has left."""
+        return self.state in ANSWERED_STATES
+
+    @property
+    def is_streaming(self) -> bool:
+        """Whether a server's response has begun to stream to the client."""
+        return self.state in STREAMING_STATES
+
+    @property
+    def is_held(self) -> bool:
+        """Whether it waits for the end of its hold."""
+        return self.state is HELD
+
+    @property
+    def is_queued(self) -> bool:
+        """Whether it waits in the queue."""
+        return self.state is QUEUED
+
+    @property
+    def is_waiting(self) -> bool:
+        """Whether it waits for its first attempt."""
+        return self.state in WAITING_STATES
+
+    def move_to(self, state: RequestState) -> None:
+        """Change the state. Raises IllegalTransitionError in tests if the table has no such transition."""
+        self.state = transition("request", TRANSITIONS, self.state, state)
--- a/quota_gateway/state/records.py
+++ b/quota_gateway/state/records.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from math import inf
+from typing import NamedTuple
 
 # Clock time (ms), and how many attempts this gateway had started by then: estimates fade by both.
 Moment = tuple[float, int]
@@ -15,6 +16,14 @@
 CustomerKey = tuple[str, str]
 
 
-def failure_keys(class_name: str, plan_name: str) -> tuple[str, str, str]:
-    """Keys of a request's failure records: of the server as a whole, its class, its class and plan."""
-    return ("", f"class {class_name}", f"class {class_name} of plan {plan_name}")
+class FailureKeys(NamedTuple):
+    """Keys of a request's failure records at a server."""
+
+    server: str  # of the server as a whole: empty, as are the keys of no class
+    request_class: str
+    class_of_plan: str
+
+
+def failure_keys(class_name: str, plan_name: str) -> FailureKeys:
+    """The keys of requests of a class and plan."""
+    return FailureKeys("", f"class {class_name}", f"class {class_name} of plan {plan_name}")
--- /dev/null
+++ b/quota_gateway/state/request_state.py
@@ -0,0 +1,44 @@
+"""States of a client's request and the transitions between them.
+
+A request is admitted, waits if it must, has attempts in flight, is answered once and is forgotten when its
+last attempt has ended. Only `InFlightRequests` moves a request from state to state.
+"""
+
+from __future__ import annotations
+
+from enum import Enum
+
+
+class RequestState(Enum):
+    """Where a request stands."""
+
+    ADMITTED = "admitted"  # taken, and not yet placed
+    HELD = "held"  # delayed until its customer's quota share has room for it
+    QUEUED = "queued"  # waits for a server, the concurrency cap or limit, or the rate ceiling
+    IN_FLIGHT = "in flight"  # attempts were started; between two of them there may be none
+    STREAMING = "streaming"  # a server's response is being passed on as it comes: no deadline, no retry
+    ANSWERED = "answered"  # the final answer was given, or the client left; attempts may be in flight
+    ANSWERED_STREAMING = "answered, streaming"  # as ANSWERED, after a response had begun to stream
+    FINISHED = "finished"  # answered, with no attempt in flight: no longer among the pending requests
+
+    # Members are singletons: the hash of the object, not of the name, is several times faster.
+    __hash__ = object.__hash__
+
+
+ANSWERED_STATES = (RequestState.ANSWERED, RequestState.ANSWERED_STREAMING, RequestState.FINISHED)
+STREAMING_STATES = (RequestState.STREAMING, RequestState.ANSWERED_STREAMING)
+WAITING_STATES = (RequestState.ADMITTED, RequestState.HELD, RequestState.QUEUED)  # no attempt was started
+
+TRANSITIONS: dict[RequestState, frozenset[RequestState]] = {
+    RequestState.ADMITTED: frozenset(
+        {RequestState.HELD, RequestState.QUEUED, RequestState.IN_FLIGHT, RequestState.ANSWERED}
+    ),
+    RequestState.HELD: frozenset({RequestState.QUEUED, RequestState.IN_FLIGHT, RequestState.ANSWERED}),
+    RequestState.QUEUED: frozenset({RequestState.IN_FLIGHT, RequestState.ANSWERED}),
+    RequestState.IN_FLIGHT: frozenset({RequestState.STREAMING, RequestState.ANSWERED}),
+    RequestState.STREAMING: frozenset({RequestState.ANSWERED_STREAMING}),
+    # A response may begin to stream after the request was given up at its deadline.
+    RequestState.ANSWERED: frozenset({RequestState.ANSWERED_STREAMING, RequestState.FINISHED}),
+    RequestState.ANSWERED_STREAMING: frozenset({RequestState.FINISHED}),
+    RequestState.FINISHED: frozenset(),
+}
--- a/quota_gateway/state_document.py
+++ b/quota_gateway/state_document.py
@@ -139,7 +139,7 @@
         gateway.quick[class_name] = {
             number: gateway.servers[number] for number in numbers if number in gateway.servers
         }
-    gateway.endpoint_list.relist()
+    gateway.endpoint_list.refresh()
 
 
 def _write_customer(
@@ -158,7 +158,7 @@
         customer.ceiling_updated_ms,
         customer.demand_units,
         customer.demand_updated_ms,
-        gateway.in_flight.places(customer),
+        gateway.in_flight.occupied_places(customer),
     ]
 
 
--- a/tests/test_admin_down.py
+++ b/tests/test_admin_down.py
@@ -19,7 +19,7 @@
     SetServing,
     Status,
 )
-from quota_gateway.policy.graceful_shutdown import MOST_OUT
+from quota_gateway.policy.admin_down import MAX_ADMIN_DOWN
 
 
 def used(rig: Rig, count: int = 60) -> set[int]:
@@ -98,7 +98,7 @@
 def test_servers_out_are_bounded(rig):
     for number in range(1, 2000):
         rig.do(ServerAdminDown(number, True))
-    assert len(rig.gateway.by_hand) == MOST_OUT
+    assert len(rig.gateway.by_hand) == MAX_ADMIN_DOWN
 
 
 def test_draining_server_that_is_put_back_stays_unused(rig):
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -56,18 +56,18 @@
 def test_the_gateway_keeps_the_names_that_others_read():
     # what the door, the handover's document and users of the library read, wherever its owner keeps it
     names = (
-        "settings random classes plans customers servers pending_requests parked timers tokens now "
+        "settings random classes plans customers servers pending_requests queued timers tokens now "
         "started_at ends_at gateways changes latency retries young pool marks quick sends by_hand drains "
         "handed pooled draining left ready cold logged tally actions handlers handle share ceiling_level "
-        "retry_parked relist in_hand reserved_units arm highest_priority_weight first_latency fresh_ceiling "
-        "news_ms tally_at"
+        "release_queued relist in_hand reserved_units arm highest_priority_weight first_latency "
+        "fresh_ceiling news_ms tally_at"
     )
     rig = Rig()
     rig.servers(entry(1))
     made = rig.gateway
     assert not [name for name in names.split() if not hasattr(made, name)]
     made.pool = 6.0
-    assert made.concurrency_limit.size == made.pool == 6.0  # and written where its owner keeps it
+    assert made.concurrency_limit.limit == made.pool == 6.0  # and written where its owner keeps it
     assert made.news_ms() == 4000.0
     assert made.first_latency(SETTINGS.classes[0]) == 400.0
     assert made.fresh_ceiling(SETTINGS.plans[2], 2) == 0.0
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,6 +10,7 @@
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 ORDER = [
     "quota_meter",
+    "retry_budget",
     "retry_policy",
     "slow_start",
     "outlier_detection",
@@ -19,9 +20,11 @@
     "server_selection",
     "hot_restart",
     "responses",
+    "hedging",
     "attempts",
     "admission",
     "endpoint_list",
+    "admin_down",
     "graceful_shutdown",
     "settings_change",
     "gateway",
--- a/tests/test_net_driver.py
+++ b/tests/test_net_driver.py
@@ -213,7 +213,7 @@
             started = gateway.driver.clock() - 5_000.0  # half of the warm-up
             gateway.told((ServerEntry(1, "a", started_ms=started), address), kind=ListKind.COMPLETE)
             (known,) = gateway.driver.gateway.servers.values()
-            assert 0.59 < gateway.driver.gateway.slow_start.warmth(known) < 1.0
+            assert 0.59 < gateway.driver.gateway.slow_start.capacity_ratio(known) < 1.0
             await asyncio.sleep(0)
 
     run(test())
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -498,7 +498,7 @@
             leaving = asyncio.ensure_future(
                 program_module._leave(FAKE_SETTINGS, gateway.driver, gateway.clients)
             )
-            await until(lambda: gateway.driver.gateway.responses.ends_at < inf)
+            await until(lambda: gateway.driver.gateway.responses.shutdown_at_ms < inf)
             began = clock()
             gateway.driver.clock = lambda: began + (clock() - began) / 2.0  # all timers come late
             data, end = await raw.rest()
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -27,9 +27,10 @@
 from quota_gateway.policy.outlier_detection import OutlierDetection
 from quota_gateway.policy.quota_meter import Meter
 from quota_gateway.policy.rate_ceiling import Ceilings
-from quota_gateway.policy.retry_policy import group, harmless
+from quota_gateway.policy.retry_policy import is_client_retry_harmless, retry_group
 from quota_gateway.policy.slow_start import SlowStart
-from quota_gateway.state import Context, Customer, Endpoints, PendingRequest, Server
+from quota_gateway.state import Attempt, Context, Customer, Endpoints, PendingRequest, Server, ServerGroup
+from quota_gateway.state.endpoints import GroupIndex
 
 RECORDINGS = Path(__file__).parent / "recordings"
 METERED, CAPPED = (next(p for p in SETTINGS.plans if p.name == name) for name in ("metered", "only-cap"))
@@ -79,42 +80,45 @@
     health, bad, good = OutlierDetection(made), Server(entry(1), 0.1), Server(entry(2), 0.2)
     one, other = (pending(kind) for kind in SETTINGS.classes[:2])
     for _ in range(4):
-        health.judge(one, bad, Status.ERROR)
-        health.judge(one, good, Status.OK)
-    doubts = [[health.doubt(f, server, health.priors(f)) for server in (bad, good)] for f in (one, other)]
+        health.on_attempt_ended(one, bad, Status.ERROR)
+        health.on_attempt_ended(one, good, Status.OK)
+    doubts = [
+        [health.failure_probability(f, server, health.priors(f)) for server in (bad, good)]
+        for f in (one, other)
+    ]
     assert doubts[0][0] > 0.7 > 0.2 > doubts[0][1]
     assert doubts[1][0] < 0.1
     made.begin(61_000.0)
     made.decay.sends = 1000
-    assert health.doubt(one, bad, (0.0, 0.0)) < 0.01
+    assert health.failure_probability(one, bad, (0.0, 0.0)) < 0.01
 
 
 def test_the_pool_moves_by_what_answers_show():
     pressure, server, kind = ConcurrencyLimit(context()), Server(entry(1), 0.1), SETTINGS.classes[0]
-    pressure.begin(servers=10, gateways=2)
-    assert pressure.size == 10.0
-    assert not pressure.full()
-    pressure.young = {(str(n), 0) for n in range(10)}
-    assert pressure.full()
-    pressure.answered(server, kind, 0.1 * kind.latency_objective_ms)
-    assert pressure.size == pytest.approx(10.035)
-    assert 1 in pressure.latencies.quick[kind.name]
-    pressure.answered(server, kind, 0.9 * kind.latency_objective_ms)
-    assert pressure.size == pytest.approx(9.735)
-    assert not pressure.latencies.quick[kind.name]
+    pressure.start(servers=10, gateways=2)
+    assert pressure.limit == 10.0
+    assert not pressure.is_reached()
+    pressure.attempts_within_threshold = {(str(n), 0) for n in range(10)}
+    assert pressure.is_reached()
+    pressure.on_response(server, kind, 0.1 * kind.latency_objective_ms)
+    assert pressure.limit == pytest.approx(10.035)
+    assert 1 in pressure.latencies.quick_servers[kind.name]
+    pressure.on_response(server, kind, 0.9 * kind.latency_objective_ms)
+    assert pressure.limit == pytest.approx(9.735)
+    assert not pressure.latencies.quick_servers[kind.name]
 
 
 @pytest.mark.parametrize(
     ("effect", "scope", "age", "first", "wanted", "told"),
     [
-        (Idempotency.IDEMPOTENT, "all", 9e9, True, (), True),
+        (Idempotency.IDEMPOTENT, "all", 9e9, True, ServerGroup(), True),
         (Idempotency.NOT_IDEMPOTENT, "all", 0.0, True, None, False),
-        (Idempotency.NOT_IDEMPOTENT, "all", 0.0, False, (), True),
-        (Idempotency.WITH_KEY, "all", 100.0, True, (), True),
-        (Idempotency.WITH_KEY, "zone", 100.0, True, ("b",), False),
-        (Idempotency.WITH_KEY, "cell", 100.0, True, ("b", 7), False),
+        (Idempotency.NOT_IDEMPOTENT, "all", 0.0, False, ServerGroup(), True),
+        (Idempotency.WITH_KEY, "all", 100.0, True, ServerGroup(), True),
+        (Idempotency.WITH_KEY, "zone", 100.0, True, ServerGroup("b"), False),
+        (Idempotency.WITH_KEY, "cell", 100.0, True, ServerGroup("b", 7), False),
         (Idempotency.WITH_KEY, "zone", 3000.0, True, None, False),
-        (Idempotency.WITH_KEY, "cell", 3000.0, False, (), True),
+        (Idempotency.WITH_KEY, "cell", 3000.0, False, ServerGroup(), True),
     ],
 )
 def test_where_a_request_may_go_again_and_what_its_client_is_told(effect, scope, age, first, wanted, told):
@@ -123,9 +127,9 @@
         "k", 1000.0, 4000.0, effect, idempotency_scope=scopes[scope], idempotency_window_ms=3000.0
     )
     made = pending(kind)
-    made.first_possible_run = (Server(entry(1, "b", cell=7), 0.0), 1000.0) if first else None
-    assert group(made, 1000.0 + age) == wanted
-    assert harmless(made) is told
+    made.first_possible_run = Attempt(Server(entry(1, "b", cell=7), 0.0), 1000.0) if first else None
+    assert retry_group(made, 1000.0 + age) == wanted
+    assert is_client_retry_harmless(made) is told
 
 
 # ---- The tables choose as a plain loop over the whole list would
@@ -153,19 +157,19 @@
             ),
         )
     )
-    fleet.relist(lambda server: cold.warmth(server) < 1.0)
+    fleet.refresh(lambda server: cold.capacity_ratio(server) < 1.0)
     asked, ready = pending(SETTINGS.classes[0], turn=turn), [s for s in fleet.servers.values() if s.is_ready]
     tried = {n for n in range(size) if made.random.random() < 0.1}
     for key in [(), ("a",), ("b", 1), ("c",)]:
         wanted = [s for s in ready if s.id not in tried and key == (s.zone, s.cell)[: len(key)]]
-        found = fleet.others(key, tried)
+        found = fleet.ready_in_group(ServerGroup(*key), tried)
         assert list(found) == wanted
         assert len(found) == len(wanted)
         assert [s for s in fleet.servers.values() if s in found] == wanted
     if ready:
-        turns = [s for s in fleet.warming_up if cold.in_turn(asked, s, len(ready))]
-        near = fleet.in_phase((1.0 - turn) % 1.0, cold.widest_turn(len(ready)))
-        assert [s for s in near if cold.in_turn(asked, s, len(ready))] == turns
+        turns = [s for s in fleet.warming_up if cold.is_eligible(asked, s, len(ready))]
+        near = fleet.warming_up_in((1.0 - turn) % 1.0, cold.widest_share_ratio(len(ready)))
+        assert [s for s in near if cold.is_eligible(asked, s, len(ready))] == turns
 
 
 class Counted(list):
@@ -198,7 +202,9 @@
         rig.finish(rig.ask(), Status.RESET)  # a group is made once for each list
         Counted.seen = 0
         fleet.ready, fleet.warming_up = Counted(fleet.ready), Counted(fleet.warming_up)
-        fleet._groups = {key: (Counted(found[0]), found[1]) for key, found in fleet._groups.items()}
+        fleet._groups = {
+            key: GroupIndex(Counted(found.servers), found.places) for key, found in fleet._groups.items()
+        }
         for _ in range(40):
             name = rig.ask()
             rig.finish(name, Status.RESET)
@@ -214,7 +220,7 @@
 def test_a_customer_with_a_request_in_hand_is_not_forgotten():
     # its row holds the cap: forgotten while a request waits, a second row would count from nought
     rig = Rig(replace(SETTINGS, plans=(CAPPED, Plan("free")), gateways=1, meter_period_ms=100.0))
-    mine = [rig.ask("only-cap", width=1) for _ in range(3)]  # parked: no server yet
+    mine = [rig.ask("only-cap", width=1) for _ in range(3)]  # queued: no server yet
     rig.run(1000.0)  # all that is known of it is as new
     for name in "xyz":
         rig.ask(customer=name, width=1)
@@ -310,6 +316,6 @@
     cold, fleet = new.gateway.slow_start, new.gateway.endpoints
     for turn in (number / 500 for number in range(500)):
         asked = pending(SETTINGS.classes[0], turn=turn)
-        turns = [server for server in fleet.warming_up if cold.in_turn(asked, server, 60)]
-        near = fleet.in_phase((1.0 - turn) % 1.0, cold.widest_turn(60))
-        assert [server for server in near if cold.in_turn(asked, server, 60)] == turns
+        turns = [server for server in fleet.warming_up if cold.is_eligible(asked, server, 60)]
+        near = fleet.warming_up_in((1.0 - turn) % 1.0, cold.widest_share_ratio(60))
+        assert [server for server in near if cold.is_eligible(asked, server, 60)] == turns
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -200,7 +200,7 @@
         async with configured(tmp_path, FakeServer()) as made:
             before = made.state()
             monkeypatch.setattr(
-                type(made.driver.gateway.concurrency_limit), "means", lambda self, kinds: 1 / 0
+                type(made.driver.gateway.concurrency_limit), "mean_latencies_ms", lambda self, kinds: 1 / 0
             )
             made.document["discovery"] = "127.0.0.1:9"
             made.write(services=[SERVICE, calm(name="new")])
--- /dev/null
+++ b/tests/test_request_state.py
@@ -0,0 +1,90 @@
+"""States of a request: the table of transitions, and that every event leads along it."""
+
+import logging
+
+import pytest
+from conftest import Rig, entry, rig_with
+
+from quota_gateway import ClientDisconnected, Limits, ListKind, Status, StreamStarted
+from quota_gateway.errors import IllegalTransitionError
+from quota_gateway.state import RequestState
+from quota_gateway.state.request_state import TRANSITIONS
+from quota_gateway.state_machine import IllegalTransitions, illegal_transitions
+
+
+def state(rig: Rig, name: str) -> RequestState:
+    return rig.gateway.pending_requests[name].state
+
+
+@pytest.mark.parametrize("current", RequestState)
+@pytest.mark.parametrize("requested", RequestState)
+def test_a_request_moves_along_the_table_and_nowhere_else(rig, current, requested):
+    pending = rig.gateway.pending_requests[rig.ask()]
+    pending.state = current
+    if requested in TRANSITIONS[current]:
+        pending.move_to(requested)
+        assert pending.state is requested
+    else:
+        with pytest.raises(IllegalTransitionError):
+            pending.move_to(requested)
+        assert pending.state is current
+
+
+def test_a_request_over_its_quota_is_held_then_sent_then_forgotten(rig):
+    names = [rig.ask("metered") for _ in range(5)]
+    assert state(rig, names[-1]) is RequestState.HELD
+    rig.run(200.0)
+    assert state(rig, names[-1]) is RequestState.IN_FLIGHT
+    rig.finish(names[-1])
+    assert names[-1] not in rig.gateway.pending_requests
+
+
+def test_a_request_without_a_server_is_queued_until_one_is_listed():
+    rig = Rig()
+    name = rig.ask()
+    assert state(rig, name) is RequestState.QUEUED
+    assert list(rig.gateway.queued) == [name]
+    rig.servers(entry(1), kind=ListKind.COMPLETE)
+    assert state(rig, name) is RequestState.IN_FLIGHT
+    assert not rig.gateway.queued
+
+
+def test_a_request_whose_client_left_is_kept_until_its_attempt_has_ended(rig):
+    name = rig.ask()
+    rig.do(ClientDisconnected(name))
+    assert state(rig, name) is RequestState.ANSWERED
+    rig.finish(name, Status.CANCELLED)
+    assert name not in rig.gateway.pending_requests
+
+
+def test_a_response_that_streams_when_its_client_leaves_or_after_the_deadline_is_not_answered_again():
+    rig = rig_with(limits=Limits(max_attempts=3))
+    rig.servers(entry(1), entry(2))
+    left, late = rig.ask(), rig.ask(patience=300.0)
+    rig.do(StreamStarted(left, 0, rig.sent[left][0], 50.0))
+    assert state(rig, left) is RequestState.STREAMING
+    rig.do(ClientDisconnected(left))
+    assert state(rig, left) is RequestState.ANSWERED_STREAMING
+    rig.run(300.0)
+    assert state(rig, late) is RequestState.ANSWERED
+    rig.do(StreamStarted(late, 0, rig.sent[late][0], 300.0))
+    assert state(rig, late) is RequestState.ANSWERED_STREAMING
+    assert rig.answers == {late: "Reject"}
+
+
+def test_in_service_an_illegal_transition_is_counted_and_the_gateway_goes_on(rig, monkeypatch, caplog):
+    # A fault of the program marks a request as answered twice: raised here, its connections would be lost
+    # with the process. It is logged once, and this request and all others end as they would have.
+    monkeypatch.setattr(illegal_transitions, "raised", False)
+    monkeypatch.setattr(illegal_transitions, "counts", IllegalTransitions().counts)
+    names = [rig.ask(), rig.ask()]
+    with caplog.at_level(logging.ERROR):
+        for name in names:
+            rig.gateway.in_flight.answer(rig.gateway.pending_requests[name])
+            rig.gateway.in_flight.answer(rig.gateway.pending_requests[name])
+    assert illegal_transitions.counts.total() == 2
+    assert len(caplog.records) == 1
+    for name in names:
+        rig.finish(name)
+    assert not rig.gateway.pending_requests
+    assert rig.ask() in rig.sent
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -178,7 +178,7 @@
     rig.servers(entry(1, started_ms=rig.now))
     names = [rig.ask() for _ in range(40)]
     before = len(rig.sent)
-    for _ in range(50):  # every change of the list tries all parked requests again
+    for _ in range(50):  # every change of the list tries all queued requests again
         rig.servers(entry(1, started_ms=rig.now), kind=ListKind.CHANGES)
     assert len(rig.sent) == before < len(names) / 2
 
@@ -196,7 +196,7 @@
 def test_request_that_waits_for_the_ceiling_has_one_timer_for_it_however_often_it_is_tried(rig):
     waits = rig.ask("ceiling", units=4)  # 800 ms at 5 units a second
     before = len(rig.timers)
-    for _ in range(50):  # each outcome tries all that are parked again
+    for _ in range(50):  # each outcome tries all that are queued again
         rig.finish(rig.ask())
     assert len(rig.timers) == before + 100, "two for each: its deadline, and when it becomes slow"
     rig.run(900.0)
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -128,11 +128,11 @@
     out = [name for name in names if name in rig.sent]
     held = [name for name in names if name not in rig.answers and name not in rig.sent]
     assert len(out) == len(held) == 1
-    rig.run(500.0)  # the hold is over, the cap of one is not: it is parked
-    assert held[0] in rig.gateway.parked
+    rig.run(500.0)  # the hold is over, the cap of one is not: it is queued
+    assert held[0] in rig.gateway.queued
     waiting = rig.ask("q")
     assert waiting not in rig.answers
-    assert waiting not in rig.gateway.parked
+    assert waiting not in rig.gateway.queued
     tell(rig, plans=(Plan("other"),))
     assert rig.answers[rig.ask("q")] == "Reject"
     rig.finish(out[0])
@@ -286,7 +286,7 @@
     rig = a_rig()
     sent(rig, 3, plan="metered")
     gateway = rig.gateway
-    monkeypatch.setattr(type(gateway.concurrency_limit), "means", lambda self, kinds: 1 / 0)
+    monkeypatch.setattr(type(gateway.concurrency_limit), "mean_latencies_ms", lambda self, kinds: 1 / 0)
     watched = (
         "settings",
         "classes",
