--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -12,17 +12,12 @@
 
 from quota_gateway.api import Plan, Request, RequestClass
 from quota_gateway.policy.attempts import Attempts
+from quota_gateway.policy.concurrency_cap import ConcurrencyCap
 from quota_gateway.policy.customers import Customers
+from quota_gateway.policy.quota_meter import REJECT_OVER_QUOTA, Admit, Hold, RejectOverQuota
 from quota_gateway.state import Context, Customer, GiveUpReason, PendingRequest, Server
 
 
-@dataclass(frozen=True, slots=True)
-class Hold:
-    """The request is admitted after a delay; 0 is at once."""
-
-    delay_ms: float
-
-
 @dataclass(frozen=True, slots=True)
 class SendTo:
     """The first attempt goes to this server now."""
@@ -44,9 +39,7 @@
     reason: GiveUpReason
 
 
-HOLD_NOTHING = Hold(0.0)
 QUEUE = Queue(0.0)
-REJECT_OVER_QUOTA = GiveUp(GiveUpReason.OVER_QUOTA)
 
 
 class Admission:
@@ -56,12 +49,19 @@
     their docstrings name.
     """
 
-    def __init__(self, context: Context, customers: Customers, attempts: Attempts) -> None:
+    def __init__(
+        self,
+        context: Context,
+        customers: Customers,
+        concurrency_cap: ConcurrencyCap,
+        attempts: Attempts,
+    ) -> None:
         self.context = context
         self.customers = customers
         self.attempts = attempts
         self.meter = customers.meter
-        self.ceilings = customers.ceilings
+        self.ceiling = customers.ceiling
+        self.concurrency_cap = concurrency_cap
         self.responses = attempts.responses
         self.concurrency_limit = attempts.concurrency_limit
         self.server_selection = attempts.server_selection
@@ -71,19 +71,21 @@
 
     def on_request(self, request: Request, request_class: RequestClass, plan: Plan) -> None:
         """Admit, hold or reject a new request."""
-        customer = self.customers.find(request, plan)
+        customer = self.customers.find_or_add(request, plan)
         if reason := self._exceeded_limit(request, customer, plan):
             self._reject(request, customer, plan, reason)
             return
         slow_start_draw = self.context.random.random()
-        decision = self._take_from_quota(request, request_class, customer, plan)
-        if isinstance(decision, GiveUp):
-            self._reject(request, customer, plan, decision.reason)
-            return
         now_ms = self.context.now
+        self.meter.record_demand(customer, plan, request.units, now_ms)
+        decision = self.quota_decision(request, request_class, customer, plan)
+        if isinstance(decision, RejectOverQuota):
+            self._reject(request, customer, plan, GiveUpReason.OVER_QUOTA)
+            return
+        self.meter.apply(customer, decision, now_ms)
         epoch = self.customers.epochs.epoch
         pending = PendingRequest(request, request_class, plan, customer, now_ms, slow_start_draw, epoch)
-        self._admit(pending, decision.delay_ms)
+        self._admit(pending, decision)
 
     def useful_hold_ms(self, request_class: RequestClass) -> float:
         """How long a request may wait and still be answered within its latency objective.
@@ -108,44 +110,40 @@
 
     def _exceeded_limit(self, request: Request, customer: Customer, plan: Plan) -> GiveUpReason | None:
         """A limit other than the quota for which a new request is rejected; may draw a random number."""
-        if request.is_retry and self.meter.thin(customer, plan):
+        if request.is_retry and self.meter.has_thin_share(customer, plan):
             return GiveUpReason.THIN_SHARE_RETRY
-        if self.ceilings.overused(customer, plan, self.context.now):
+        if self.concurrency_cap.rejects_for_overuse(customer, plan, self.context.now):
             return GiveUpReason.OVER_CONCURRENCY_CAP
         return None
 
-    def _take_from_quota(
+    def quota_decision(
         self, request: Request, request_class: RequestClass, customer: Customer, plan: Plan
-    ) -> Hold | GiveUp:
-        """Whether the quota share has room, now or soon enough; takes the units unless it has not."""
-        excess_milliunits = customer.excess_milliunits
-        excess_updated_ms = customer.excess_updated_ms
-        delay_ms = self.meter.take(customer, plan, request.units, self.context.now)
-        if not delay_ms:
-            return HOLD_NOTHING
-        if delay_ms >= self.longest_hold_ms(request, request_class):
-            customer.excess_milliunits = excess_milliunits
-            customer.excess_updated_ms = excess_updated_ms
+    ) -> Admit | Hold | RejectOverQuota:
+        """The quota meter's decision, but for holds that would last too long: these are rejected."""
+        decision = self.meter.decide(customer, plan, request.units, self.context.now)
+        if not isinstance(decision, Hold):
+            return decision
+        if decision.delay_ms >= self.longest_hold_ms(request, request_class):
             return REJECT_OVER_QUOTA
-        return Hold(delay_ms)
+        return decision
 
     def _reject(self, request: Request, customer: Customer, plan: Plan, reason: GiveUpReason) -> None:
         """Reject a new request, with the time after which its customer's quota share has room for it."""
         self.responses.count_given_up(reason, plan)
         if plan.rate:
-            retry_after_ms = self.meter.advice(customer, plan, request.units, self.context.now)
+            retry_after_ms = self.meter.retry_after_ms(customer, plan, request.units, self.context.now)
         else:
             retry_after_ms = self.context.settings.meter_period_ms
         self.responses.reject(request.request_id, retry_after_ms)
 
-    def _admit(self, pending: PendingRequest, delay_ms: float) -> None:
+    def _admit(self, pending: PendingRequest, decision: Admit | Hold) -> None:
         """Take a request; it is sent or queued at once, or at the end of its hold."""
         self.in_flight.add(pending)
-        self.responses.handover.tell(pending.customer, pending.request.units)
+        self.responses.peer_usage.report(pending.customer, pending.request.units)
         self.responses.arm_deadline(pending)
-        if delay_ms > 0.0:
+        if isinstance(decision, Hold):
             self.in_flight.hold(pending)
-            self.context.arm(delay_ms, self._on_hold_ended, pending)
+            self.context.arm(decision.delay_ms, self._on_hold_ended, pending)
         else:
             self._send_or_queue(pending)
 
@@ -158,12 +156,12 @@
     def placement(self, pending: PendingRequest) -> SendTo | Queue | GiveUp:
         """What becomes of a request that waits for its first attempt; the choice of a server draws."""
         now_ms = self.context.now
-        wait_ms = self.ceilings.wait(pending, now_ms)
+        wait_ms = self.ceiling.wait_ms(pending, now_ms)
         if wait_ms >= pending.deadline_ms - now_ms:
             return GiveUp(GiveUpReason.OVER_RATE_CEILING)
         if wait_ms:
             return Queue(wait_ms)
-        if self.ceilings.capped(pending, now_ms):
+        if self.concurrency_cap.is_reached(pending, now_ms):
             return QUEUE
         if self.concurrency_limit.is_reached(pending.slow_start_draw):
             return QUEUE
@@ -222,9 +220,9 @@
     def queued_reason(self, pending: PendingRequest) -> GiveUpReason:
         """What a queued request waits for, as the reason for which it is given up."""
         now_ms = self.context.now
-        if self.ceilings.capped(pending, now_ms):
+        if self.concurrency_cap.is_reached(pending, now_ms):
             return GiveUpReason.QUEUED_FOR_CONCURRENCY_CAP
-        if self.ceilings.wait(pending, now_ms) > 0.0:
+        if self.ceiling.wait_ms(pending, now_ms) > 0.0:
             return GiveUpReason.QUEUED_FOR_RATE_CEILING
         return GiveUpReason.QUEUED_FOR_CONCURRENCY_LIMIT
 
--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -10,7 +10,7 @@
 from quota_gateway.api import AttemptEnded, Cancel, Send, Status, StreamStarted
 from quota_gateway.policy.concurrency_limit import LATENCY_THRESHOLD_RATIO
 from quota_gateway.policy.hedging import CancelAttempt, Hedging, SendHedge
-from quota_gateway.policy.rate_ceiling import Ceilings
+from quota_gateway.policy.rate_ceiling import RateCeiling
 from quota_gateway.policy.responses import Responses
 from quota_gateway.policy.retry_budget import RetryBudget
 from quota_gateway.policy.retry_policy import idempotency_window_left_ms, may_have_run, may_retry
@@ -29,10 +29,10 @@
     """Owns the retry budget; moves requests from attempt to attempt to the final answer."""
 
     def __init__(
-        self, context: Context, ceilings: Ceilings, server_selection: ServerSelection, responses: Responses
+        self, context: Context, ceiling: RateCeiling, server_selection: ServerSelection, responses: Responses
     ) -> None:
         self.context = context
-        self.ceilings = ceilings
+        self.ceiling = ceiling
         self.concurrency_limit = responses.concurrency_limit
         self.server_selection = server_selection
         self.outlier_detection = server_selection.outlier_detection
@@ -52,7 +52,7 @@
         request_id = pending.request.request_id
         now_ms = self.context.now
         if pending.attempts_started == 0:
-            self.ceilings.draw(pending, now_ms)
+            self.ceiling.consume(pending, now_ms)
             self.retry_budget.on_first_attempt()
         else:
             self.retry_budget.on_retry()
@@ -92,8 +92,8 @@
         """Take over the late reading of the customer's use by all gateways, if the response had one."""
         if metered_use_percent is None:
             return
-        self.responses.meter.read(pending.customer, metered_use_percent, self.context.now)
-        self.responses.handover.tell(pending.customer, 0.0, metered_use_percent)
+        self.responses.meter.record_reading(pending.customer, metered_use_percent, self.context.now)
+        self.responses.peer_usage.report(pending.customer, 0.0, metered_use_percent)
 
     def _retry_or_answer(self, pending: PendingRequest, status: Status, failed: Attempt) -> None:
         """After a failed attempt: retry where class, budget and time allow it, else answer.
--- a/quota_gateway/policy/endpoint_list.py
+++ b/quota_gateway/policy/endpoint_list.py
@@ -5,7 +5,7 @@
 from quota_gateway.api import DiscoveryMode, ListKind, ServerList, Subscribe
 from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
 from quota_gateway.policy.slow_start import SlowStart
-from quota_gateway.state import Endpoints, Epochs
+from quota_gateway.state import Endpoints, SettingsEpochs
 
 POLL_DELAY_RATIO = 0.5  # of the time within which discovery must be polled: leaves room for a failed call
 
@@ -18,7 +18,7 @@
         endpoints: Endpoints,
         slow_start: SlowStart,
         concurrency_limit: ConcurrencyLimit,
-        epochs: Epochs,
+        epochs: SettingsEpochs,
     ) -> None:
         self.context = slow_start.context
         self.endpoints = endpoints
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -13,17 +13,18 @@
 from quota_gateway.policy.admin_down import AdminDown
 from quota_gateway.policy.admission import Admission
 from quota_gateway.policy.attempts import Attempts
+from quota_gateway.policy.concurrency_cap import ConcurrencyCap
 from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
 from quota_gateway.policy.customers import Customers
 from quota_gateway.policy.endpoint_list import EndpointList
 from quota_gateway.policy.graceful_shutdown import RETRY_ELSEWHERE_MS, GracefulShutdown
-from quota_gateway.policy.hot_restart import Handover
+from quota_gateway.policy.hot_restart import PeerUsageExchange
 from quota_gateway.policy.outlier_detection import OutlierDetection
-from quota_gateway.policy.quota_meter import Meter
-from quota_gateway.policy.rate_ceiling import Ceilings
+from quota_gateway.policy.quota_meter import QuotaMeter
+from quota_gateway.policy.rate_ceiling import RateCeiling
 from quota_gateway.policy.responses import Responses
 from quota_gateway.policy.server_selection import ServerSelection
-from quota_gateway.policy.settings_change import Changes
+from quota_gateway.policy.settings_change import SettingsChange
 from quota_gateway.policy.slow_start import SlowStart
 from quota_gateway.state import Context, Endpoints, GiveUpReason, InFlightRequests, LoadReports, Views
 
@@ -39,28 +40,31 @@
         self.context = context = Context(settings, seed, ESTIMATE_DECAY_MS)
         self.endpoints = Endpoints(context.random)
         self.in_flight = InFlightRequests()
-        self.meter = Meter(context)
+        self.meter = QuotaMeter(context)
         self.slow_start = SlowStart(context)
         self.outlier_detection = OutlierDetection(context)
         self.concurrency_limit = ConcurrencyLimit(context)
-        self.ceilings = Ceilings(context, self.meter)
-        self.book = Customers(context, self.meter, self.ceilings)
+        self.ceiling = RateCeiling(context)
+        self.concurrency_cap = ConcurrencyCap(context, self.meter)
+        self.book = Customers(context, self.meter, self.ceiling)
         self.epochs = self.book.epochs
         self.load_reports = LoadReports(context, self.endpoints)
         self.server_selection = ServerSelection(
             self.load_reports, self.outlier_detection, self.concurrency_limit, self.slow_start
         )
-        self.handover = Handover(context, self.in_flight, self.book)
-        self.responses = Responses(context, self.concurrency_limit, self.handover)
-        self.attempts = Attempts(context, self.ceilings, self.server_selection, self.responses)
-        self.admission = Admission(context, self.book, self.attempts)
+        self.peer_usage = PeerUsageExchange(context, self.in_flight, self.book)
+        self.responses = Responses(context, self.concurrency_limit, self.peer_usage)
+        self.attempts = Attempts(context, self.ceiling, self.server_selection, self.responses)
+        self.admission = Admission(context, self.book, self.concurrency_cap, self.attempts)
         self.release_queued = self.admission.release_queued
         self.endpoint_list = EndpointList(
             self.endpoints, self.slow_start, self.concurrency_limit, self.epochs
         )
         self.admin_down = AdminDown(context, self.endpoint_list)
         self.graceful_shutdown = GracefulShutdown(context)
-        self.changes = Changes(self.handover, self.outlier_detection, self.endpoint_list, self.release_queued)
+        self.settings_change = SettingsChange(
+            self.peer_usage, self.outlier_detection, self.endpoint_list, self.release_queued
+        )
         self.handlers = self._handlers()
 
     def _handlers(self) -> dict[type, Handler]:
@@ -78,10 +82,10 @@
             api.IdleConnectionChanged: self.load_reports.on_idle_connection_changed,
             api.DrainChanged: self.graceful_shutdown.on_drain_changed,
             api.ShutdownBegun: self.responses.on_shutdown_begun,
-            api.HotRestartBegun: self.changes.hand_over,
-            api.PeerUsage: then_release(self.handover.hear),
-            api.PeerExited: then_release(self.handover.end),
-            api.SettingsChanged: then_release(self.changes.take),
+            api.HotRestartBegun: self.settings_change.begin_hot_restart,
+            api.PeerUsage: then_release(self.peer_usage.on_peer_usage),
+            api.PeerExited: then_release(self.peer_usage.on_peer_exited),
+            api.SettingsChanged: then_release(self.settings_change.apply),
         }
 
     def _then_release_queued(self, handler: Callable[[Any], bool]) -> Handler:
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -6,7 +6,7 @@
 
 from quota_gateway.api import Cancel, ClientDisconnected, Fail, Plan, Reject, ShutdownBegun
 from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
-from quota_gateway.policy.hot_restart import Handover
+from quota_gateway.policy.hot_restart import PeerUsageExchange
 from quota_gateway.policy.retry_policy import is_client_retry_harmless
 from quota_gateway.state import Context, Customer, GiveUpReason, OutcomeCounters, PendingRequest
 
@@ -17,13 +17,15 @@
 class Responses:
     """Gives the final answers that come from this gateway and counts them by reason."""
 
-    def __init__(self, context: Context, concurrency_limit: ConcurrencyLimit, handover: Handover) -> None:
+    def __init__(
+        self, context: Context, concurrency_limit: ConcurrencyLimit, peer_usage: PeerUsageExchange
+    ) -> None:
         self.context = context
         self.concurrency_limit = concurrency_limit
-        self.handover = handover
-        self.in_flight = handover.in_flight
-        self.customers = handover.customers
-        self.meter = handover.customers.meter
+        self.peer_usage = peer_usage
+        self.in_flight = peer_usage.in_flight
+        self.customers = peer_usage.customers
+        self.meter = peer_usage.customers.meter
         self.shutdown_at_ms = inf  # when this gateway will be ended
         self.outcome_counters = OutcomeCounters(COUNTERS_LOG_INTERVAL_MS)
 
@@ -79,7 +81,7 @@
     def retry_after_ms(self, pending: PendingRequest) -> float:
         """When the client may retry: the quota share has room then, and the queue of now has been served."""
         queue_ms = self.concurrency_limit.queue_wait_ms(pending.request_class, len(self.in_flight.queued))
-        quota_ms = self.meter.advice(pending.customer, pending.plan, 0.0, self.context.now)
+        quota_ms = self.meter.retry_after_ms(pending.customer, pending.plan, 0.0, self.context.now)
         return max(queue_ms, quota_ms)
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
@@ -103,14 +105,14 @@
 
     def settle_units(self, customer: Customer, estimated_units: float, final_units: float) -> None:
         """Correct what a customer was charged for a request by the units that it really used."""
-        correction_units = self.meter.correction(estimated_units, final_units)
+        correction_units = self.meter.correction_units(estimated_units, final_units)
         self.meter.charge(customer, correction_units)
-        self.handover.tell(customer, correction_units)
+        self.peer_usage.report(customer, correction_units)
 
     def finish_if_idle(self, pending: PendingRequest) -> None:
         """Forget an answered request that has no attempt in flight, and notify the next process."""
         if not pending.is_answered:
             return
         if self.in_flight.finish(pending):
-            self.customers.ended(pending)
-        self.handover.tell(pending.customer, 0.0)
+            self.customers.request_ended(pending)
+        self.peer_usage.report(pending.customer, 0.0)
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -12,7 +12,7 @@
 from quota_gateway.state.records import CustomerKey, FailureKeys, FailureRecord, Moment
 from quota_gateway.state.request_state import RequestState
 from quota_gateway.state.server import Server
-from quota_gateway.state.settings_epochs import Epochs
+from quota_gateway.state.settings_epochs import SettingsEpochs
 from quota_gateway.state.views import Views
 
 __all__ = [
@@ -23,7 +23,7 @@
     "RequestState",
     "Context",
     "Customer",
-    "Epochs",
+    "SettingsEpochs",
     "Endpoints",
     "PendingRequest",
     "ServerGroup",
--- a/quota_gateway/state/views.py
+++ b/quota_gateway/state/views.py
@@ -37,8 +37,8 @@
     left = _alias("graceful_shutdown.is_drained")
     plans = _alias("epochs.plans")
     gateways = _alias("epochs.gateways")
-    customers = _alias("book.known")
-    fresh = _alias("ceilings.fresh")
+    customers = _alias("book.rows")
+    fresh = _alias("ceiling.unseen_levels")
     pool = _alias("concurrency_limit.limit")
     young = _alias("concurrency_limit.attempts_within_threshold")
     ends_at = _alias("responses.shutdown_at_ms")
@@ -46,7 +46,7 @@
     quick = _alias("concurrency_limit.latencies.quick_servers")
     marks = _alias("outlier_detection.rates.records")
     retries = _alias("attempts.retry_budget.tokens")
-    handed = _alias("handover.handed")
+    handed = _alias("peer_usage.peer_has_taken_over")
     pooled = _alias("load_reports.has_connection_news")
     tally_at = _alias("responses.outcome_counters.last_logged_ms")
     tally = _alias("responses.outcome_counters")
@@ -54,8 +54,8 @@
     drains = _alias("graceful_shutdown.drain_number")
     in_hand = _alias("in_flight.occupied_places")
     reserved_units = _alias("in_flight.reserved_units")
-    share = _alias("meter.share")
-    ceiling_level = _alias("ceilings.level")
+    share = _alias("meter.quota_share")
+    ceiling_level = _alias("ceiling.level_units")
     first_latency = _alias("concurrency_limit.initial_latency_ms")
     relist = _alias("endpoint_list.refresh")
     arm = _alias("context.arm")
@@ -63,9 +63,9 @@
 
     def news_ms(self) -> float:
         """How long a reading of the meter is news (ms)."""
-        return float(attrgetter("meter.news_ms")(self))
+        return float(attrgetter("meter.reading_lifetime_ms")(self))
 
     def fresh_ceiling(self, plan: Plan, width: int) -> float:
         """The units that a customer not seen since the start may have of its ceiling now."""
-        level = attrgetter("ceilings.fresh_level")(self)
+        level = attrgetter("ceiling.unseen_level_units")(self)
         return float(level(plan, width, self.now))
