--- a/quota_gateway/net/admin_commands.py
+++ b/quota_gateway/net/admin_commands.py
@@ -9,8 +9,8 @@
 from quota_gateway import api
 from quota_gateway.net.admin import Answer, Handler
 from quota_gateway.net.clients import Clients
-from quota_gateway.net.discovery import Roster
 from quota_gateway.net.driver import Driver
+from quota_gateway.net.endpoint_registry import EndpointRegistry
 from quota_gateway.net.hot_restart import Handover
 
 log = logging.getLogger(__name__)
@@ -21,10 +21,12 @@
 class Operators:
     """The calls. They wait until this process serves: what the one before it knows would undo them."""
 
-    def __init__(self, driver: Driver, clients: Clients, roster: Roster, handover: Handover) -> None:
+    def __init__(
+        self, driver: Driver, clients: Clients, registry: EndpointRegistry, handover: Handover
+    ) -> None:
         self.driver = driver
         self.clients = clients
-        self.roster = roster
+        self.registry = registry
         self.handover = handover
         self.gateway = driver.gateway
         self.up = asyncio.Event()
@@ -81,13 +83,13 @@
     async def offline(self, name: str) -> Answer:
         """Take a server out."""
         await self.up.wait()
-        number = self.roster.number(name)
+        number = self.registry.number(name)
         if not number:
             return NOBODY
-        self.roster.pin(name)
+        self.registry.pin(name)
         self.driver.post(api.ServerAdminDown(number, True))
         if number not in self.gateway.by_hand:
-            self.roster.unpin(name, number in self.gateway.servers)
+            self.registry.unpin(name, number in self.gateway.servers)
             return False, "too many servers are out"
         await self.handover.share()
         log.info("server %s is taken out by hand", name)
@@ -96,12 +98,12 @@
     async def online(self, name: str) -> Answer:
         """Put a server back."""
         await self.up.wait()
-        number = self.roster.number(name)
+        number = self.registry.number(name)
         if not number:
             return NOBODY
         self.driver.post(api.ServerAdminDown(number, False))
         listed = number in self.gateway.servers
-        self.roster.unpin(name, listed)
+        self.registry.unpin(name, listed)
         await self.handover.share()
         log.info("server %s is put back by hand", name)
         return True, "back" if listed else "back, once discovery lists it"
--- /dev/null
+++ b/quota_gateway/net/discovery_backoff.py
@@ -0,0 +1,68 @@
+"""How long a gateway waits before it opens another watch on discovery."""
+
+from __future__ import annotations
+
+import random
+
+from quota_gateway import api
+
+MAX_SILENCE_S = 4.5  # an empty line comes every 2 s; what a silent watch misses counts as known after 6 s
+SILENCE_JITTER_RATIO = 0.3  # gateways whose watches fell silent at once come back one by one
+MIN_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 2.0
+BACKOFF_JITTER_RATIO = 0.5
+MAX_PUSHED_BACKOFF_S = 0.25  # the machine's own agent answers this gateway alone
+MIN_BACKOFF_PER_GATEWAY_S = 0.05  # all gateways share what discovery can answer
+MAX_BACKOFF_PER_GATEWAY_S = 0.2
+POLL_CYCLE_S = 4.0  # from one call to the next: a change that is missed counts as known after 6 s
+PROMPT_FAILURES = 8  # in a row, half a minute of them, until which the cycle is kept to
+MAX_DOUBLINGS = 16
+
+
+class WatchBackoff:
+    """Exponential backoff with jitter, shared fairly among the gateways of a fleet."""
+
+    def __init__(self, seed: int, gateways: int, mode: api.DiscoveryMode) -> None:
+        self.failures = 0  # watches in a row that gave neither a list nor a heartbeat
+        self._random = random.Random(seed)
+        self.configure(gateways, mode)
+
+    def configure(self, gateways: int, mode: api.DiscoveryMode) -> None:
+        """Set how many gateways share discovery, or that an agent of this machine pushes its lists."""
+        self.is_pushed = mode is api.DiscoveryMode.PUSH
+        if self.is_pushed:
+            self.min_s = MIN_BACKOFF_S
+            self.max_s = MAX_PUSHED_BACKOFF_S
+        else:
+            self.min_s = max(MIN_BACKOFF_S, gateways * MIN_BACKOFF_PER_GATEWAY_S)
+            self.max_s = max(MAX_BACKOFF_S, gateways * MAX_BACKOFF_PER_GATEWAY_S)
+
+    def silence_limit_s(self) -> float:
+        """How long the next silence may last before the watch counts as dead; drawn anew each time."""
+        return MAX_SILENCE_S * (1.0 - SILENCE_JITTER_RATIO * self._random.random())
+
+    def pause_s(self, fell_silent: bool = False, unanswered_s: float = 0.0) -> float:
+        """The pause behind a watch that has ended, and was open for so long without any answer.
+
+        Where lists are pushed, a change counts as known whether or not a watch is open, and the agent says
+        nothing while discovery is down: a watch has to be open as it speaks again, at nobody's cost.
+        Where lists are polled, a change counts as known seconds after discovery could be reached. The next
+        poll is in time for that, however the last one ended, at a moment drawn from the time that is left; a
+        watch that fell silent has drawn its moment already.
+
+        Guards against gateways that lose their watches at once and come back at once, and, as failures go
+        on, against a discovery that is kept overloaded by polls alone: the more gateways, the rarer each
+        one's.
+        """
+        backoff_s = min(self.max_s, self.min_s * 2.0 ** min(self.failures, MAX_DOUBLINGS))
+        if self.is_pushed or self.failures >= PROMPT_FAILURES:
+            return self._with_jitter(backoff_s)
+        if self.failures == 0 and fell_silent:
+            return MIN_BACKOFF_S
+        left_s = max(MIN_BACKOFF_S, POLL_CYCLE_S - unanswered_s)
+        if self.failures == 0 and backoff_s > left_s:
+            return left_s * self._random.random()
+        return self._with_jitter(min(backoff_s, left_s))
+
+    def _with_jitter(self, backoff_s: float) -> float:
+        return backoff_s * (1.0 - BACKOFF_JITTER_RATIO * self._random.random())
--- /dev/null
+++ b/quota_gateway/net/endpoint_rows.py
@@ -0,0 +1,109 @@
+"""One row of discovery's endpoint list: read, checked and typed."""
+
+from __future__ import annotations
+
+import socket
+from dataclasses import dataclass
+from math import inf
+from typing import Any
+
+from quota_gateway import api
+from quota_gateway.errors import DiscoveryError
+from quota_gateway.net.servers import Address
+
+STATES = {
+    "Ready": api.ServerState.READY,
+    "Terminating": api.ServerState.DRAINING,
+    "Gone": api.ServerState.REMOVED,
+}
+MAX_SHOWN_CHARACTERS = 200  # of a malformed row, in the log
+MAX_PORT = 65535
+
+
+@dataclass(slots=True)
+class EndpointRow:
+    """A server as discovery lists it."""
+
+    instance_id: str
+    address: Address
+    zone: str
+    machine_type: str
+    cell: int
+    state: api.ServerState
+    weight: float
+    started_ms: float  # Unix time; 0 where it is not told
+
+    @property
+    def is_gone(self) -> bool:
+        """Whether discovery lists the server for the last time."""
+        return self.state is api.ServerState.REMOVED
+
+    def entry(self, server: int) -> api.ServerEntry:
+        """The row for the decisions, which know the server by this number."""
+        return api.ServerEntry(
+            server=server,
+            zone=self.zone,
+            kind=self.machine_type,
+            cell=self.cell,
+            state=self.state,
+            size=self.weight,
+            started_ms=self.started_ms,
+        )
+
+
+def parse_row(document: Any) -> EndpointRow:
+    """The row of a JSON value; a null in it is as if the field were absent.
+
+    Guards against values that would fail only later: an address that can't be connected to, a figure that
+    can't be compared with another.
+
+    Raises:
+        DiscoveryError: Something in the row is not of its kind.
+    """
+    try:
+        return _parse(document)
+    except (KeyError, TypeError, AttributeError, ValueError, OverflowError, OSError):
+        # Any JSON value may stand in place of the row, of a field, or of an address.
+        raise DiscoveryError(f"no entry of a list: {document!r:.{MAX_SHOWN_CHARACTERS}}") from None
+
+
+def _parse(document: Any) -> EndpointRow:
+    weight = document.get("weight")
+    return EndpointRow(
+        instance_id=_text(document["instanceId"]),
+        address=_address(document["hostPort"]),
+        zone=_text(document["zone"] or ""),
+        machine_type=_text(document.get("machineType") or ""),
+        cell=_whole_number(document.get("cell") or 0),
+        state=STATES[_text(document["lifecycle"])],
+        weight=_figure(1.0 if weight is None else weight),
+        started_ms=float(_figure(document.get("startedAtMs") or 0.0)),
+    )
+
+
+def _text(value: Any) -> str:
+    if not isinstance(value, str):
+        raise TypeError(value)
+    return value
+
+
+def _whole_number(value: Any) -> int:
+    if not isinstance(value, int):
+        raise TypeError(value)
+    return value
+
+
+def _figure(value: Any) -> float:
+    if not isinstance(value, (int, float)):
+        raise TypeError(value)
+    if not 0.0 <= float(value) < inf:
+        raise ValueError(value)
+    return value
+
+
+def _address(text: Any) -> Address:
+    host, _, port = text.rpartition(":")
+    socket.inet_pton(socket.AF_INET, host)
+    if not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
+        raise ValueError(text)
+    return host, int(port)
--- a/quota_gateway/net/hot_restart.py
+++ b/quota_gateway/net/hot_restart.py
@@ -271,8 +271,8 @@
         if len(raw) != end["bytes"] or zlib.crc32(raw) != end["crc"]:
             raise ValueError("the state is torn")
         document = json.loads(raw)
-        self.discovery.known(document["list"])
-        state_document.load(self.driver.gateway, document["decisions"], self.discovery.roster.numbers)
+        self.discovery.use_cached_list(document["list"])
+        state_document.load(self.driver.gateway, document["decisions"], self.discovery.registry.numbers)
         self._want(document["operators"])
         self._take_counts(document)
         self.loaded = True
@@ -354,11 +354,11 @@
         self.handed = True
         self.clients.stop_accepting()
         self.driver.post(api.HotRestartBegun())
-        roster = self.discovery.roster
-        names = {number: name for name, number in roster.numbers.items()}
+        registry = self.discovery.registry
+        names = {number: name for name, number in registry.numbers.items()}
         raw = json.dumps(
             {
-                "list": roster.document(),
+                "list": registry.document(),
                 "decisions": state_document.save(self.driver.gateway, names),
                 "operators": self.wanted(),
                 **self._counts(),
@@ -404,8 +404,10 @@
         return link.open
 
     def _pass_server(self, connection: Connection, descriptor: int) -> bool:
-        roster = self.discovery.roster
-        name = next((name for name, number in roster.numbers.items() if number == connection.host.number), "")
+        registry = self.discovery.registry
+        name = next(
+            (name for name, number in registry.numbers.items() if number == connection.host.number), ""
+        )
         if not self.link or not self.link.open or not name:
             return False
         link = self.link
@@ -505,7 +507,7 @@
             self.clients.adopt(sock, bool(about["asked"]), float(about["waited"]), int(about.get("kept", 0)))
             return
         self.servers.elsewhere = max(0, self.servers.elsewhere - 1)
-        task = self.loop.create_task(self.servers.adopt(self.discovery.roster.number(rest.decode()), sock))
+        task = self.loop.create_task(self.servers.adopt(self.discovery.registry.number(rest.decode()), sock))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
@@ -579,8 +581,8 @@
     def wanted(self) -> dict[str, Any]:
         """Servers out, by id, whether the gateway is drained, and the highest token of a caller."""
         gateway = self.driver.gateway
-        roster = self.discovery.roster
-        out = [name for name, number in roster.numbers.items() if number in gateway.by_hand]
+        registry = self.discovery.registry
+        out = [name for name, number in registry.numbers.items() if number in gateway.by_hand]
         return {
             "out": sorted(out),
             "drained": gateway.draining,
@@ -591,15 +593,15 @@
         """Make the same true here."""
         self.token = max(self.token, int(wanted.get("token", 0)))
         out = {str(name) for name in wanted["out"]}
-        roster = self.discovery.roster
+        registry = self.discovery.registry
         before = set(self.wanted()["out"])
         for name in sorted(out - before):
-            roster.pin(name)
-            self.driver.post(api.ServerAdminDown(roster.assign(name), True))
+            registry.pin(name)
+            self.driver.post(api.ServerAdminDown(registry.assign(name), True))
         for name in sorted(before - out):
-            number = roster.number(name)
+            number = registry.number(name)
             self.driver.post(api.ServerAdminDown(number, False))
-            roster.unpin(name, number in self.driver.gateway.servers)
+            registry.unpin(name, number in self.driver.gateway.servers)
         self.driver.post(api.DrainChanged(bool(wanted["drained"])))
 
     async def share(self) -> None:
--- a/quota_gateway/net/reload.py
+++ b/quota_gateway/net/reload.py
@@ -227,7 +227,7 @@
         room = budget(config)
         self.servers.retell(config.settings, room)
         self.clients.retell(config.settings, room)
-        self.discovery.retell(config.settings.gateways, config.settings.discovery)
+        self.discovery.reconfigure(config.settings.gateways, config.settings.discovery)
         self.discovery.move(config.discovery)
         if config.admin != self.config.admin:
             self.door.move(server)
--- a/quota_gateway/process/builder.py
+++ b/quota_gateway/process/builder.py
@@ -47,7 +47,7 @@
     discovery = _discovery(config, driver, servers, clients)
     standby = _standby(clients)
     hot_restart = _hot_restart(config, driver, servers, clients, discovery, standby)
-    admin_commands = Operators(driver, clients, discovery.roster, hot_restart)
+    admin_commands = Operators(driver, clients, discovery.registry, hot_restart)
     admin_endpoint = admin.Door(admin_commands.calls(), admin_commands.fence)
     reload = Reload(config, os.environ, driver, servers, clients, discovery, admin_endpoint, hot_restart)
     admin_endpoint.calls.update(reload.calls())
--- a/tests/test_connection_news.py
+++ b/tests/test_connection_news.py
@@ -9,7 +9,7 @@
 from quota_gateway import CloseIdle, IdleConnectionChanged, ServerAdminDown, Status
 from quota_gateway.net import servers as module
 from quota_gateway.net.admin_commands import Operators
-from quota_gateway.net.discovery import Roster
+from quota_gateway.net.endpoint_registry import EndpointRegistry
 
 
 def a_rig(price: float, count: int = 6) -> Rig:
@@ -109,7 +109,7 @@
     async def test():
         server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(b"v"))
         async with node(server, most_connections=2) as gateway:
-            calls = Operators(gateway.driver, gateway.clients, Roster(), None).calls()
+            calls = Operators(gateway.driver, gateway.clients, EndpointRegistry(), None).calls()
             peer, other = await gateway.peer(), await gateway.peer()
             for number in (2, 3, 4):
                 assert await peer.ask(call(number)) == b"v"
--- a/tests/test_discovery_herd.py
+++ b/tests/test_discovery_herd.py
@@ -7,7 +7,8 @@
 from fakes import node, run
 
 from quota_gateway import DiscoveryMode, Limits, ListKind
-from quota_gateway.net.discovery import BACKOFF_S, SHARED_S, Discovery
+from quota_gateway.net.discovery import Discovery
+from quota_gateway.net.discovery_backoff import MAX_BACKOFF_S, MIN_BACKOFF_PER_GATEWAY_S
 
 GATEWAYS, SERVERS = 14, 24
 
@@ -48,13 +49,13 @@
     pauses = set()
     for seed in range(50):
         discovery = Discovery(("127.0.0.1", 1), lambda *_: None, seed)
-        discovery.failures = 100
-        assert discovery.longest_s == BACKOFF_S[1]
-        pauses.add(discovery.pause_s())
+        discovery.backoff.failures = 100
+        assert discovery.backoff.max_s == MAX_BACKOFF_S
+        pauses.add(discovery.backoff.pause_s())
     assert len(pauses) == 50
-    assert min(pauses) >= BACKOFF_S[1] / 2
-    assert max(pauses) <= BACKOFF_S[1]
-    assert max(pauses) - min(pauses) > BACKOFF_S[1] / 4
+    assert min(pauses) >= MAX_BACKOFF_S / 2
+    assert max(pauses) <= MAX_BACKOFF_S
+    assert max(pauses) - min(pauses) > MAX_BACKOFF_S / 4
 
 
 def test_watches_of_a_large_fleet_together_come_back_no_oftener_than_those_of_a_small_one():
@@ -62,10 +63,10 @@
     for gateways in (10, 40, 160):
         fleet = [Discovery(("127.0.0.1", 1), lambda *_: None, seed, gateways) for seed in range(gateways)]
         for discovery in fleet:
-            discovery.failures = 100
-        rates.append(sum(1.0 / discovery.pause_s() for discovery in fleet))
+            discovery.backoff.failures = 100
+        rates.append(sum(1.0 / discovery.backoff.pause_s() for discovery in fleet))
     assert max(rates) < 1.5 * min(rates)
-    assert all(discovery.pause_s() >= gateways * SHARED_S[0] / 2 for discovery in fleet)
+    assert all(discovery.backoff.pause_s() >= gateways * MIN_BACKOFF_PER_GATEWAY_S / 2 for discovery in fleet)
 
 
 def test_list_that_must_be_asked_for_is_no_error_as_the_watch_is_kept(caplog):
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -163,7 +163,7 @@
             driver.post(listing)
 
         discovery = Discovery(("127.0.0.1", 1), news)
-        discovery.known(
+        discovery.use_cached_list(
             {
                 "generation": 3,
                 "instances": [row(f"s-{number}", fake.port) for number, fake in enumerate(fakes, 1)],
@@ -232,9 +232,9 @@
     async def test():
         server, other = await silent_on_one(), await silent_on_one()
         async with process(tmp_path, server, other) as old, process(tmp_path) as new:
-            roster = old.discovery.roster
-            roster.pin("s-2")
-            old.driver.post(ServerAdminDown(roster.number("s-2"), True))
+            registry = old.discovery.registry
+            registry.pin("s-2")
+            old.driver.post(ServerAdminDown(registry.number("s-2"), True))
             old.driver.post(DrainChanged(True))
             old.handover.offer()
             assert await new.handover.take()
@@ -242,7 +242,7 @@
             new.driver.post(DrainChanged(False))
             await new.handover.share()
             assert not old.driver.gateway.draining
-            old.driver.post(ServerAdminDown(roster.number("s-2"), False))
+            old.driver.post(ServerAdminDown(registry.number("s-2"), False))
             await old.handover.share()
             assert new.handover.wanted() == {"out": [], "drained": False}
             kept = json.loads((tmp_path / KEPT).read_text())
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -8,8 +8,11 @@
 from fakes import FakeDiscovery, chunk, listing, row, run, until
 
 from quota_gateway import DiscoveryMode, ListKind, ServerState
-from quota_gateway.net import discovery as module
+from quota_gateway.errors import DiscoveryError
+from quota_gateway.net import discovery_backoff as backoff_module
 from quota_gateway.net.discovery import Discovery
+from quota_gateway.net.discovery_backoff import PROMPT_FAILURES
+from quota_gateway.net.endpoint_registry import EndpointRegistry
 
 
 @asynccontextmanager
@@ -30,7 +33,9 @@
 def test_known_list_then_changes_and_what_was_missed_after_a_break():
     async def test():
         async with watched() as (discovery, fake, news):
-            discovery.known({"generation": 41, "reset": True, "instances": [row("s-1", 1), row("s-2", 2)]})
+            discovery.use_cached_list(
+                {"generation": 41, "reset": True, "instances": [row("s-1", 1), row("s-2", 2)]}
+            )
             told, addresses = await news.get()
             assert told.kind is ListKind.CACHED
             assert addresses == {1: ("127.0.0.1", 1), 2: ("127.0.0.1", 2)}
@@ -85,6 +90,8 @@
                 {"weight": [1]},
                 {"startedAtMs": float("inf")},
                 {"startedAtMs": "x"},
+                {"startedAtMs": 10**400},
+                {"weight": 10**400},
                 {"cell": "x"},
                 {"machineType": 7},
                 {"instanceId": 7},
@@ -114,19 +121,19 @@
 def test_nulls_in_a_row_are_as_if_they_were_not_there():
     nothing = dict.fromkeys(("zone", "machineType", "cell", "weight", "startedAtMs"))
     rows = [{**row("s", 1), **nothing}]
-    (entry,) = module.Roster().read({"generation": 1, "reset": True, "instances": rows})[0].entries
+    (entry,) = EndpointRegistry().apply({"generation": 1, "reset": True, "instances": rows}).listing.entries
     assert (entry.zone, entry.kind, entry.cell, entry.size, entry.started_ms) == ("", "", 0, 1.0, 0.0)
 
 
 def test_names_in_lists_that_are_malformed_are_not_kept():
-    roster = module.Roster()
+    registry = EndpointRegistry()
     for number in range(100):
         rows = [row(f"s-{number}-{n}", 1) for n in range(10)]
         rows.append({**rows[0], "cell": "x"})
-        with pytest.raises(ValueError):  # noqa: PT011  any row's fault
-            roster.read({"generation": number, "reset": False, "instances": rows})
-    assert not roster.numbers
-    assert not roster.rows
+        with pytest.raises(DiscoveryError, match="no entry of a list"):
+            registry.apply({"generation": number, "reset": False, "instances": rows})
+    assert not registry.numbers
+    assert not registry.rows
 
 
 def test_lines_behind_a_malformed_one_do_not_hide_that_it_was_lost():
@@ -147,7 +154,7 @@
 def test_malformed_known_list_is_not_fatal(known):
     async def test():
         async with watched() as (discovery, fake, news):
-            discovery.known(known)
+            discovery.use_cached_list(known)
             target, _ = await fake.watch()
             assert target == "/discovery/hosts?watch=1"
             assert news.empty()
@@ -156,7 +163,7 @@
 
 
 def test_watch_without_a_line_is_dead_and_replaced(monkeypatch):
-    monkeypatch.setattr(module, "SILENT_S", 0.05)
+    monkeypatch.setattr(backoff_module, "MAX_SILENCE_S", 0.05)
 
     async def test():
         async with watched() as (_, fake, news):
@@ -170,7 +177,7 @@
 
 
 def test_watch_whose_line_never_ends_is_dead_too(monkeypatch):
-    monkeypatch.setattr(module, "SILENT_S", 0.2)
+    monkeypatch.setattr(backoff_module, "MAX_SILENCE_S", 0.2)
 
     async def test():
         async with watched() as (_, fake, news):
@@ -188,8 +195,9 @@
 
 
 def test_agent_that_falls_silent_is_watched_on_at_once_however_many_gateways_there_are(monkeypatch):
-    monkeypatch.setattr(module, "SILENT_S", 0.05)
-    monkeypatch.setattr(module, "SHARED_S", (1000.0, 1000.0))
+    monkeypatch.setattr(backoff_module, "MAX_SILENCE_S", 0.05)
+    monkeypatch.setattr(backoff_module, "MIN_BACKOFF_PER_GATEWAY_S", 1000.0)
+    monkeypatch.setattr(backoff_module, "MAX_BACKOFF_PER_GATEWAY_S", 1000.0)
 
     async def test():
         async with watched(1, 200, DiscoveryMode.PUSH) as (_, fake, news):
@@ -204,7 +212,8 @@
 
 @pytest.mark.parametrize("reachable", [True, False])
 def test_discovery_that_moves_is_watched_at_its_new_address_at_once(monkeypatch, reachable):
-    monkeypatch.setattr(module, "BACKOFF_S", (1000.0, 1000.0))
+    monkeypatch.setattr(backoff_module, "MIN_BACKOFF_S", 1000.0)
+    monkeypatch.setattr(backoff_module, "MAX_BACKOFF_S", 1000.0)
 
     async def test():
         async with watched() as (discovery, fake, news):
@@ -254,17 +263,17 @@
 
 
 def test_server_that_is_gone_is_forgotten_by_name():
-    roster = module.Roster()
-    roster.read({"generation": 1, "reset": True, "instances": [row("s-1", 1), row("s-2", 2)]})
-    told, _ = roster.read({"generation": 2, "reset": False, "instances": [row("s-1", 1, "Gone")]})
-    assert told.entries[0].state is ServerState.REMOVED
-    assert set(roster.numbers) == {"s-2"}
-    (second,) = roster.numbers.values()
-    roster.read({"generation": 3, "reset": False, "instances": [row("s-2", 2, "Gone")]})
-    roster.read({"generation": 3, "reset": False, "instances": [row("s-4", 4)]})
-    assert roster.numbers["s-4"] > second  # attempts on s-2 may still be out under its number
-    roster.read({"generation": 3, "reset": True, "instances": [row("s-3", 3)]})
-    assert set(roster.numbers) == {"s-3"}
+    registry = EndpointRegistry()
+    registry.apply({"generation": 1, "reset": True, "instances": [row("s-1", 1), row("s-2", 2)]})
+    told = registry.apply({"generation": 2, "reset": False, "instances": [row("s-1", 1, "Gone")]})
+    assert told.listing.entries[0].state is ServerState.REMOVED
+    assert set(registry.numbers) == {"s-2"}
+    (second,) = registry.numbers.values()
+    registry.apply({"generation": 3, "reset": False, "instances": [row("s-2", 2, "Gone")]})
+    registry.apply({"generation": 3, "reset": False, "instances": [row("s-4", 4)]})
+    assert registry.numbers["s-4"] > second  # attempts on s-2 may still be out under its number
+    registry.apply({"generation": 3, "reset": True, "instances": [row("s-3", 3)]})
+    assert set(registry.numbers) == {"s-3"}
 
 
 # ---- What crosses the end of a watch
@@ -284,23 +293,23 @@
 @pytest.mark.parametrize("silent", [True, False])
 def test_watches_of_a_shared_discovery_that_ended_at_once_are_back_in_time_and_one_by_one(silent):
     watchers = fleet(200)
-    moments = [one.silent_s() * silent + one.pause_s(silent) for one in watchers]
+    moments = [one.backoff.silence_limit_s() * silent + one.backoff.pause_s(silent) for one in watchers]
     assert max(moments) <= TOLD_S - 1.4  # time for the answer, where 200 are answered in turn
     assert most_at_once(moments) <= 30
     for one in watchers:
-        one.failures = module.PROMPT  # it does not answer: a storm of calls would keep it down
-    assert min(one.pause_s(silent) for one in watchers) >= 5.0
+        one.backoff.failures = PROMPT_FAILURES  # it does not answer: a storm of calls would keep it down
+    assert min(one.backoff.pause_s(silent) for one in watchers) >= 5.0
 
 
 @pytest.mark.parametrize("took_s", [0.0, 1.0, 3.0, 4.0, 4.5])
 @pytest.mark.parametrize("silent", [True, False])
 def test_calls_that_fail_one_after_the_other_are_in_time_for_what_is_told_and_come_one_by_one(silent, took_s):
     """Whatever the last call came to, and however long it waited."""
-    for failures in range(module.PROMPT):
+    for failures in range(PROMPT_FAILURES):
         watchers = fleet(200)
         for one in watchers:
-            one.failures = failures
-        pauses = [one.pause_s(silent, took_s) for one in watchers]
+            one.backoff.failures = failures
+        pauses = [one.backoff.pause_s(silent, took_s) for one in watchers]
         assert max(pauses) + took_s <= TOLD_S - 1.4
         if took_s <= 3.0 and not (silent and failures == 0):
             assert most_at_once(pauses) <= 60
@@ -308,26 +317,27 @@
 
 def test_call_that_is_turned_back_after_a_while_is_made_again_within_the_cycle(monkeypatch):
     """By the first call's beginning, not by its end."""
-    monkeypatch.setattr(module, "SHARED_S", (1000.0, 1000.0))
+    monkeypatch.setattr(backoff_module, "MIN_BACKOFF_PER_GATEWAY_S", 1000.0)
+    monkeypatch.setattr(backoff_module, "MAX_BACKOFF_PER_GATEWAY_S", 1000.0)
     waits = []
 
     async def test():
         fake = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         answered = asyncio.Event()
         discovery = Discovery(fake.sockets[0].getsockname(), lambda *_: None, 1, 200, DiscoveryMode.POLL)
-        pause_s = discovery.pause_s
+        pause_s = discovery.backoff.pause_s
 
         def asked(silent, took_s):
             waits.append((silent, took_s))
             answered.set()
             return pause_s(silent, took_s)
 
-        monkeypatch.setattr(discovery, "pause_s", asked)
-        monkeypatch.setattr(module, "SILENT_S", 0.05)
+        monkeypatch.setattr(discovery.backoff, "pause_s", asked)
+        monkeypatch.setattr(backoff_module, "MAX_SILENCE_S", 0.05)
         task = asyncio.get_running_loop().create_task(discovery.run())
         await answered.wait()
         assert waits[0][0]
-        assert waits[0][1] >= 0.05 * (1.0 - module.SILENT_SPREAD)
+        assert waits[0][1] >= 0.05 * (1.0 - backoff_module.SILENCE_JITTER_RATIO)
         task.cancel()
         fake.close()
 
@@ -335,7 +345,8 @@
 
 
 def test_agent_that_resets_its_watch_is_watched_on_at_once_however_many_gateways_there_are(monkeypatch):
-    monkeypatch.setattr(module, "SHARED_S", (1000.0, 1000.0))
+    monkeypatch.setattr(backoff_module, "MIN_BACKOFF_PER_GATEWAY_S", 1000.0)
+    monkeypatch.setattr(backoff_module, "MAX_BACKOFF_PER_GATEWAY_S", 1000.0)
 
     async def test():
         async with watched(1, 200, DiscoveryMode.PUSH) as (_, fake, news):
@@ -355,7 +366,7 @@
 
 
 def test_watch_that_is_silent_again_from_its_start_is_opened_again(monkeypatch):
-    monkeypatch.setattr(module, "SILENT_S", 0.05)
+    monkeypatch.setattr(backoff_module, "MAX_SILENCE_S", 0.05)
 
     async def test():
         async with watched() as (discovery, fake, news):
@@ -395,7 +406,7 @@
 
 def test_long_indented_list_is_not_read_again_for_each_of_its_lines(monkeypatch):
     looks, loads = [], json.loads
-    monkeypatch.setattr(module.json, "loads", lambda text: (looks.append(1), loads(text))[1])
+    monkeypatch.setattr(json, "loads", lambda text: (looks.append(1), loads(text))[1])
 
     async def test():
         async with watched() as (_, fake, news):
@@ -460,9 +471,8 @@
                     lambda: bool(
                         discovery.watch
                         and (
-                            discovery.watch.text
-                            or discovery.watch.line
-                            or discovery.watch.why
+                            discovery.watch.stream.buffered_bytes
+                            or discovery.watch.has_ended
                             or not news.empty()
                         )
                     )
@@ -482,7 +492,8 @@
 
 
 def test_watch_that_ends_in_the_instant_in_which_discovery_moves_is_opened_at_the_new_address(monkeypatch):
-    monkeypatch.setattr(module, "BACKOFF_S", (1000.0, 1000.0))
+    monkeypatch.setattr(backoff_module, "MIN_BACKOFF_S", 1000.0)
+    monkeypatch.setattr(backoff_module, "MAX_BACKOFF_S", 1000.0)
 
     async def test():
         async with watched() as (discovery, fake, news):
@@ -503,8 +514,10 @@
 
 @pytest.mark.parametrize("status", [b"503 Busy", b"500 Odd"])
 def test_body_of_a_refusal_is_no_list_and_no_sign_of_life(status, monkeypatch):
-    monkeypatch.setattr(module, "BACKOFF_S", (0.0, 0.0))
-    monkeypatch.setattr(module, "SHARED_S", (0.0, 0.0))
+    monkeypatch.setattr(backoff_module, "MIN_BACKOFF_S", 0.0)
+    monkeypatch.setattr(backoff_module, "MAX_BACKOFF_S", 0.0)
+    monkeypatch.setattr(backoff_module, "MIN_BACKOFF_PER_GATEWAY_S", 0.0)
+    monkeypatch.setattr(backoff_module, "MAX_BACKOFF_PER_GATEWAY_S", 0.0)
     body = b"\n\n" + listing(9, row("s-9", 9), reset=True)
 
     async def test():
@@ -516,12 +529,12 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         discovery = Discovery(server.sockets[0].getsockname(), lambda *told: news.put_nowait(told))
-        discovery.known({"generation": 4, "instances": []})
+        discovery.use_cached_list({"generation": 4, "instances": []})
         task = asyncio.get_running_loop().create_task(discovery.run())
         await until(lambda: len(targets) >= 4)
         assert set(targets) == {b"/discovery/hosts?watch=1&from=4"}
         assert news.qsize() == 1
-        assert discovery.failures >= 3
+        assert discovery.backoff.failures >= 3
         task.cancel()
         server.close()
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -81,7 +81,7 @@
             servers.connect_timeout_s,
             servers.idle_limit_s,
             self.discovery.address,
-            self.discovery.longest_s,
+            self.discovery.backoff.max_s,
             self.door.server,
             self.reload.config,
             self.reload.revision,
