--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -4,9 +4,9 @@
 
 from quota_gateway.api import Cancel, ClientDisconnected, Fail, Plan, Reject, ShutdownBegun
 from quota_gateway.policy.concurrency_limit import Pressure
-from quota_gateway.policy.hot_restart import Handover
+from quota_gateway.policy.hot_restart import PeerUsageExchange
 from quota_gateway.policy.retry_policy import harmless
-from quota_gateway.state import Context, Customer, PendingRequest, Tally
+from quota_gateway.state import Context, Customer, OutcomeCounters, PendingRequest
 
 ANSWER_TICKS = 2.0  # ticks before the client's deadline of the last answer: one to fire, one to spare
 TALLY_MS = 5000.0  # between two lines that tell what was given up, and why
@@ -15,15 +15,15 @@
 class Answers:
     """Owns when this gateway ends, and the count of what is given up."""
 
-    def __init__(self, context: Context, pressure: Pressure, handover: Handover) -> None:
+    def __init__(self, context: Context, pressure: Pressure, peer_usage: PeerUsageExchange) -> None:
         self.context = context
         self.pressure = pressure
-        self.handover = handover
-        self.hand = handover.hand
-        self.customers = handover.customers
-        self.meter = handover.customers.meter
+        self.peer_usage = peer_usage
+        self.hand = peer_usage.hand
+        self.customers = peer_usage.customers
+        self.meter = peer_usage.customers.meter
         self.ends_at = inf  # of this gateway
-        self.tally = Tally(TALLY_MS)
+        self.tally = OutcomeCounters(TALLY_MS)
 
     def refuse(self, request_id: str, advice_ms: float) -> None:
         """Refuse, with the advice to come again after so long, where the settings allow to give any."""
@@ -72,7 +72,7 @@
     def _come_back(self, pending: PendingRequest) -> float:
         """When it may come again: the quota has room then, and those that wait here now have had a turn."""
         turns = self.pressure.turns_ms(pending.request_class, len(self.hand.parked))
-        return max(turns, self.meter.advice(pending.customer, pending.plan, 0.0, self.context.now))
+        return max(turns, self.meter.retry_after_ms(pending.customer, pending.plan, 0.0, self.context.now))
 
     def gone(self, event: ClientDisconnected) -> None:
         """The client has left: nothing is owed any more."""
@@ -92,14 +92,14 @@
 
     def settle(self, customer: Customer, guess: float, true: float) -> None:
         """Put a guess of units right."""
-        units = self.meter.correction(guess, true)
+        units = self.meter.correction_units(guess, true)
         self.meter.charge(customer, units)
-        self.handover.tell(customer, units)
+        self.peer_usage.report(customer, units)
 
     def drop_if_done(self, pending: PendingRequest) -> None:
         """Forget a request that has its answer and no attempt out."""
         if not pending.answered:
             return
         if self.hand.drop(pending):
-            self.customers.ended(pending)
-        self.handover.tell(pending.customer, 0.0)
+            self.customers.request_ended(pending)
+        self.peer_usage.report(pending.customer, 0.0)
