--- /dev/null
+++ b/quota_gateway/net/servers/host.py
@@ -0,0 +1,30 @@
+"""A server as the sockets see it: its address, and its idle connections."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from quota_gateway.net.servers.connection import Connection
+
+Address = tuple[str, int]
+
+
+class Host:
+    """A server by its last entry in the endpoint list.
+
+    ``epoch`` counts the changes that make older connections unusable: a connection whose epoch differs is
+    closed instead of used.
+    """
+
+    __slots__ = ("number", "address", "started_ms", "listed", "ready", "idle", "epoch", "reported_idle")
+
+    def __init__(self, number: int) -> None:
+        self.number = number
+        self.address: Address = ("", 0)
+        self.started_ms = 0.0
+        self.epoch = 0
+        self.listed = False  # listed as ready
+        self.ready = False  # listed as ready, and not taken out by an operator
+        self.idle: list[Connection] = []  # the most recently used last
+        self.reported_idle = False  # whether the decisions believe that a connection is idle
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -1,139 +1,238 @@
-"""Admission: what goes out at once, is held, is parked, or is refused, and with what advice.
+"""Admission: which requests are sent at once, held, queued, rejected or shed.
 
-The customer's meter says send, hold or refuse; after a hold, or at once, cap, ceiling and pool let a request
-out to a server; else it is parked, and tried again whenever an attempt ends or the list changes.
+A new request first meets its customer's limits: it is rejected, held until the quota share has room, or
+admitted. An admitted request then needs a place under the concurrency cap, units of the rate ceiling, room
+under the concurrency limit and a server; until it has all of these it is queued, and tried again whenever an
+attempt ends or the endpoint list changes.
 """
 
+from __future__ import annotations
+
+from dataclasses import dataclass
+
 from quota_gateway.api import Plan, Request, RequestClass
 from quota_gateway.policy.attempts import Attempts
 from quota_gateway.policy.concurrency_cap import ConcurrencyCap
 from quota_gateway.policy.customers import Customers
-from quota_gateway.policy.quota_meter import Hold, RejectOverQuota
-from quota_gateway.state import Context, Customer, PendingRequest
+from quota_gateway.policy.quota_meter import REJECT_OVER_QUOTA, Admit, Hold, RejectOverQuota
+from quota_gateway.state import Context, Customer, GiveUpReason, PendingRequest, Server
+
+
+@dataclass(frozen=True, slots=True)
+class SendTo:
+    """The first attempt goes to this server now."""
+
+    server: Server
+
+
+@dataclass(frozen=True, slots=True)
+class Queue:
+    """The request waits; above 0 is the time until the rate ceiling has units for it."""
+
+    rate_ceiling_wait_ms: float
+
+
+@dataclass(frozen=True, slots=True)
+class GiveUp:
+    """The request gets its final answer from this gateway."""
+
+    reason: GiveUpReason
+
+
+QUEUE = Queue(0.0)
 
 
 class Admission:
-    """Owns who waits for the end of a hold, and who is parked (``InFlightRequests.parked``)."""
+    """Decides on new and queued requests, and carries the decisions out.
+
+    The methods that return a decision change nothing, apart from the draws and the quota's account that
+    their docstrings name.
+    """
 
     def __init__(
-        self, context: Context, customers: Customers, cap: ConcurrencyCap, attempts: Attempts
+        self,
+        context: Context,
+        customers: Customers,
+        concurrency_cap: ConcurrencyCap,
+        attempts: Attempts,
     ) -> None:
         self.context = context
         self.customers = customers
         self.attempts = attempts
         self.meter = customers.meter
         self.ceiling = customers.ceiling
-        self.cap = cap
-        self.answers = attempts.answers
-        self.pressure = attempts.pressure
-        self.choice = attempts.choice
-        self.hand = self.answers.hand
-
-    def _useful(self, kind: RequestClass) -> float:
-        """How long a hold may last for the answer to come within the aim: what comes later earns nothing, or
-        little. Harm: a class that earns much after its aim is refused what it could have had.
+        self.concurrency_cap = concurrency_cap
+        self.responses = attempts.responses
+        self.concurrency_limit = attempts.concurrency_limit
+        self.server_selection = attempts.server_selection
+        self.in_flight = attempts.in_flight
+
+    # New requests
+
+    def on_request(self, request: Request, request_class: RequestClass, plan: Plan) -> None:
+        """Admit, hold or reject a new request."""
+        customer = self.customers.find_or_add(request, plan)
+        if reason := self._exceeded_limit(request, customer, plan):
+            self._reject(request, customer, plan, reason)
+            return
+        slow_start_draw = self.context.random.random()
+        now_ms = self.context.now
+        self.meter.record_demand(customer, plan, request.units, now_ms)
+        decision = self.quota_decision(request, request_class, customer, plan)
+        if isinstance(decision, RejectOverQuota):
+            self._reject(request, customer, plan, GiveUpReason.OVER_QUOTA)
+            return
+        self.meter.apply(customer, decision, now_ms)
+        epoch = self.customers.epochs.epoch
+        pending = PendingRequest(request, request_class, plan, customer, now_ms, slow_start_draw, epoch)
+        self._admit(pending, decision)
+
+    def useful_hold_ms(self, request_class: RequestClass) -> float:
+        """How long a request may wait and still be answered within its latency objective.
+
+        A response later than that is worth little or nothing.
         """
-        return kind.latency_objective_ms - self.pressure.latencies.mean[kind.name]
+        mean_latency_ms = self.concurrency_limit.latencies.mean_ms[request_class.name]
+        return request_class.latency_objective_ms - mean_latency_ms
 
-    def _longest_hold(self, kind: RequestClass) -> float:
-        """How long a hold may last: what is useful to the class worth most, less for one worth less.
+    def longest_hold_ms(self, request: Request, request_class: RequestClass) -> float:
+        """The longest delay for which a new request is held rather than rejected.
 
-        Guards against inversion: at a customer over its quota the excess settles where the class with the
-        longest aim is still held, and classes with shorter aims, maybe worth more, find it beyond theirs.
-        Harm: a burst of what is worth little is refused though its hold would have ended within the aim.
+        It ends with the client's timeout, with this gateway, and with the useful hold, which is scaled by the
+        class's priority weight. Without the scaling priorities would invert at a customer over its quota: its
+        excess settles where the class with the longest objective is still held, and classes with shorter
+        objectives, maybe of more weight, would always be rejected.
         """
-        return max(0.0, self._useful(kind)) * kind.priority_weight / self.context.highest_priority_weight
-
-    def request(self, event: Request, kind: RequestClass, plan: Plan) -> None:
-        """A new request: the customer's meter says send, hold or refuse."""
-        now = self.context.now
-        answers = self.answers
-        customer = self.customers.find_or_add(event, plan)
-        if event.is_retry and self.meter.has_thin_share(customer, plan):
-            self._refuse(event, customer, plan, "thin")
-            return
-        if self.cap.rejects_for_overuse(customer, plan, now):
-            self._refuse(event, customer, plan, "cap")
-            return
-        turn = self.context.random.random()
-        epoch = self.customers.epochs.epoch
-        pending = PendingRequest(event, kind, plan, customer, now, turn, epoch)
-        self.meter.record_demand(customer, plan, event.units, now)
-        decision = self.meter.decide(customer, plan, event.units, now)
-        if isinstance(decision, RejectOverQuota) or (
-            isinstance(decision, Hold) and self._is_too_long(decision, event, kind)
-        ):
-            self._refuse(event, customer, plan, "quota")
-            return
-        self.meter.apply(customer, decision, now)
-        self.hand.take(pending)
-        answers.peer_usage.report(customer, event.units)
-        answers.limit(pending)
+        highest_weight = self.context.highest_priority_weight
+        useful_ms = max(0.0, self.useful_hold_ms(request_class)) * request_class.priority_weight
+        remaining_ms = self.responses.shutdown_at_ms - self.context.now
+        return min(request.client_timeout_ms, remaining_ms, useful_ms / highest_weight)
+
+    def _exceeded_limit(self, request: Request, customer: Customer, plan: Plan) -> GiveUpReason | None:
+        """A limit other than the quota for which a new request is rejected; may draw a random number."""
+        if request.is_retry and self.meter.has_thin_share(customer, plan):
+            return GiveUpReason.THIN_SHARE_RETRY
+        if self.concurrency_cap.rejects_for_overuse(customer, plan, self.context.now):
+            return GiveUpReason.OVER_CONCURRENCY_CAP
+        return None
+
+    def quota_decision(
+        self, request: Request, request_class: RequestClass, customer: Customer, plan: Plan
+    ) -> Admit | Hold | RejectOverQuota:
+        """The quota meter's decision, but for holds that would last too long: these are rejected."""
+        decision = self.meter.decide(customer, plan, request.units, self.context.now)
+        if not isinstance(decision, Hold):
+            return decision
+        if decision.delay_ms >= self.longest_hold_ms(request, request_class):
+            return REJECT_OVER_QUOTA
+        return decision
+
+    def _reject(self, request: Request, customer: Customer, plan: Plan, reason: GiveUpReason) -> None:
+        """Reject a new request, with the time after which its customer's quota share has room for it."""
+        self.responses.count_given_up(reason, plan)
+        if plan.rate:
+            retry_after_ms = self.meter.retry_after_ms(customer, plan, request.units, self.context.now)
+        else:
+            retry_after_ms = self.context.settings.meter_period_ms
+        self.responses.reject(request.request_id, retry_after_ms)
+
+    def _admit(self, pending: PendingRequest, decision: Admit | Hold) -> None:
+        """Take a request; it is sent or queued at once, or at the end of its hold."""
+        self.in_flight.add(pending)
+        self.responses.peer_usage.report(pending.customer, pending.request.units)
+        self.responses.arm_deadline(pending)
         if isinstance(decision, Hold):
-            pending.release_timer_armed = True
-            self.context.arm(decision.delay_ms, self._end_hold, pending)
+            self.in_flight.hold(pending)
+            self.context.arm(decision.delay_ms, self._on_hold_ended, pending)
         else:
-            self._release(pending)
-
-    def _is_too_long(self, hold: Hold, event: Request, kind: RequestClass) -> bool:
-        """Whether a hold outlasts the client, this gateway or its use."""
-        gateway_left_ms = self.answers.ends_at - self.context.now
-        return hold.delay_ms >= min(event.client_timeout_ms, gateway_left_ms, self._longest_hold(kind))
-
-    def _refuse(self, event: Request, customer: Customer, plan: Plan, why: str) -> None:
-        self.answers.count(why, plan)
-        advice = self.meter.retry_after_ms(customer, plan, event.units, self.context.now)
-        self.answers.refuse(event.request_id, advice if plan.rate else self.context.settings.meter_period_ms)
-
-    def _end_hold(self, pending: PendingRequest) -> None:
-        pending.release_timer_armed = False
-        if not pending.answered and pending.attempts_started == 0:
-            self._release(pending)
-
-    def _release(self, pending: PendingRequest) -> None:
-        """First send: within the in-flight cap and the ceiling, to a server; else parked until it may go."""
-        now = self.context.now
-        wait = self.ceiling.wait_ms(pending, now)
-        if wait >= pending.deadline_ms - now:
-            self.answers.give_up(pending, "ceiling")
-            return
-        held = wait or self.cap.is_reached(pending, now) or self.pressure.full(pending.slow_start_draw)
-        server = None if held else self.choice.first(pending)
-        if server:
-            self.hand.parked.pop(pending.request.request_id, None)
-            self.attempts.send(pending, server)
+            self._send_or_queue(pending)
+
+    def _on_hold_ended(self, pending: PendingRequest) -> None:
+        if pending.is_held:
+            self._send_or_queue(pending)
+
+    # Requests that were admitted
+
+    def placement(self, pending: PendingRequest) -> SendTo | Queue | GiveUp:
+        """What becomes of a request that waits for its first attempt; the choice of a server draws."""
+        now_ms = self.context.now
+        wait_ms = self.ceiling.wait_ms(pending, now_ms)
+        if wait_ms >= pending.deadline_ms - now_ms:
+            return GiveUp(GiveUpReason.OVER_RATE_CEILING)
+        if wait_ms:
+            return Queue(wait_ms)
+        if self.concurrency_cap.is_reached(pending, now_ms):
+            return QUEUE
+        if self.concurrency_limit.is_reached(pending.slow_start_draw):
+            return QUEUE
+        server = self.server_selection.first(pending)
+        return SendTo(server) if server else QUEUE
+
+    def _send_or_queue(self, pending: PendingRequest) -> None:
+        """Carry out where a request goes that waits for its first attempt."""
+        decision = self.placement(pending)
+        if isinstance(decision, SendTo):
+            self.attempts.send(pending, decision.server)
+        elif isinstance(decision, Queue):
+            self._queue(pending, decision.rate_ceiling_wait_ms)
         else:
-            self._park(pending, wait)
-
-    def _park(self, pending: PendingRequest, wait: float) -> None:
-        """Hold what can't go now; the least worth for its work is refused when more wait than go at once: a
-        queue must not outlast the aim. Harm: a short burst over few servers is refused needlessly.
-        """
-        parked = self.hand.parked
-        if pending.request.request_id not in parked:
-            last = pending.arrived_ms + self._useful(pending.request_class) - self.context.now
-            self.context.arm(max(0.0, last), self._end_park, pending)
-        parked[pending.request.request_id] = pending
-        if self.choice.fleet.servers and len(parked) > max(1.0, self.pressure.size):
-            self.answers.give_up(min(parked.values(), key=self.pressure.value), "crowded")
-        if wait and not pending.answered and not pending.release_timer_armed:
-            pending.release_timer_armed = (
-                True  # one timer each: every outcome tries all that are parked again
+            self.responses.reject_or_fail(pending, decision.reason)
+
+    def _queue(self, pending: PendingRequest, rate_ceiling_wait_ms: float) -> None:
+        """Queue a request, or leave it in the queue, and shed one if too many are queued now."""
+        if not pending.is_queued:
+            useful_until_ms = pending.arrived_ms + self.useful_hold_ms(pending.request_class)
+            self.context.arm(
+                max(0.0, useful_until_ms - self.context.now), self._on_useful_hold_ended, pending
             )
-            self.context.arm(wait + self.context.settings.tick_ms, self._end_hold, pending)
-
-    def _end_park(self, pending: PendingRequest) -> None:
-        if pending.attempts_started == 0 and self.choice.fleet.ready:
-            now = self.context.now
-            capped = self.cap.is_reached(pending, now)
-            short = self.ceiling.wait_ms(pending, now) > 0.0
-            cause = "cap" if capped else "ceiling" if short else "pool"
-            self.answers.give_up(pending, f"waited: {cause}")
-
-    def retry_parked(self) -> None:
-        """Whatever waits may go now: try it, what is worth most first."""
-        if not self.hand.parked:
+            self.in_flight.enqueue(pending)
+        shed = self.request_to_shed()
+        if shed:
+            self.responses.reject_or_fail(shed, GiveUpReason.QUEUE_FULL)
+        # At most one timer for each request: whenever an attempt ends, all that are queued are tried again.
+        if rate_ceiling_wait_ms and pending.is_queued and not pending.rate_ceiling_timer_armed:
+            pending.rate_ceiling_timer_armed = True
+            delay_ms = rate_ceiling_wait_ms + self.context.settings.tick_ms
+            self.context.arm(delay_ms, self._on_rate_ceiling_wait_ended, pending)
+
+    def request_to_shed(self) -> PendingRequest | None:
+        """The queued request of least priority, if more are queued than may be in flight at once.
+
+        A longer queue would outlast the latency objective of what waits in it.
+        """
+        queued = self.in_flight.queued
+        if not self.server_selection.endpoints.servers:
+            return None
+        if len(queued) <= max(1.0, self.concurrency_limit.limit):
+            return None
+        return min(queued.values(), key=self.concurrency_limit.queue_priority)
+
+    def _on_rate_ceiling_wait_ended(self, pending: PendingRequest) -> None:
+        pending.rate_ceiling_timer_armed = False
+        if pending.is_queued:
+            self._send_or_queue(pending)
+
+    def _on_useful_hold_ended(self, pending: PendingRequest) -> None:
+        """A response could no longer be within the objective; without any server it waits on all the same."""
+        if pending.is_queued and self.server_selection.endpoints.ready:
+            self.responses.reject_or_fail(pending, self.queued_reason(pending))
+
+    def queued_reason(self, pending: PendingRequest) -> GiveUpReason:
+        """What a queued request waits for, as the reason for which it is given up."""
+        now_ms = self.context.now
+        if self.concurrency_cap.is_reached(pending, now_ms):
+            return GiveUpReason.QUEUED_FOR_CONCURRENCY_CAP
+        if self.ceiling.wait_ms(pending, now_ms) > 0.0:
+            return GiveUpReason.QUEUED_FOR_RATE_CEILING
+        return GiveUpReason.QUEUED_FOR_CONCURRENCY_LIMIT
+
+    def release_queued(self) -> None:
+        """Try all queued requests again, those of highest priority first."""
+        if not self.in_flight.queued:
             return
-        for pending in sorted(self.hand.parked.values(), key=self.pressure.value, reverse=True):
-            if not pending.answered:
-                self._release(pending)
+        by_priority = sorted(
+            self.in_flight.queued.values(), key=self.concurrency_limit.queue_priority, reverse=True
+        )
+        for pending in by_priority:
+            if pending.is_queued:  # it may have been shed meanwhile
+                self._send_or_queue(pending)
