--- a/quota_gateway/net/admin_commands.py
+++ b/quota_gateway/net/admin_commands.py
@@ -51,8 +51,8 @@
             return False, "the next process has taken over"
         if not self.up.is_set() or not self.clients.ready:
             return False, "the list of servers is not known yet"
-        drained = "drained" if self.gateway.draining else "serving"
-        return True, f"{drained}, {len(self.gateway.by_hand)} servers out"
+        drained = "drained" if self.gateway.graceful_shutdown.is_draining else "serving"
+        return True, f"{drained}, {len(self.gateway.endpoints.admin_down)} servers out"
 
     async def fence(self, token: int) -> int:
         """Take a caller's token: 0 if it may act, else the higher one. Known to the other process, too."""
@@ -66,7 +66,7 @@
 
     async def figures(self, _: str) -> Answer:
         """What this process has done since its start."""
-        reasons = self.gateway.tally.totals
+        reasons = self.gateway.responses.outcome_counters.totals
         return True, self.driver.figures.look(reasons, len(self.driver.calls), self.revision)
 
     async def retire(self, _: str) -> Answer:
@@ -88,8 +88,8 @@
             return NOBODY
         self.registry.pin(name)
         self.driver.post(api.ServerAdminDown(number, True))
-        if number not in self.gateway.by_hand:
-            self.registry.unpin(name, number in self.gateway.servers)
+        if number not in self.gateway.endpoints.admin_down:
+            self.registry.unpin(name, number in self.gateway.endpoints.servers)
             return False, "too many servers are out"
         await self.handover.share()
         log.info("server %s is taken out by hand", name)
@@ -102,7 +102,7 @@
         if not number:
             return NOBODY
         self.driver.post(api.ServerAdminDown(number, False))
-        listed = number in self.gateway.servers
+        listed = number in self.gateway.endpoints.servers
         self.registry.unpin(name, listed)
         await self.handover.share()
         log.info("server %s is put back by hand", name)
--- a/quota_gateway/net/hot_restart.py
+++ b/quota_gateway/net/hot_restart.py
@@ -239,7 +239,7 @@
             log.error("nothing taken over: %r", error)
             if self.link:
                 await self._give_up(self.link, isinstance(error, TimeoutError))
-            if kept and not self.driver.gateway.by_hand:
+            if kept and not self.driver.gateway.endpoints.admin_down:
                 self._want(kept)
             return False
         finally:
@@ -584,10 +584,10 @@
         """Servers out, by id, whether the gateway is drained, and the highest token of a caller."""
         gateway = self.driver.gateway
         registry = self.discovery.registry
-        out = [name for name, number in registry.numbers.items() if number in gateway.by_hand]
+        out = [name for name, number in registry.numbers.items() if number in gateway.endpoints.admin_down]
         return {
             "out": sorted(out),
-            "drained": gateway.draining,
+            "drained": gateway.graceful_shutdown.is_draining,
             **({"token": self.token} if self.token else {}),
         }
 
@@ -603,7 +603,7 @@
         for name in sorted(before - out):
             number = registry.number(name)
             self.driver.post(api.ServerAdminDown(number, False))
-            registry.unpin(name, number in self.driver.gateway.servers)
+            registry.unpin(name, number in self.driver.gateway.endpoints.servers)
         self.driver.post(api.DrainChanged(bool(wanted["drained"])))
 
     async def share(self) -> None:
--- a/quota_gateway/net/reload.py
+++ b/quota_gateway/net/reload.py
@@ -245,9 +245,9 @@
 
     def _tell_decisions(self, settings: api.Settings) -> str:
         """Why they do not go by these settings now; empty if they do."""
-        if settings != self.driver.gateway.settings:
+        if settings != self.driver.gateway.context.settings:
             self.driver.post(api.SettingsChanged(settings))
-        return "" if settings == self.driver.gateway.settings else "the decisions failed"
+        return "" if settings == self.driver.gateway.context.settings else "the decisions failed"
 
     def _refuse(self, error: ConfigError) -> Answer:
         """All stays as it was."""
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -26,15 +26,18 @@
 from quota_gateway.policy.server_selection import ServerSelection
 from quota_gateway.policy.settings_change import SettingsChange
 from quota_gateway.policy.slow_start import SlowStart
-from quota_gateway.state import Context, Endpoints, GiveUpReason, InFlightRequests, LoadReports, Views
+from quota_gateway.state import Context, Endpoints, GiveUpReason, InFlightRequests, LoadReports
 
 ESTIMATE_DECAY_MS = 4000.0  # time constant of estimates, so that a server is tried again; see `Decay`
 
 Handler = Callable[[Any], None]
 
 
-class Gateway(Views):
-    """One gateway's decisions. Feed events in order; carry out the actions in order."""
+class Gateway:
+    """One gateway's decisions. Feed events in order; carry out the actions in order.
+
+    Each part is an attribute and owns its state: others read ``gateway.customers.rows``, for example.
+    """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.context = context = Context(settings, seed, ESTIMATE_DECAY_MS)
@@ -46,16 +49,16 @@
         self.concurrency_limit = ConcurrencyLimit(context)
         self.ceiling = RateCeiling(context)
         self.concurrency_cap = ConcurrencyCap(context, self.meter)
-        self.book = Customers(context, self.meter, self.ceiling)
-        self.epochs = self.book.epochs
+        self.customers = Customers(context, self.meter, self.ceiling)
+        self.epochs = self.customers.epochs
         self.load_reports = LoadReports(context, self.endpoints)
         self.server_selection = ServerSelection(
             self.load_reports, self.outlier_detection, self.concurrency_limit, self.slow_start
         )
-        self.peer_usage = PeerUsageExchange(context, self.in_flight, self.book)
+        self.peer_usage = PeerUsageExchange(context, self.in_flight, self.customers)
         self.responses = Responses(context, self.concurrency_limit, self.peer_usage)
         self.attempts = Attempts(context, self.ceiling, self.server_selection, self.responses)
-        self.admission = Admission(context, self.book, self.concurrency_cap, self.attempts)
+        self.admission = Admission(context, self.customers, self.concurrency_cap, self.attempts)
         self.release_queued = self.admission.release_queued
         self.endpoint_list = EndpointList(
             self.endpoints, self.slow_start, self.concurrency_limit, self.epochs
--- a/quota_gateway/process/lifecycle.py
+++ b/quota_gateway/process/lifecycle.py
@@ -92,7 +92,7 @@
     async def _shut_down(self) -> None:
         parts = self._parts
         parts.reload.close()
-        settings = parts.driver.gateway.settings
+        settings = parts.driver.gateway.context.settings
         await GracefulShutdown(settings, parts.driver, parts.clients, parts.hot_restart).run()
 
     def close(self) -> None:
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -13,7 +13,6 @@
 from quota_gateway.state.request_state import RequestState
 from quota_gateway.state.server import Server
 from quota_gateway.state.settings_epochs import SettingsEpochs
-from quota_gateway.state.views import Views
 
 __all__ = [
     "Attempt",
@@ -37,5 +36,4 @@
     "FailureRates",
     "OutcomeCounters",
     "GiveUpReason",
-    "Views",
 ]
--- a/quota_gateway/state_document.py
+++ b/quota_gateway/state_document.py
@@ -23,7 +23,7 @@
 from quota_gateway.state.records import CustomerKey, FailureRecord, Moment
 from quota_gateway.state.server import Server
 
-MAX_CUSTOMERS = 20_000  # the most recently used: some 4 MB
+MAX_CUSTOMERS = 20_000  # of a document, the most recently used: some 4 MB
 # Columns of a customer's row, behind its plan and name, by their names in version 1 of the document.
 CUSTOMER_COLUMNS = (
     "excess",
@@ -42,8 +42,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerState:
-    """A server's part of the document."""
+class LoadedServer:
+    """A server's part of a document."""
 
     latency_ratio: float
     latency_ratio_at: Moment
@@ -55,8 +55,11 @@
     must_be_used_by_ms: float
     started_ms: float
 
-    def apply(self, server: Server) -> None:
-        """Make the server's row say the same. Its start counts only where an operator's decision set it."""
+    def restore(self, server: Server) -> None:
+        """Make the server's row say the same.
+
+        Its start counts only if an operator put it back: otherwise the endpoint list tells its start.
+        """
         server.latency_ratio = self.latency_ratio
         server.latency_ratio_at = self.latency_ratio_at
         server.reported_queue = self.reported_queue
@@ -69,80 +72,114 @@
             server.started_ms = max(server.started_ms, self.started_ms)
 
 
+@dataclass(frozen=True, slots=True)
+class LoadedState:
+    """A document that was read completely, with servers by their numbers in this process."""
+
+    customers: OrderedDict[CustomerKey, Customer]
+    servers: dict[int, LoadedServer]
+    mean_latency_ms: dict[str, float]
+    quick_servers: dict[str, list[int]]
+    failure_records: dict[str, FailureRecord]
+    concurrency_limit: float
+    retry_tokens: float
+    attempts_started: int
+    started_at_ms: float
+    unseen_levels: dict[str, BucketLevel]
+
+    def restore(self, gateway: Gateway) -> None:
+        """Continue from this state. Nothing here can fail, so that no part is left half restored."""
+        gateway.context.since = self.started_at_ms
+        gateway.context.decay.sends = self.attempts_started
+        gateway.customers.rows = self.customers
+        gateway.ceiling.unseen_levels = self.unseen_levels
+        gateway.outlier_detection.rates.records = self.failure_records
+        gateway.attempts.retry_budget.tokens = self.retry_tokens
+        gateway.concurrency_limit.limit = self.concurrency_limit
+        latencies = gateway.concurrency_limit.latencies
+        latencies.mean_ms = self.mean_latency_ms
+        servers = gateway.endpoints.servers
+        for number, loaded in self.servers.items():
+            loaded.restore(servers[number])
+        for class_name, numbers in self.quick_servers.items():
+            latencies.quick_servers[class_name] = {
+                number: servers[number] for number in numbers if number in servers
+            }
+        gateway.endpoint_list.refresh()
+
+
 def save(gateway: Gateway, server_ids: Mapping[int, str]) -> Document:
     """The gateway's state after ``HotRestartBegun``: what this process still has to do is reserved in it."""
-    reserved_units = gateway.in_flight.reserved_units()
-    newest = islice(reversed(gateway.customers.values()), MAX_CUSTOMERS)
-    rows = [_write_customer(gateway, customer, reserved_units) for customer in newest]
+    latencies = gateway.concurrency_limit.latencies
     return {
-        "customers": rows[::-1],
+        "customers": _write_customers(gateway),
         "servers": {
             server_ids[server.id]: _write_server(server)
-            for server in gateway.servers.values()
+            for server in gateway.endpoints.servers.values()
             if server.id in server_ids
         },
-        "latency": gateway.latency,
-        "pool": gateway.pool,
-        "retries": gateway.retries,
-        "sends": gateway.sends,
-        "started_at": gateway.started_at,
-        "marks": gateway.marks,
+        "latency": latencies.mean_ms,
+        "pool": gateway.concurrency_limit.limit,
+        "retries": gateway.attempts.retry_budget.tokens,
+        "sends": gateway.context.decay.sends,
+        "started_at": gateway.context.since,
+        "marks": gateway.outlier_detection.rates.records,
         "fresh": {
-            plan_name: (level.level_units, level.updated_ms) for plan_name, level in gateway.fresh.items()
+            plan_name: (level.level_units, level.updated_ms)
+            for plan_name, level in gateway.ceiling.unseen_levels.items()
         },
         "quick": {
             class_name: [server_ids[number] for number in servers if number in server_ids]
-            for class_name, servers in gateway.quick.items()
+            for class_name, servers in latencies.quick_servers.items()
         },
     }
 
 
 def load(gateway: Gateway, document: Document, server_numbers: Mapping[str, int]) -> None:
     """Continue from a document. Raises ValueError, KeyError, TypeError or AttributeError if it is none."""
-    customers = _read_customers(gateway, document["customers"])
-    latency = {
-        class_name: _number(document["latency"].get(class_name, mean))
-        for class_name, mean in gateway.latency.items()
-    }
-    servers = {
-        server_numbers[server_id]: _read_server(row)
-        for server_id, row in document["servers"].items()
-        if server_numbers.get(server_id) in gateway.servers
-    }
-    failure_records = _read_failure_records(document["marks"])
-    concurrency_limit = _number(document["pool"])
-    retry_tokens = _number(document["retries"])
-    attempts_started = int(_number(document["sends"]))
-    started_at_ms = _number(document["started_at"])
-    quick_servers = {
-        class_name: [
-            server_numbers[server_id]
-            for server_id in document["quick"].get(class_name, ())
-            if server_id in server_numbers
-        ]
-        for class_name in gateway.quick
-    }
-    unseen_levels = {
-        str(plan): BucketLevel(_number(level), _number(at))
-        for plan, (level, at, *_) in document.get("fresh", {}).items()
-    }
+    _read(gateway, document, server_numbers).restore(gateway)
+
 
-    # All of it could be read: from here on nothing fails.
-    gateway.fresh = unseen_levels
-    gateway.customers = customers
-    gateway.latency = latency
-    gateway.marks = failure_records
-    gateway.pool = concurrency_limit
-    gateway.retries = retry_tokens
-    gateway.sends = attempts_started
-    gateway.started_at = started_at_ms
-    for number, state in servers.items():
-        state.apply(gateway.servers[number])
-    for class_name, numbers in quick_servers.items():
-        gateway.quick[class_name] = {
-            number: gateway.servers[number] for number in numbers if number in gateway.servers
-        }
-    gateway.endpoint_list.refresh()
+def _read(gateway: Gateway, document: Document, server_numbers: Mapping[str, int]) -> LoadedState:
+    """Read a document without changing the gateway; raises as ``load``."""
+    latencies = gateway.concurrency_limit.latencies
+    return LoadedState(
+        customers=_read_customers(gateway, document["customers"]),
+        servers={
+            server_numbers[server_id]: _read_server(row)
+            for server_id, row in document["servers"].items()
+            if server_numbers.get(server_id) in gateway.endpoints.servers
+        },
+        mean_latency_ms={
+            class_name: _number(document["latency"].get(class_name, mean_ms))
+            for class_name, mean_ms in latencies.mean_ms.items()
+        },
+        quick_servers={
+            class_name: [
+                server_numbers[server_id]
+                for server_id in document["quick"].get(class_name, ())
+                if server_id in server_numbers
+            ]
+            for class_name in latencies.quick_servers
+        },
+        failure_records=_read_failure_records(document["marks"]),
+        concurrency_limit=_number(document["pool"]),
+        retry_tokens=_number(document["retries"]),
+        attempts_started=int(_number(document["sends"])),
+        started_at_ms=_number(document["started_at"]),
+        unseen_levels={
+            str(plan_name): BucketLevel(_number(level), _number(at))
+            for plan_name, (level, at, *_) in document.get("fresh", {}).items()
+        },
+    )
+
+
+def _write_customers(gateway: Gateway) -> list[list[Any]]:
+    """Rows of the most recently used customers, those used last at the end."""
+    reserved_units = gateway.in_flight.reserved_units()
+    newest = islice(reversed(gateway.customers.rows.values()), MAX_CUSTOMERS)
+    rows = [_write_customer(gateway, customer, reserved_units) for customer in newest]
+    return rows[::-1]
 
 
 def _write_customer(
@@ -169,7 +206,7 @@
     """Customers of the plans that this process knows, in the order of their rows."""
     customers: OrderedDict[CustomerKey, Customer] = OrderedDict()
     for plan, name, *columns in rows:
-        if plan in gateway.plans:
+        if plan in gateway.epochs.plans:
             customer = _read_customer(gateway, (str(plan), str(name)), columns)
             customers[customer.key] = customer
     return customers
@@ -203,8 +240,8 @@
     customer.peer_in_flight = int(in_flight)
     # The process before may have gone by other settings: no quota share is larger than it is here.
     customer.requested_gateways = max(1, int(gateways))
-    customer.serving_gateways = min(customer.requested_gateways, gateway.gateways)
-    largest_share = gateway.plans[key[0]].ceiling_burst / customer.serving_gateways
+    customer.serving_gateways = min(customer.requested_gateways, gateway.epochs.gateways)
+    largest_share = gateway.epochs.plans[key[0]].ceiling_burst / customer.serving_gateways
     customer.ceiling_level_units = min(ceiling_level, largest_share)
     return customer
 
@@ -223,8 +260,8 @@
     }
 
 
-def _read_server(row: Document) -> ServerState:
-    return ServerState(
+def _read_server(row: Document) -> LoadedServer:
+    return LoadedServer(
         latency_ratio=_number(row["ratio"]),
         latency_ratio_at=_moment(row["ratio_at"]),
         reported_queue=_number(row["queue"]),
--- a/tests/test_admin_down.py
+++ b/tests/test_admin_down.py
@@ -64,8 +64,8 @@
     assert share <= 200 * 0.06  # an even share would be 20; a tenth of that, and chance
     rig.servers(*(entry(number) for number in range(1, 11)))
     # the same list again does not make it warm
-    assert rig.gateway.cold
-    assert rig.gateway.cold[0].id == 1
+    assert rig.gateway.endpoints.warming_up
+    assert rig.gateway.endpoints.warming_up[0].id == 1
 
 
 def many(rig: Rig, count: int, every_ms: float) -> list[str]:
@@ -98,7 +98,7 @@
 def test_servers_out_are_bounded(rig):
     for number in range(1, 2000):
         rig.do(ServerAdminDown(number, True))
-    assert len(rig.gateway.by_hand) == MAX_ADMIN_DOWN
+    assert len(rig.gateway.endpoints.admin_down) == MAX_ADMIN_DOWN
 
 
 def test_draining_server_that_is_put_back_stays_unused(rig):
--- a/tests/test_connection_news.py
+++ b/tests/test_connection_news.py
@@ -24,7 +24,7 @@
     for _ in range(count):
         name = rig.ask()
         servers.append(rig.sent[name][0])
-        rig.finish(name, latency=rig.gateway.latency["safe"])
+        rig.finish(name, latency=rig.gateway.concurrency_limit.latencies.mean_ms["safe"])
         rig.run(20.0)
     return servers
 
@@ -73,7 +73,7 @@
     async def test():
         server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(b"v"))
         async with node(server) as gateway:
-            known, told = gateway.driver.gateway.servers, []
+            known, told = gateway.driver.gateway.endpoints.servers, []
             post = gateway.servers.on_linked
             gateway.servers.on_linked = lambda news: (told.append(news.has_idle), post(news))
             peer, other = await gateway.peer(), await gateway.peer()
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -215,9 +215,8 @@
 
 
 def marks(gateway) -> list:
-    return [
-        mark for server in gateway.driver.gateway.servers.values() for mark in server.failure_records.values()
-    ]
+    servers = gateway.driver.gateway.endpoints.servers
+    return [record for server in servers.values() for record in server.failure_records.values()]
 
 
 def test_socket_whose_transport_can_not_be_made_is_closed():
--- a/tests/test_discovery_herd.py
+++ b/tests/test_discovery_herd.py
@@ -22,7 +22,7 @@
 
 
 def out(rig: Rig) -> int:
-    return sum(len(server.attempts_in_flight) for server in rig.gateway.servers.values())
+    return sum(len(server.attempts_in_flight) for server in rig.gateway.endpoints.servers.values())
 
 
 def test_gateways_that_start_at_once_put_little_out_before_anything_is_known():
@@ -35,14 +35,14 @@
 
 def test_quick_answers_prove_that_more_may_be_out():
     rig = herd()[0]
-    first = rig.gateway.pool
+    first = rig.gateway.concurrency_limit.limit
     for _ in range(400):
         name = rig.ask()
         for name in [name for name in rig.sent if name not in rig.answers][:1]:
             rig.finish(name, latency=20.0)
-        while out(rig) < int(rig.gateway.pool):
+        while out(rig) < int(rig.gateway.concurrency_limit.limit):
             rig.ask()
-    assert rig.gateway.pool > 2.0 * first
+    assert rig.gateway.concurrency_limit.limit > 2.0 * first
 
 
 def test_watches_that_were_lost_at_once_come_back_apart_and_none_at_once():
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -43,7 +43,7 @@
     # server 1 told of 20 waiting; once enough time and attempts have passed it is taken as any other
     rig = Rig(replace(SETTINGS, load_fields=("queue",)))
     rig.servers(entry(1), entry(2))
-    rig.gateway.load_reports.record(rig.gateway.servers[1], (20.0,))
+    rig.gateway.load_reports.record(rig.gateway.endpoints.servers[1], (20.0,))
     assert {rig.sent[rig.ask()][0] for _ in range(5)} == {2}
     rig.run(60_000.0)
     assert 1 in {rig.sent[rig.ask()][0] for _ in range(8)}
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -95,9 +95,9 @@
     for action in old.finish(name, used=70.0, units=4):
         if isinstance(action, PeerUsage):
             new.do(action)
-    (customer,) = new.gateway.customers.values()
+    (customer,) = new.gateway.customers.rows.values()
     assert customer.metered_use_ratio == 0.7
-    assert customer.excess_milliunits == old.gateway.customers["metered", "c"].excess_milliunits > 1000.0
+    assert customer.excess_milliunits == old.gateway.customers.rows["metered", "c"].excess_milliunits > 1000.0
 
 
 def test_server_known_to_fail_before_is_doubted_after_and_one_put_back_is_still_cold():
@@ -113,10 +113,10 @@
     old.run(100.0)
     old.do(ServerAdminDown(2, False))
     new = next_rig(old)
-    one, two = new.gateway.servers[11], new.gateway.servers[12]
-    assert one.failure_records == old.gateway.servers[1].failure_records
+    one, two = new.gateway.endpoints.servers[11], new.gateway.endpoints.servers[12]
+    assert one.failure_records == old.gateway.endpoints.servers[1].failure_records
     assert one.failure_records
-    assert two.started_ms == old.gateway.servers[2].started_ms > 0.0
+    assert two.started_ms == old.gateway.endpoints.servers[2].started_ms > 0.0
 
 
 @pytest.mark.parametrize(
@@ -142,10 +142,22 @@
     document[path[0]] = value
     new = Rig()
     new.servers(entry(1), entry(2))
-    before = (dict(new.gateway.customers), new.gateway.pool, new.gateway.sends, dict(new.gateway.latency))
+    gateway = new.gateway
+    limit = gateway.concurrency_limit
+    before = (
+        dict(gateway.customers.rows),
+        limit.limit,
+        gateway.context.decay.sends,
+        dict(limit.latencies.mean_ms),
+    )
     with pytest.raises((ValueError, KeyError, TypeError, AttributeError)):
         state_document.load(new.gateway, document, {"s-1": 1, "s-2": 2})
-    assert before == (new.gateway.customers, new.gateway.pool, new.gateway.sends, new.gateway.latency)
+    assert before == (
+        gateway.customers.rows,
+        limit.limit,
+        gateway.context.decay.sends,
+        limit.latencies.mean_ms,
+    )
 
 
 # ---- Two processes, as two gateways of one test
@@ -241,7 +253,7 @@
             assert new.handover.wanted() == {"out": ["s-2"], "drained": True}
             new.driver.post(DrainChanged(False))
             await new.handover.share()
-            assert not old.driver.gateway.draining
+            assert not old.driver.gateway.graceful_shutdown.is_draining
             old.driver.post(ServerAdminDown(registry.number("s-2"), False))
             await old.handover.share()
             assert new.handover.wanted() == {"out": [], "drained": False}
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -1,6 +1,7 @@
 """The library as a new user meets it: the README's example, discovery that must be asked, no meter."""
 
 import re
+from operator import attrgetter
 from pathlib import Path
 
 import pytest
@@ -53,22 +54,32 @@
     assert Settings.__doc__
 
 
-def test_the_gateway_keeps_the_names_that_others_read():
-    # what the door, the handover's document and users of the library read, wherever its owner keeps it
-    names = (
-        "settings random classes plans customers servers pending_requests queued timers tokens now "
-        "started_at ends_at gateways settings_change latency retries young pool marks quick sends by_hand "
-        "drains handed pooled draining left ready cold logged tally actions handlers handle share "
-        "ceiling_level release_queued relist in_hand reserved_units arm highest_priority_weight "
-        "first_latency fresh_ceiling news_ms tally_at"
+def test_the_gateways_parts_own_the_state_that_others_read():
+    # what the admin endpoint, the state document and users of the library read, each at its owner
+    paths = (
+        "context.settings context.random context.classes context.timers context.tokens context.now "
+        "context.actions context.since context.logged context.highest_priority_weight context.arm "
+        "context.decay.sends epochs.plans epochs.gateways customers.rows customers.epochs "
+        "endpoints.servers endpoints.ready endpoints.warming_up endpoints.admin_down endpoint_list.refresh "
+        "in_flight.pending_requests in_flight.queued in_flight.occupied_places in_flight.reserved_units "
+        "responses.shutdown_at_ms responses.outcome_counters.totals "
+        "responses.outcome_counters.last_logged_ms "
+        "concurrency_limit.limit concurrency_limit.attempts_within_threshold "
+        "concurrency_limit.latencies.mean_ms concurrency_limit.latencies.quick_servers "
+        "concurrency_limit.initial_latency_ms outlier_detection.rates.records attempts.retry_budget.tokens "
+        "peer_usage.peer_has_taken_over load_reports.has_connection_news graceful_shutdown.is_draining "
+        "graceful_shutdown.is_drained graceful_shutdown.drain_number settings_change.apply "
+        "meter.quota_share meter.reading_lifetime_ms ceiling.level_units ceiling.unseen_level_units "
+        "ceiling.unseen_levels release_queued handlers handle"
     )
     rig = Rig()
     rig.servers(entry(1))
-    made = rig.gateway
-    assert not [name for name in names.split() if not hasattr(made, name)]
-    made.pool = 6.0
-    assert made.concurrency_limit.limit == made.pool == 6.0  # and written where its owner keeps it
-    assert made.news_ms() == 4000.0
-    assert made.first_latency(SETTINGS.classes[0]) == 400.0
-    assert made.fresh_ceiling(SETTINGS.plans[2], 2) == 0.0
-    assert made.tally_at == float("-inf")
+    gateway = rig.gateway
+    assert all(attrgetter(path)(gateway) is not None for path in paths.split())
+    assert gateway.epochs is gateway.customers.epochs
+    assert gateway.admission.concurrency_limit is gateway.concurrency_limit  # one owner, many readers
+    assert gateway.attempts.in_flight is gateway.in_flight
+    assert gateway.meter.reading_lifetime_ms == 4000.0
+    assert gateway.concurrency_limit.initial_latency_ms(SETTINGS.classes[0]) == 400.0
+    assert gateway.ceiling.unseen_level_units(SETTINGS.plans[2], 2, rig.now) == 0.0
+    assert gateway.responses.outcome_counters.last_logged_ms == float("-inf")
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -78,7 +78,7 @@
             assert len(server.writers) == 1
             assert not gateway.driver.calls
             assert not gateway.servers.streams
-            assert [c.metered_use_ratio for c in gateway.driver.gateway.customers.values()] == [0.4]
+            assert [c.metered_use_ratio for c in gateway.driver.gateway.customers.rows.values()] == [0.4]
 
     run(test())
 
@@ -297,16 +297,16 @@
     assert name not in rig.answers
     rig.do(AttemptEnded(name, 0, rig.sent[name][0], Status.RESET, 10_000.0, closed=True))
     assert len(rig.sent[name]) == 1
-    assert not rig.gateway.pending_requests
+    assert not rig.gateway.in_flight.pending_requests
 
 
 def test_slow_client_does_not_make_its_server_look_slow(rig):
-    before = rig.gateway.latency["safe"]
+    before = rig.gateway.concurrency_limit.latencies.mean_ms["safe"]
     name = rig.ask()
-    server = rig.gateway.servers[rig.sent[name][0]]
+    server = rig.gateway.endpoints.servers[rig.sent[name][0]]
     rig.do(StreamStarted(name, 0, server.id, 50.0))
-    pool = rig.gateway.pool
+    pool = rig.gateway.concurrency_limit.limit
     rig.run(3900.0)
     rig.do(AttemptEnded(name, 0, server.id, Status.OK, 3900.0, closed=True))
-    assert rig.gateway.pool == pool
-    assert rig.gateway.latency["safe"] < before
+    assert rig.gateway.concurrency_limit.limit == pool
+    assert rig.gateway.concurrency_limit.latencies.mean_ms["safe"] < before
--- a/tests/test_net_driver.py
+++ b/tests/test_net_driver.py
@@ -212,7 +212,7 @@
             _, address = server.entry(1)
             started = gateway.driver.clock() - 5_000.0  # half of the warm-up
             gateway.told((ServerEntry(1, "a", started_ms=started), address), kind=ListKind.COMPLETE)
-            (known,) = gateway.driver.gateway.servers.values()
+            (known,) = gateway.driver.gateway.endpoints.servers.values()
             assert 0.59 < gateway.driver.gateway.slow_start.capacity_ratio(known) < 1.0
             await asyncio.sleep(0)
 
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -293,7 +293,7 @@
     rig.do(
         SettingsChanged(
             replace(
-                rig.gateway.settings,
+                rig.gateway.context.settings,
                 classes=SETTINGS.classes[:1],
                 plans=(replace(CAPPED, max_in_flight=9), Plan("free")),
             )
@@ -302,7 +302,7 @@
     rig.finish(name, Status.RESET)  # resent under its own class, which is gone: within its zone, by its key
     assert len(rig.sent[name]) == 2
     assert (rig.sent[name][1] == 3) == (zone == "b")
-    (mine,) = (c for c in rig.gateway.customers.values() if c.key[0] == "only-cap")
+    (mine,) = (c for c in rig.gateway.customers.rows.values() if c.key[0] == "only-cap")
     assert mine.transition_plan
     assert mine.transition_plan.max_in_flight == 2
     rig.finish(name)
@@ -331,12 +331,11 @@
     }
     kept = [state_document.CUSTOMER_COLUMNS.index(name) + 2 for name in columns]
     rows = {tuple(row[:2]): [row[place] for place in kept] for row in document["customers"]}
-    assert {
-        key: [getattr(one, name) for name in columns.values()] for key, one in rig.gateway.customers.items()
-    } == rows
-    assert list(rig.gateway.customers) == [tuple(row[:2]) for row in document["customers"]]
-    assert rig.gateway.pool == document["pool"]
-    assert rig.gateway.latency == document["latency"]
+    found = rig.gateway.customers.rows
+    assert {key: [getattr(one, name) for name in columns.values()] for key, one in found.items()} == rows
+    assert list(rig.gateway.customers.rows) == [tuple(row[:2]) for row in document["customers"]]
+    assert rig.gateway.concurrency_limit.limit == document["pool"]
+    assert rig.gateway.concurrency_limit.latencies.mean_ms == document["latency"]
     again = json.loads(json.dumps(state_document.save(rig.gateway, {n: name for name, n in names.items()})))
     for row in (*again["servers"].values(), *document["servers"].values()):
         del row["started"]  # the list says it, but for one put back by hand
--- a/tests/test_quota_meter.py
+++ b/tests/test_quota_meter.py
@@ -43,7 +43,7 @@
 def test_refusal_leaves_the_excess_alone(even):
     for _ in range(20):
         even.ask("metered")
-    customer = even.gateway.customers["metered", "c"]
+    customer = even.gateway.customers.rows["metered", "c"]
     assert customer.excess_milliunits == 8000.0
 
 
@@ -51,17 +51,17 @@
     rig.ask("metered", units=3)
     rig.run(400.0)  # 5 units a second: 2000 thousandths drained, 1000 added
     rig.ask("metered")
-    assert rig.gateway.customers["metered", "c"].excess_milliunits == 2000.0
+    assert rig.gateway.customers.rows["metered", "c"].excess_milliunits == 2000.0
     rig.run(5000.0)
     rig.ask("metered")
-    assert rig.gateway.customers["metered", "c"].excess_milliunits == 0.0
+    assert rig.gateway.customers.rows["metered", "c"].excess_milliunits == 0.0
 
 
 def test_hold_past_the_deadline_is_a_refusal_and_costs_no_excess(rig):
     for _ in range(4):
         rig.ask("metered")
     assert rig.answers.get(rig.ask("metered", patience=200.0)) == "Reject"
-    assert rig.gateway.customers["metered", "c"].excess_milliunits == 4000.0
+    assert rig.gateway.customers.rows["metered", "c"].excess_milliunits == 4000.0
 
 
 def test_burst_is_never_under_the_largest_request(rig):
@@ -81,7 +81,7 @@
         return rig.gateway.meter.quota_share(customer, rig.now)
 
     rig.finish(rig.ask("metered"), used=40.0)
-    customer = rig.gateway.customers["metered", "c"]
+    customer = rig.gateway.customers.rows["metered", "c"]
     assert share(customer) == (1.0 + 0.2 * 0.6) / 2
     rig.finish(rig.ask("metered"), used=120.0)
     assert share(customer) == 0.5
@@ -95,18 +95,18 @@
 def test_guess_is_settled_on_the_answer(rig):
     name = rig.ask("metered", units=2)
     rig.finish(name, units=3.0)
-    assert rig.gateway.customers["metered", "c"].excess_milliunits == 3000.0
+    assert rig.gateway.customers.rows["metered", "c"].excess_milliunits == 3000.0
 
 
 def test_answer_that_tells_more_units_than_a_request_can_count_is_settled_at_the_most(rig):
     rig.finish(rig.ask("metered", units=2), units=1e9)
-    assert rig.gateway.customers["metered", "c"].excess_milliunits == 4000.0  # the settings' largest
+    assert rig.gateway.customers.rows["metered", "c"].excess_milliunits == 4000.0  # the settings' largest
 
 
 def test_held_request_whose_client_left_gives_its_units_back(rig):
     names = [rig.ask("metered") for _ in range(6)]
     rig.do(ClientDisconnected(names[5]))
-    assert rig.gateway.customers["metered", "c"].excess_milliunits == 5000.0
+    assert rig.gateway.customers.rows["metered", "c"].excess_milliunits == 5000.0
     rig.run(4000.0)
     assert names[5] not in rig.sent
 
@@ -139,8 +139,8 @@
         name = rig.ask("metered", customer=f"c{number}")
         rig.finish(name, Status.OK)
         rig.run(10.0)
-    assert len(rig.gateway.customers) < 600
-    assert len(rig.gateway.pending_requests) == 0
+    assert len(rig.gateway.customers.rows) < 600
+    assert len(rig.gateway.in_flight.pending_requests) == 0
 
 
 def test_hold_past_the_aim_is_a_refusal(even):
@@ -244,7 +244,7 @@
     rig = rig_with(plans=CAPS, gateways=60)
     rig.servers(entry(1), entry(2))
     rig.finish(rig.ask(plan, width=width), used=used)
-    (customer,) = rig.gateway.customers.values()
+    (customer,) = rig.gateway.customers.rows.values()
     rig.run(age_ms)
     heard, out = (customer.metered_use_ratio, customer.metered_use_at_ms), 0
     for _ in range(400):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -67,13 +67,13 @@
         """All that a refused file must leave as it was."""
         decisions, clients, servers = self.driver.gateway, self.gateway.clients, self.gateway.servers
         return (
-            decisions.settings,
-            decisions.plans,
-            decisions.classes,
-            decisions.gateways,
-            decisions.pool,
+            decisions.context.settings,
+            decisions.epochs.plans,
+            decisions.context.classes,
+            decisions.epochs.gateways,
+            decisions.concurrency_limit.limit,
             decisions.epochs.epoch,
-            {k: (c.excess_milliunits, c.excess_updated_ms) for k, c in decisions.customers.items()},
+            {k: (c.excess_milliunits, c.excess_updated_ms) for k, c in decisions.customers.rows.items()},
             clients.commands,
             clients.most_connections,
             servers.readings,
@@ -138,7 +138,7 @@
             assert all(answer == b"%016x" % number for number, answer in answers)
             assert len({number for number, _ in answers}) == len(answers)
             assert not made.driver.calls
-            assert not made.driver.gateway.pending_requests
+            assert not made.driver.gateway.in_flight.pending_requests
 
     run(test())
 
@@ -190,7 +190,7 @@
             assert (await made.tell("RELOAD")).startswith("YES")  # the address is free now
             assert made.door.server
             assert made.discovery.address == ("127.0.0.1", 9)
-            assert made.driver.gateway.plans["free"].rate == 3.0
+            assert made.driver.gateway.epochs.plans["free"].rate == 3.0
 
     run(test())
 
@@ -283,7 +283,7 @@
             assert f"way back to {first.digest}" in told
             assert "trial" not in told
             assert (await made.tell("ROLLBACK")).startswith("YES revision 3")
-            assert made.driver.gateway.plans["free"].rate == 0.0
+            assert made.driver.gateway.epochs.plans["free"].rate == 0.0
             assert made.reload.config is first
             assert await made.tell("ROLLBACK") == "NO there is nothing to go back to"
 
@@ -301,7 +301,7 @@
             made.plan(refill=0.002, most_at_once=8.0)
             assert (await made.tell("RELOAD")).startswith("YES")
             assert (await made.tell("ROLLBACK")).startswith("YES")
-            (customer,) = made.driver.gateway.customers.values()
+            (customer,) = made.driver.gateway.customers.rows.values()
             assert customer.excess_milliunits > 3990.0
             assert [await peer.ask(call(number)) for number in range(6, 16)][-1] == "-BUSY"
 
@@ -324,12 +324,12 @@
             made.reload._time_is_up()
             await until(lambda: made.reload.config is first)
             assert made.reload.trial is None
-            assert made.driver.gateway.plans["free"].rate == 0.0
+            assert made.driver.gateway.epochs.plans["free"].rate == 0.0
             assert (await made.tell("RELOAD CONFIRM 1")).startswith("YES")
             assert (await made.tell("CONFIRM")).startswith("YES confirmed")
             made.reload._time_is_up()
             await made.reload.returning
-            assert made.driver.gateway.plans["free"].rate == 3.0
+            assert made.driver.gateway.epochs.plans["free"].rate == 3.0
             assert made.reload.before is first
 
     run(test())
@@ -387,7 +387,7 @@
             await made.tell("RELOAD CONFIRM 30")
             assert (await made.tell("ROLLBACK")).startswith("YES")
             assert made.reload.trial is None
-            assert made.driver.gateway.plans["free"].rate == 4.0
+            assert made.driver.gateway.epochs.plans["free"].rate == 4.0
 
     run(test())
 
@@ -403,7 +403,7 @@
             made.reload.trial.ends = 0.0
             made.reload._time_is_up()
             await until(lambda: made.reload.config is first)
-            assert made.driver.gateway.draining
+            assert made.driver.gateway.graceful_shutdown.is_draining
             peer = await made.gateway.peer()
             assert (await peer.ask(resp("PING"))).startswith("-DRAINING")
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -99,7 +99,7 @@
 
 def test_keyed_is_failed_outside_its_window(rig):
     name = rig.ask(class_name="keyed", patience=3900.0)
-    rig.gateway.pending_requests[name].tried_servers.clear()  # the window alone decides
+    rig.gateway.in_flight.pending_requests[name].tried_servers.clear()  # the window alone decides
     rig.now += 3000.0
     rig.finish(name, Status.ERROR)
     assert len(rig.sent[name]) == 1
@@ -242,7 +242,7 @@
 
 
 def test_pool_parks_and_sheds_the_least_worth(rig):
-    rig.gateway.pool = 6.0
+    rig.gateway.concurrency_limit.limit = 6.0
     names = [rig.ask() for _ in range(6)]
     full = [name for name in names if name in rig.sent]
     waiting = [rig.ask() for _ in range(6)]
@@ -264,7 +264,7 @@
         if name in rig.sent:
             rig.finish(name, latency=3900.0)
         rig.run(1000.0)
-    assert rig.gateway.latency["safe"] > 2000.0
+    assert rig.gateway.concurrency_limit.latencies.mean_ms["safe"] > 2000.0
     assert rig.ask("metered") in rig.sent
 
 
@@ -273,7 +273,7 @@
         name = rig.ask(patience=100.0)
         rig.run(100.0)
         rig.finish(name, Status.CANCELLED, latency=98.0)
-    assert not any(server.failure_records for server in rig.gateway.servers.values())
+    assert not any(server.failure_records for server in rig.gateway.endpoints.servers.values())
 
 
 def test_an_id_in_hand_is_not_answered_by_its_repeat(rig):
@@ -317,20 +317,20 @@
     rig = pool_rig()
     names = [rig.ask() for _ in range(6)]
     rig.finish(names[0], latency=1001.0)  # half of the aim is 1000 ms
-    assert rig.gateway.pool == pytest.approx(6.0 - 0.3)
+    assert rig.gateway.concurrency_limit.limit == pytest.approx(6.0 - 0.3)
     rig.finish(names[1], latency=50.0)  # it was one of five out of 5.7: one more would not have fitted
-    assert rig.gateway.pool == pytest.approx(5.7 + 0.035)
+    assert rig.gateway.concurrency_limit.limit == pytest.approx(5.7 + 0.035)
     rig.finish(names[2], latency=50.0)  # it was one of four: one more would, and it shows nothing
-    assert rig.gateway.pool == pytest.approx(5.7 + 0.035)
+    assert rig.gateway.concurrency_limit.limit == pytest.approx(5.7 + 0.035)
 
 
 def test_silent_attempts_leave_the_pool_when_slow():
     rig = pool_rig()
     for _ in range(12):
         rig.ask()
-    assert len(rig.gateway.young) <= 6
+    assert len(rig.gateway.concurrency_limit.attempts_within_threshold) <= 6
     rig.run(1000.0)
-    assert not rig.gateway.young
+    assert not rig.gateway.concurrency_limit.attempts_within_threshold
     assert rig.ask() in rig.sent
 
 
@@ -365,7 +365,7 @@
 def silent(rig: Rig, name: str) -> None:
     rig.run(500.0)  # half of the aim
     rig.finish(name, Status.RESET, latency=500.0)
-    rig.gateway.servers[0].failure_records.pop(
+    rig.gateway.endpoints.servers[0].failure_records.pop(
         "", None
     )  # what a reset says of the whole server is not meant here
 
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
+from operator import attrgetter
 
 import pytest
 from conftest import CLASSES, PLANS, SETTINGS, Rig, entry, rig_with
@@ -24,7 +25,7 @@
 
 
 def tell(rig: Rig, **changes) -> None:
-    rig.do(SettingsChanged(replace(rig.gateway.settings, **changes)))
+    rig.do(SettingsChanged(replace(rig.gateway.context.settings, **changes)))
 
 
 def sent(rig: Rig, count: int, **more) -> list[str]:
@@ -32,7 +33,7 @@
 
 
 def customer(rig: Rig):
-    (only,) = rig.gateway.customers.values()
+    (only,) = rig.gateway.customers.rows.values()
     return only
 
 
@@ -84,7 +85,7 @@
     for number in range(count):
         for name in sent(rig, 1, plan="q", customer=f"c{number}", units=2.0):
             rig.finish(name)
-    held = list(rig.gateway.customers.values())
+    held = list(rig.gateway.customers.rows.values())
     tell(rig, plans=(replace(QUOTA, rate=1.0),))
     assert sum(one.settings_epoch == 1 for one in held) == 0  # none is touched in the step of the change
     tell(rig, plans=(replace(QUOTA, rate=0.5),))
@@ -112,11 +113,14 @@
     epochs = gateway.epochs
     assert len(epochs.retired_plans) <= customers.MAX_RETIRED_PLANS
     assert not epochs.past_epochs
-    assert len(gateway.customers) <= customers.MAX_RETIRED_PLANS + 1
+    assert len(gateway.customers.rows) <= customers.MAX_RETIRED_PLANS + 1
     tell(rig)
-    assert len(gateway.latency) == len(gateway.quick) == len(CLASSES) + 1
+    latencies = gateway.concurrency_limit.latencies
+    assert len(latencies.mean_ms) == len(latencies.quick_servers) == len(CLASSES) + 1
+    servers = gateway.endpoints.servers.values()
+    fleet_records = gateway.outlier_detection.rates.records
     assert all(
-        len(marks) <= 20 for marks in [gateway.marks, *(s.failure_records for s in gateway.servers.values())]
+        len(records) <= 20 for records in [fleet_records, *(server.failure_records for server in servers)]
     )
 
 
@@ -130,10 +134,10 @@
     held = [name for name in names if name not in rig.answers and name not in rig.sent]
     assert len(out) == len(held) == 1
     rig.run(500.0)  # the hold is over, the cap of one is not: it is queued
-    assert held[0] in rig.gateway.queued
+    assert held[0] in rig.gateway.in_flight.queued
     waiting = rig.ask("q")
     assert waiting not in rig.answers
-    assert waiting not in rig.gateway.queued
+    assert waiting not in rig.gateway.in_flight.queued
     tell(rig, plans=(Plan("other"),))
     assert rig.answers[rig.ask("q")] == "Reject"
     rig.finish(out[0])
@@ -143,7 +147,7 @@
     assert waiting in rig.sent
     rig.finish(waiting)
     assert {rig.answers[name] for name in (*out, *held, waiting)} == {"Ok"}
-    assert not rig.gateway.pending_requests
+    assert not rig.gateway.in_flight.pending_requests
 
 
 def test_class_removed_or_of_another_effect_leaves_what_is_in_hand_as_it_was_taken():
@@ -165,7 +169,7 @@
     rig.finish(two)
     rig.run(5000.0)
     assert rig.answers[two] == "Ok"
-    assert not rig.gateway.pending_requests
+    assert not rig.gateway.in_flight.pending_requests
 
 
 def test_ceiling_halved_with_attempts_out_holds_for_all_that_still_comes():
@@ -203,12 +207,11 @@
     for name in names + more:
         rig.finish(name)
     rig.run(10.0)
-    assert (
-        sum(len(pending.attempts_in_flight) for pending in rig.gateway.pending_requests.values()) <= cap // 2
-    )
+    pending_requests = rig.gateway.in_flight.pending_requests
+    assert sum(len(pending.attempts_in_flight) for pending in pending_requests.values()) <= cap // 2
     for name in [name for name in rig.sent if name not in rig.answers]:
         rig.finish(name)
-    while rig.gateway.pending_requests:
+    while pending_requests:
         for name in [name for name in rig.sent if name not in rig.answers]:
             rig.finish(name)
         rig.run(1.0)
@@ -221,17 +224,17 @@
 def test_more_gateways_shrink_shares_at_once_and_fewer_let_them_grow_when_the_others_have_heard():
     rig = a_rig(QUOTA, gateways=4)
     assert len(sent(rig, 20, plan="q", width=8)) == 2
-    pool = rig.gateway.pool
+    pool = rig.gateway.concurrency_limit.limit
     tell(rig, gateways=8)
     assert customer(rig).serving_gateways == 8
-    assert rig.gateway.pool == pool / 2
+    assert rig.gateway.concurrency_limit.limit == pool / 2
     tell(rig, gateways=2)
     rig.run(settings_change.FLEET_UPDATE_MS - 1.0)
     rig.ask(plan="q", width=8)
     assert customer(rig).serving_gateways == 8
     rig.run(1.0)
     assert customer(rig).serving_gateways == 2
-    assert rig.gateway.pool == pytest.approx(pool * 2)
+    assert rig.gateway.concurrency_limit.limit == pytest.approx(pool * 2)
 
 
 def test_another_change_before_the_others_have_heard_begins_the_wait_anew():
@@ -240,9 +243,9 @@
     rig.run(settings_change.FLEET_UPDATE_MS / 2)
     tell(rig, gateways=3)
     rig.run(settings_change.FLEET_UPDATE_MS - 1.0)
-    assert rig.gateway.gateways == 4
+    assert rig.gateway.epochs.gateways == 4
     rig.run(1.0)
-    assert rig.gateway.gateways == 3
+    assert rig.gateway.epochs.gateways == 3
 
 
 @settings(max_examples=25, deadline=None, derandomize=True)
@@ -268,7 +271,7 @@
             rig.run(now - rig.now)
             if heard and index >= after:
                 continue  # it has left
-            if heard and rig.gateway.settings.gateways != after:
+            if heard and rig.gateway.context.settings.gateways != after:
                 tell(rig, gateways=after)
             for _ in range(8):
                 rig.ask("q", width=8)
@@ -289,20 +292,20 @@
     gateway = rig.gateway
     monkeypatch.setattr(type(gateway.concurrency_limit), "mean_latencies_ms", lambda self, kinds: 1 / 0)
     watched = (
-        "settings",
-        "classes",
-        "plans",
-        "latency",
-        "quick",
-        "highest_priority_weight",
-        "gateways",
-        "pool",
-        "cold",
+        "context.settings",
+        "context.classes",
+        "epochs.plans",
+        "concurrency_limit.latencies.mean_ms",
+        "concurrency_limit.latencies.quick_servers",
+        "context.highest_priority_weight",
+        "epochs.gateways",
+        "concurrency_limit.limit",
+        "endpoints.warming_up",
     )
-    before = {name: getattr(gateway, name) for name in watched}
+    before = {path: attrgetter(path)(gateway) for path in watched}
     with pytest.raises(ZeroDivisionError):
         tell(rig, classes=(replace(CLASSES[0], name="new"),), gateways=7)
-    assert all(getattr(gateway, name) is before[name] for name in watched)
+    assert all(attrgetter(path)(gateway) is before[path] for path in watched)
     assert gateway.epochs.epoch == 0
     assert not gateway.epochs.past_epochs
     assert not gateway.epochs.retired_plans
@@ -321,7 +324,7 @@
     new.now = old.now
     new.servers(entry(1), entry(2))
     state_document.load(new.gateway, document, {"s-1": 1, "s-2": 2})
-    found = new.gateway.customers
+    found = new.gateway.customers.rows
     assert set(found) == {("q", "q"), ("c", "c")}
     assert found["q", "q"].excess_milliunits == 0.0
     assert found["c", "c"].ceiling_level_units == 2.0
