--- a/quota_gateway/policy/admin_down.py
+++ b/quota_gateway/policy/admin_down.py
@@ -29,7 +29,7 @@
         if event.admin_down:
             self.endpoints.take_out(event.server)
         else:
-            now_ms = self.context.now
+            now_ms = self.context.now_ms
             self.endpoints.put_back(event.server, now_ms, now_ms + USE_WITHIN_MS)
         self.endpoint_list.refresh()
         self.context.actions.append(SetServerUsable(event.server, not event.admin_down))
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -76,7 +76,7 @@
             self._reject(request, customer, plan, reason)
             return
         slow_start_draw = self.context.random.random()
-        now_ms = self.context.now
+        now_ms = self.context.now_ms
         self.meter.record_demand(customer, plan, request.units, now_ms)
         decision = self.quota_decision(request, request_class, customer, plan)
         if isinstance(decision, RejectOverQuota):
@@ -105,14 +105,14 @@
         """
         highest_weight = self.context.highest_priority_weight
         useful_ms = max(0.0, self.useful_hold_ms(request_class)) * request_class.priority_weight
-        remaining_ms = self.responses.shutdown_at_ms - self.context.now
+        remaining_ms = self.responses.shutdown_at_ms - self.context.now_ms
         return min(request.client_timeout_ms, remaining_ms, useful_ms / highest_weight)
 
     def _exceeded_limit(self, request: Request, customer: Customer, plan: Plan) -> GiveUpReason | None:
         """A limit other than the quota for which a new request is rejected; may draw a random number."""
         if request.is_retry and self.meter.has_thin_share(customer, plan):
             return GiveUpReason.THIN_SHARE_RETRY
-        if self.concurrency_cap.rejects_for_overuse(customer, plan, self.context.now):
+        if self.concurrency_cap.rejects_for_overuse(customer, plan, self.context.now_ms):
             return GiveUpReason.OVER_CONCURRENCY_CAP
         return None
 
@@ -120,7 +120,7 @@
         self, request: Request, request_class: RequestClass, customer: Customer, plan: Plan
     ) -> Admit | Hold | RejectOverQuota:
         """The quota meter's decision, but for holds that would last too long: these are rejected."""
-        decision = self.meter.decide(customer, plan, request.units, self.context.now)
+        decision = self.meter.decide(customer, plan, request.units, self.context.now_ms)
         if not isinstance(decision, Hold):
             return decision
         if decision.delay_ms >= self.longest_hold_ms(request, request_class):
@@ -131,7 +131,7 @@
         """Reject a new request, with the time after which its customer's quota share has room for it."""
         self.responses.count_given_up(reason, plan)
         if plan.rate:
-            retry_after_ms = self.meter.retry_after_ms(customer, plan, request.units, self.context.now)
+            retry_after_ms = self.meter.retry_after_ms(customer, plan, request.units, self.context.now_ms)
         else:
             retry_after_ms = self.context.settings.meter_period_ms
         self.responses.reject(request.request_id, retry_after_ms)
@@ -155,7 +155,7 @@
 
     def placement(self, pending: PendingRequest) -> SendTo | Queue | GiveUp:
         """What becomes of a request that waits for its first attempt; the choice of a server draws."""
-        now_ms = self.context.now
+        now_ms = self.context.now_ms
         wait_ms = self.ceiling.wait_ms(pending, now_ms)
         if wait_ms >= pending.deadline_ms - now_ms:
             return GiveUp(GiveUpReason.OVER_RATE_CEILING)
@@ -183,7 +183,7 @@
         if not pending.is_queued:
             useful_until_ms = pending.arrived_ms + self.useful_hold_ms(pending.request_class)
             self.context.arm(
-                max(0.0, useful_until_ms - self.context.now), self._on_useful_hold_ended, pending
+                max(0.0, useful_until_ms - self.context.now_ms), self._on_useful_hold_ended, pending
             )
             self.in_flight.enqueue(pending)
         shed = self.request_to_shed()
@@ -219,7 +219,7 @@
 
     def queued_reason(self, pending: PendingRequest) -> GiveUpReason:
         """What a queued request waits for, as the reason for which it is given up."""
-        now_ms = self.context.now
+        now_ms = self.context.now_ms
         if self.concurrency_cap.is_reached(pending, now_ms):
             return GiveUpReason.QUEUED_FOR_CONCURRENCY_CAP
         if self.ceiling.wait_ms(pending, now_ms) > 0.0:
--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -50,14 +50,14 @@
     def send(self, pending: PendingRequest, server: Server) -> None:
         """Send an attempt; the customer's ceiling or the retry budget is charged for it."""
         request_id = pending.request.request_id
-        now_ms = self.context.now
+        now_ms = self.context.now_ms
         if pending.attempts_started == 0:
             self.ceiling.consume(pending, now_ms)
             self.retry_budget.on_first_attempt()
         else:
             self.retry_budget.on_retry()
         number = self.in_flight.start_attempt(pending, server, now_ms)
-        self.context.decay.sends += 1
+        self.context.decay.attempts_started += 1
         self.concurrency_limit.add(request_id, number)
         begin_within_ms = idempotency_window_left_ms(pending, now_ms)
         self.context.actions.append(Send(request_id, server.id, begin_within_ms=begin_within_ms))
@@ -92,7 +92,7 @@
         """Take over the late reading of the customer's use by all gateways, if the response had one."""
         if metered_use_percent is None:
             return
-        self.responses.meter.record_reading(pending.customer, metered_use_percent, self.context.now)
+        self.responses.meter.record_reading(pending.customer, metered_use_percent, self.context.now_ms)
         self.responses.peer_usage.report(pending.customer, 0.0, metered_use_percent)
 
     def _retry_or_answer(self, pending: PendingRequest, status: Status, failed: Attempt) -> None:
@@ -114,7 +114,7 @@
         """The server for a retry, or None if there is to be none; the choice of a server draws."""
         if status is Status.NOT_SENT:  # it was too late to send it
             return None
-        if self.context.now >= pending.deadline_ms:
+        if self.context.now_ms >= pending.deadline_ms:
             return None
         if not may_retry(pending, self.context.limits.max_attempts, self.retry_budget):
             return None
--- a/quota_gateway/policy/customers.py
+++ b/quota_gateway/policy/customers.py
@@ -32,7 +32,7 @@
     def find_or_add(self, request: Request, plan: Plan) -> Customer:
         """The row of a request's customer, up to date; it becomes the most recently used one."""
         key = (request.plan, request.customer)
-        now_ms = self.context.now
+        now_ms = self.context.now_ms
         customer = self.rows.get(key)
         if customer is None:
             level_units = self.ceiling.unseen_level_units(plan, request.gateway_span, now_ms)
@@ -54,7 +54,7 @@
             return
         customer.pending_before_transition -= 1
         if customer.pending_before_transition <= 0:
-            self.ceiling.refill(customer, customer.transition_plan, self.context.now)
+            self.ceiling.refill(customer, customer.transition_plan, self.context.now_ms)
             customer.transition_plan = None
 
     # ---- Eviction
@@ -91,7 +91,7 @@
         """Begin an epoch in which these plans and this number of gateways hold."""
         if len(self.epochs.past_epochs) >= MAX_PAST_EPOCHS:
             self.catch_up_last(len(self.epochs.lagging_customers))
-        now_ms = self.context.now
+        now_ms = self.context.now_ms
         self.epochs.begin(now_ms, plans, gateways, self.meter.reading_lifetime_ms, self.rows)
         self.ceiling.begin_epoch(self.epochs, now_ms)
 
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -102,7 +102,7 @@
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
         """Decide on one event at this time. Raises ValueError if the time goes back."""
-        self.context.begin(now_ms)
+        self.context.begin_event(now_ms)
         handler = self.handlers.get(type(event))
         if handler:
             handler(event)
--- a/quota_gateway/policy/hot_restart.py
+++ b/quota_gateway/policy/hot_restart.py
@@ -41,7 +41,7 @@
         meter = self.customers.meter
         meter.charge(customer, event.charged_units)
         if event.metered_use_percent is not None:
-            meter.record_reading(customer, event.metered_use_percent, self.context.now)
+            meter.record_reading(customer, event.metered_use_percent, self.context.now_ms)
         return True
 
     def on_peer_exited(self, _: PeerExited) -> bool:
--- a/quota_gateway/policy/rate_ceiling.py
+++ b/quota_gateway/policy/rate_ceiling.py
@@ -35,7 +35,7 @@
         """Units in this gateway's share of the bucket of a customer that it has not seen yet."""
         last = self.unseen_levels.get(plan.name)
         level_units = last.level_units if last else 0.0
-        updated_ms = last.updated_ms if last else self.context.since
+        updated_ms = last.updated_ms if last else self.context.started_ms
         refilled_units = plan.ceiling_rate * (now_ms - updated_ms) / MS_PER_S
         return min(plan.ceiling_burst, level_units + refilled_units) / gateways
 
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -39,7 +39,7 @@
         """Set the timer of the final answer: before the client's deadline and before this gateway ends."""
         pending.deadline_ms = min(pending.deadline_ms, self.shutdown_at_ms)
         margin_ms = FINAL_ANSWER_TICKS * self.context.settings.tick_ms
-        remaining_ms = pending.deadline_ms - self.context.now - margin_ms
+        remaining_ms = pending.deadline_ms - self.context.now_ms - margin_ms
         self.context.arm(max(0.0, remaining_ms), self._on_deadline, pending)
 
     def _on_deadline(self, pending: PendingRequest) -> None:
@@ -51,14 +51,14 @@
 
         Their clients would otherwise lose the connection without an answer.
         """
-        self.shutdown_at_ms = self.context.now + event.within_ms
+        self.shutdown_at_ms = self.context.now_ms + event.within_ms
         for pending in list(self.in_flight.pending_requests.values()):
             if not pending.is_answered and pending.deadline_ms > self.shutdown_at_ms:
                 self.arm_deadline(pending)
 
     def count_given_up(self, reason: GiveUpReason, plan: Plan) -> None:
         """Count a request that this gateway answers itself; every few seconds the counts are logged."""
-        text = self.outcome_counters.add(reason, plan.name, self.context.now, self.context.since)
+        text = self.outcome_counters.add(reason, plan.name, self.context.now_ms, self.context.started_ms)
         if text:
             limit = self.concurrency_limit
             self.context.log(
@@ -81,7 +81,7 @@
     def retry_after_ms(self, pending: PendingRequest) -> float:
         """When the client may retry: the quota share has room then, and the queue of now has been served."""
         queue_ms = self.concurrency_limit.queue_wait_ms(pending.request_class, len(self.in_flight.queued))
-        quota_ms = self.meter.retry_after_ms(pending.customer, pending.plan, 0.0, self.context.now)
+        quota_ms = self.meter.retry_after_ms(pending.customer, pending.plan, 0.0, self.context.now_ms)
         return max(queue_ms, quota_ms)
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
--- a/quota_gateway/policy/server_selection.py
+++ b/quota_gateway/policy/server_selection.py
@@ -46,7 +46,7 @@
         settings = self.context.settings
         load = 1.0 + len(server.attempts_in_flight)
         if server.reported_queue:
-            remaining_ratio = self.decay.left(server.reported_queue_at)
+            remaining_ratio = self.decay.remaining_ratio(server.reported_queue_at)
             load += REPORTED_QUEUE_WEIGHT * server.reported_queue * remaining_ratio
         failure_probability = self.outlier_detection.failure_probability(pending, server, priors)
         latency_ratio = self.latencies.server_ratio(server)
@@ -62,7 +62,7 @@
 
     def first(self, pending: PendingRequest) -> Server | None:
         """The server for a first attempt: one that is overdue to be used, or the best of those compared."""
-        overdue = self.endpoints.overdue(self.context.now)
+        overdue = self.endpoints.overdue(self.context.now_ms)
         if overdue:
             return overdue
         ready = self.endpoints.ready
@@ -79,7 +79,7 @@
 
         Servers not tried yet come first; with an idempotency key a server may be tried twice.
         """
-        group = retry_group(pending, self.context.now)
+        group = retry_group(pending, self.context.now_ms)
         if group is None:
             return None
         servers = self.endpoints.ready_in_group(group, pending.tried_servers)
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -17,7 +17,7 @@
     def capacity_ratio(self, server: Server) -> float:
         """The part of its capacity, 0 to 1, that a server has at least, by the time since its start."""
         contract = self.context.settings.contract
-        age_ms = self.context.now - server.started_ms
+        age_ms = self.context.now_ms - server.started_ms
         if server.started_ms <= 0 or age_ms >= contract.warm_up_ms:
             return 1.0
         growth_ratio = 1.0 - contract.initial_capacity_ratio
--- a/quota_gateway/state/context.py
+++ b/quota_gateway/state/context.py
@@ -1,70 +1,73 @@
-"""What every decision is given: the settings in force, the time, chance, and where its actions go."""
+"""What every decision is given: the settings in force, the time, randomness, timers and the actions' list."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from functools import partial
 from math import inf
 from random import Random
-from typing import Any
+from typing import TypeVar
 
 from quota_gateway.api import Action, Log, SetTimer, Settings, TimerFired
 from quota_gateway.state.decay import Decay
 
-MOST_LOGGED = 100  # lines that are told once, of each gateway
+MAX_LOGGED_ONCE = 100  # lines remembered, so that none is logged twice
+
+Argument = TypeVar("Argument")
 
 
 class Context:
-    """The settings, the event at hand with its actions in order, and the timers that are set.
+    """The settings, the event being handled with its actions in order, and the armed timers.
 
-    Settings change between two events only, and whole. ``fade_ms`` is the time constant of ``decay``.
+    Settings change between two events only, and completely.
     """
 
-    def __init__(self, settings: Settings, seed: int, fade_ms: float) -> None:
+    def __init__(self, settings: Settings, seed: int, estimate_decay_ms: float) -> None:
         self.random = Random(seed)
-        self.decay = Decay(fade_ms)
-        # milliseconds: the first event, the one at hand
-        self.since = inf
-        self.now = -inf
+        self.decay = Decay(estimate_decay_ms)
+        self.started_ms = inf  # time of the first event
+        self.now_ms = -inf  # time of the event being handled
         self.actions: list[Action] = []
-        self.timers: dict[int, tuple[Callable[[Any], None], Any]] = {}
-        self.tokens = 0
-        self.logged: set[str] = set()
+        self.timers: dict[int, Callable[[], None]] = {}  # by token
+        self.last_token = 0
+        self.logged_once: set[str] = set()
         self.configure(settings)
 
     def configure(self, settings: Settings) -> None:
-        """These settings are in force from now on."""
+        """Put these settings in force."""
         self.settings = settings
         self.limits = settings.limits
         self.classes = {item.name: item for item in settings.classes}
         self.highest_priority_weight = max(item.priority_weight for item in settings.classes) or 1.0
 
-    def begin(self, now_ms: float) -> None:
-        """Another event is at hand. Raises ValueError if its time goes back."""
-        if not now_ms >= self.now:
-            raise ValueError(f"now_ms: {now_ms!r} is before {self.now!r}")
-        self.now = self.decay.now = now_ms
+    def begin_event(self, now_ms: float) -> None:
+        """Begin an event, with no actions yet. Raises ValueError if the time goes back."""
+        if not now_ms >= self.now_ms:
+            raise ValueError(f"now_ms: {now_ms!r} is before {self.now_ms!r}")
+        self.now_ms = now_ms
+        self.decay.now_ms = now_ms
         self.actions = []
-        if self.since > now_ms:
-            self.since = now_ms
+        if self.started_ms > now_ms:
+            self.started_ms = now_ms
 
-    def arm(self, delay: float, call: Callable[[Any], None], argument: Any) -> None:
-        """Call this after so many milliseconds."""
-        self.tokens += 1
-        self.timers[self.tokens] = (call, argument)
-        self.actions.append(SetTimer(self.tokens, delay))
+    def arm(self, delay_ms: float, callback: Callable[[Argument], None], argument: Argument) -> None:
+        """Call back with this argument after the delay. Timers are not taken back."""
+        self.last_token += 1
+        self.timers[self.last_token] = partial(callback, argument)
+        self.actions.append(SetTimer(self.last_token, delay_ms))
 
     def fire(self, event: TimerFired) -> None:
-        """A timer has fallen due; one that is not known does nothing."""
-        call = self.timers.pop(event.token, None)
-        if call:
-            call[0](call[1])
+        """A timer is due; one with an unknown token does nothing."""
+        callback = self.timers.pop(event.token, None)
+        if callback:
+            callback()
 
     def log(self, text: str) -> None:
-        """Have a line logged."""
+        """Log a line."""
         self.actions.append(Log(text))
 
     def log_once(self, text: str) -> None:
-        """Have a line logged unless it was before, or so many others were."""
-        if text not in self.logged and len(self.logged) < MOST_LOGGED:
-            self.logged.add(text)
+        """Log a line unless it was logged before; beyond ``MAX_LOGGED_ONCE`` different ones, log nothing."""
+        if text not in self.logged_once and len(self.logged_once) < MAX_LOGGED_ONCE:
+            self.logged_once.add(text)
             self.log(text)
--- a/quota_gateway/state/decay.py
+++ b/quota_gateway/state/decay.py
@@ -1,4 +1,4 @@
-"""What is left of a figure: it fades with time, but not before each server could be met again."""
+"""Exponential decay of estimates, by time and by the attempts started since they were recorded."""
 
 from __future__ import annotations
 
@@ -8,20 +8,26 @@
 
 
 class Decay:
-    """Weights of figures by their age, in time and in attempts; bounded by nothing but the clock."""
+    """Weights of estimates by their age.
 
-    def __init__(self, time_ms: float) -> None:
-        self.time_ms = time_ms  # the time constant
-        self.now = -inf
-        self.sends = 0  # attempts sent so far
-        self.servers = 1  # listed: so many attempts are the other time constant
+    An estimate decays with time, yet no faster than with the attempts started since, in units of one attempt
+    for each server: a gateway with little traffic would otherwise forget a failing server before it could
+    have tried the others.
+    """
+
+    def __init__(self, time_constant_ms: float) -> None:
+        self.time_constant_ms = time_constant_ms
+        self.now_ms = -inf
+        self.attempts_started = 0
+        self.listed_servers = 1  # the time constant in attempts
 
     def moment(self) -> Moment:
-        """Now, for a figure that is noted."""
-        return (self.now, self.sends)
-
-    def left(self, then: Moment) -> float:
-        """The share, 0 to 1, that is left of a figure noted then."""
-        in_time = (self.now - then[0]) / self.time_ms
-        in_sends = (self.sends - then[1]) / self.servers
-        return exp(-in_time if in_time < in_sends else -in_sends)
+        """The present, for an estimate that is recorded."""
+        return (self.now_ms, self.attempts_started)
+
+    def remaining_ratio(self, recorded_at: Moment) -> float:
+        """Weight, 0 to 1, of an estimate that was recorded then."""
+        recorded_ms, attempts_started = recorded_at
+        age_in_time = (self.now_ms - recorded_ms) / self.time_constant_ms
+        age_in_attempts = (self.attempts_started - attempts_started) / self.listed_servers
+        return exp(-age_in_time if age_in_time < age_in_attempts else -age_in_attempts)
--- a/quota_gateway/state/estimates.py
+++ b/quota_gateway/state/estimates.py
@@ -8,7 +8,7 @@
 from quota_gateway.state.context import Context
 from quota_gateway.state.decay import Decay
 from quota_gateway.state.endpoints import Endpoints
-from quota_gateway.state.records import NEVER, FailureRecord, failure_keys
+from quota_gateway.state.records import NO_FAILURES, FailureRecord, failure_keys
 from quota_gateway.state.server import Server
 
 
@@ -24,13 +24,13 @@
         """Record an outcome at a server, under its key there and under the key for all servers."""
         moment = self.decay.moment()
         for records, name in ((server.failure_records, key), (self.records, fleet_key)):
-            failures, outcomes, recorded_at = records.get(name, (0.0, 0.0, NEVER))
-            remaining_ratio = self.decay.left(recorded_at)
+            failures, outcomes, recorded_at = records.get(name, NO_FAILURES)
+            remaining_ratio = self.decay.remaining_ratio(recorded_at)
             records[name] = (failures * remaining_ratio + failed, outcomes * remaining_ratio + 1.0, moment)
 
     def prior(self, fleet_key: str) -> float:
         """The failures of all servers, in outcomes, that count beside a server's own."""
-        failures, outcomes, _ = self.records.get(fleet_key, (0.0, 0.0, NEVER))
+        failures, outcomes, _ = self.records.get(fleet_key, NO_FAILURES)
         return self.prior_weight * failures / (outcomes + 1.0)
 
     def highest(self, server: Server, keys: Sequence[str], priors: Sequence[float]) -> float:
@@ -44,7 +44,7 @@
                 rate = prior / prior_weight
             else:
                 failures, outcomes, recorded_at = record
-                remaining_ratio = self.decay.left(recorded_at)
+                remaining_ratio = self.decay.remaining_ratio(recorded_at)
                 rate = (failures * remaining_ratio + prior) / (outcomes * remaining_ratio + prior_weight)
             if rate > highest:
                 highest = rate
@@ -87,7 +87,7 @@
         """A server's latency in mean latencies, as far as it has not faded."""
         if server.latency_ratio == 1.0:
             return 1.0
-        return 1.0 + (server.latency_ratio - 1.0) * self.decay.left(server.latency_ratio_at)
+        return 1.0 + (server.latency_ratio - 1.0) * self.decay.remaining_ratio(server.latency_ratio_at)
 
     def record_quick(self, server: Server, class_name: str, is_quick: bool) -> None:
         """Record whether a server's last response to a class was quick; the oldest entry gives way."""
--- a/quota_gateway/state/records.py
+++ b/quota_gateway/state/records.py
@@ -5,15 +5,20 @@
 from math import inf
 from typing import NamedTuple
 
-# Clock time (ms), and how many attempts this gateway had started by then: estimates fade by both.
+# A customer's plan and name.
+CustomerKey = tuple[str, str]
+
+
+# The next two are plain tuples, as CPython reads these faster than instances of any class, and each choice of
+# a server reads one of both for each server that it compares.
+
+# When an estimate was recorded, by both clocks that it decays by: time (ms), and attempts started here.
 Moment = tuple[float, int]
 NEVER: Moment = (-inf, 0)
 
-# Failures and all outcomes, both faded to the moment at which they were last recorded.
+# Failures and all outcomes, both decayed to the moment at which they were last recorded.
 FailureRecord = tuple[float, float, Moment]
-
-# A customer's plan and name.
-CustomerKey = tuple[str, str]
+NO_FAILURES: FailureRecord = (0.0, 0.0, NEVER)
 
 
 class FailureKeys(NamedTuple):
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -57,9 +57,9 @@
 def test_the_gateways_parts_own_the_state_that_others_read():
     # what the admin endpoint, the state document and users of the library read, each at its owner
     paths = (
-        "context.settings context.random context.classes context.timers context.tokens context.now "
-        "context.actions context.since context.logged context.highest_priority_weight context.arm "
-        "context.decay.sends epochs.plans epochs.gateways customers.rows customers.epochs "
+        "context.settings context.random context.classes context.timers context.last_token context.now_ms "
+        "context.actions context.started_ms context.logged_once context.highest_priority_weight context.arm "
+        "context.decay.attempts_started epochs.plans epochs.gateways customers.rows customers.epochs "
         "endpoints.servers endpoints.ready endpoints.warming_up endpoints.admin_down endpoint_list.refresh "
         "in_flight.pending_requests in_flight.queued in_flight.occupied_places in_flight.reserved_units "
         "responses.shutdown_at_ms responses.outcome_counters.totals "
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -39,7 +39,7 @@
 
 def context(now=1000.0, **changes) -> Context:
     made = Context(replace(SETTINGS, **changes), 1, 4000.0)
-    made.begin(now)
+    made.begin_event(now)
     return made
 
 
@@ -129,8 +129,8 @@
     ]
     assert probabilities[0][0] > 0.7 > 0.2 > probabilities[0][1]
     assert probabilities[1][0] < 0.1
-    made.begin(61_000.0)
-    made.decay.sends = 1000
+    made.begin_event(61_000.0)
+    made.decay.attempts_started = 1000
     assert health.failure_probability(one, bad, (0.0, 0.0)) < 0.01
 
 
@@ -180,7 +180,7 @@
 @given(st.integers(0, 60), st.integers(0, 2**32), st.floats(0.0, 1.0, exclude_max=True))
 def test_the_fleets_tables_find_what_a_loop_finds(size, seed, turn):
     made = Context(SETTINGS, seed, 4000.0)
-    made.begin(5000.0)
+    made.begin_event(5000.0)
     fleet, cold = Endpoints(made.random), SlowStart(made)
     states = (ServerState.READY, ServerState.DRAINING)
     fleet.update(
@@ -274,7 +274,7 @@
     made = context(now=0.0)
     book = Customers(made, QuotaMeter(made), RateCeiling(made))
     for number in range(3000):
-        made.begin(100.0 * number)
+        made.begin_event(100.0 * number)
         found = book.find_or_add(Request(str(number), "safe", "metered", f"c{number}", 1000.0, 1.0), METERED)
         found.pending_count = (
             1 if number % 1000 == 0 else 0
