--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -76,7 +76,7 @@
             {k: (c.excess_milliunits, c.excess_updated_ms) for k, c in decisions.customers.items()},
             clients.commands,
             clients.most_connections,
-            servers.readings,
+            servers.reply_reader,
             servers.most_connections,
             servers.connect_timeout_s,
             servers.idle_limit_s,
