--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -24,7 +24,7 @@
 from quota_gateway.net.clients import Clients
 from quota_gateway.net.discovery import Discovery
 from quota_gateway.net.driver import Clock, Driver
-from quota_gateway.net.hot_restart import ABOUT, Handover
+from quota_gateway.net.hot_restart import ABOUT, GatewayIdentity, HotRestart, ProcessParts
 from quota_gateway.net.reload import Reload, budget
 from quota_gateway.net.servers import Address, Servers
 from quota_gateway.policy.gateway import Gateway
@@ -144,14 +144,14 @@
     discovery = Discovery(
         config.discovery, news, config.seed, config.settings.gateways, config.settings.discovery
     )
-    who = {"name": config.name, "listen": f"{config.listen[0]}:{config.listen[1]}"}
+    identity = GatewayIdentity(config.name, f"{config.listen[0]}:{config.listen[1]}")
     survivor = _survivor(clients)
     # Under a keeper the next process stands by already: it must not take over from one that serves.
     folder = None if survivor else os.environ.get("TMPDIR")
-    handover = Handover(folder, who, driver, clients, servers, discovery)
-    operators = Operators(driver, clients, discovery.roster, handover)
+    hot_restart = HotRestart(folder, identity, ProcessParts(driver, clients, servers, discovery))
+    operators = Operators(driver, clients, discovery.roster, hot_restart)
     door = admin.Door(operators.calls(), operators.fence)
-    reload = Reload(config, os.environ, driver, servers, clients, discovery, door, handover)
+    reload = Reload(config, os.environ, driver, servers, clients, discovery, door, hot_restart)
     door.calls.update(reload.calls())
     operators.revision = lambda: reload.config.digest
     hang_up.follow(lambda: loop.call_soon_threadsafe(reload.signal))
@@ -167,22 +167,22 @@
     if config.admin:
         await door.listen(*config.admin)
     passed = (survivor and survivor.listener()) or _passed(dict(os.environ), config.listen)
-    if await handover.take():
+    if await hot_restart.take_over():
         clients.ready = True
     elif not survivor:
         _begin_with_known(config, discovery, clients)
     watching = watching or loop.create_task(discovery.run())
-    await clients.listen(*config.listen, passed or handover.take_listener())
+    await clients.listen(*config.listen, passed or hot_restart.take_listener())
     if survivor:
         await survivor.serve()
-    handover.offer()
+    hot_restart.offer()
     operators.up.set()
     reload.up.set()
     log.info("listening")
     await stop.wait()
     reload.close()
-    await _leave(driver.gateway.settings, driver, clients, handover)
-    handover.close()
+    await _leave(driver.gateway.settings, driver, clients, hot_restart)
+    hot_restart.close()
     if survivor:
         survivor.close()
     door.close()
@@ -211,7 +211,7 @@
     settings: api.Settings,
     driver: Driver,
     clients: Clients,
-    handover: Handover | None = None,
+    hot_restart: HotRestart | None = None,
 ) -> None:
     """Serve on until shortly before the end, answer all that was taken, close; all before SIGKILL.
 
@@ -226,7 +226,7 @@
     log.info("stopping")
     driver.post(api.ShutdownBegun(span_s * 1000.0))
     while loop.time() < end - LAST_S:
-        if handover and handover.done() and not clients.connections and not driver.calls:
+        if hot_restart and hot_restart.complete() and not clients.connections and not driver.calls:
             break
         await asyncio.sleep(0.01)
     clients.stop_listening()
--- a/quota_gateway/failover/gateway.py
+++ b/quota_gateway/failover/gateway.py
@@ -19,7 +19,7 @@
 from quota_gateway.failover.connection_record import Record, RecordError
 from quota_gateway.net.clients import Client, Clients
 from quota_gateway.net.heartbeat import HEARTBEAT_INTERVAL_S
-from quota_gateway.net.hot_restart import Link, close_all, connected
+from quota_gateway.net.hot_restart.link import Link, close_descriptors, connect, decode_number
 from quota_gateway.net.tcp_info import bytes_consumed, bytes_written
 
 log = logging.getLogger(__name__)
@@ -93,7 +93,7 @@
                 self.link.send(b"B")
 
     def _connect(self) -> None:
-        sock = connected(self.path)
+        sock = connect(self.path)
         if sock is None:
             return
         self.link = Link(sock, self._message, self._ended)
@@ -111,14 +111,14 @@
         letter = data[:1]
         rest = data[1:]
         if letter == b"C" and len(descriptors) == 1:
-            self.followed.connections[int(rest)] = descriptors.pop()
+            self.followed.connections[decode_number(rest)] = descriptors.pop()
         elif letter == b"L" and len(descriptors) == 1:
             self.followed.listener = socket.socket(fileno=descriptors.pop())
         elif letter == b"R" and len(descriptors) == 1:
             self.followed.read(descriptors[0])
         elif letter == b"T":
             self.turned.set()
-        close_all(descriptors)
+        close_descriptors(descriptors)
 
     # ---- This process's turn
 
--- a/quota_gateway/failover/supervisor.py
+++ b/quota_gateway/failover/supervisor.py
@@ -25,8 +25,9 @@
 
 from msgspec import Struct
 
+from quota_gateway.errors import PeerProcessError
 from quota_gateway.net.heartbeat import Heartbeat
-from quota_gateway.net.hot_restart import Link, close_all
+from quota_gateway.net.hot_restart.link import Link, close_descriptors, decode_number
 
 log = logging.getLogger("quota_gateway.failover")
 
@@ -71,13 +72,13 @@
 
     def let_go(self) -> None:
         """Close all copies."""
-        close_all(descriptor for descriptor in (self.record, self.listener) if descriptor >= 0)
+        close_descriptors(descriptor for descriptor in (self.record, self.listener) if descriptor >= 0)
         self.record = self.listener = -1
         self.drop_all()
 
     def drop_all(self) -> None:
         """Close the copies of all connections."""
-        close_all(self.connections.values())
+        close_descriptors(self.connections.values())
         self.connections.clear()
 
 
@@ -177,13 +178,13 @@
             if letter == b"H" and peer is None and descriptors:
                 self._come(link, descriptors.pop(), rest == b"1")
             elif peer is None:
-                raise ValueError("nobody who has come")
+                raise PeerProcessError("nobody who has come")
             elif letter == b"S":
                 self._serves(peer)
             else:
                 self._copy(peer, letter, rest, descriptors)
         finally:
-            close_all(descriptors)
+            close_descriptors(descriptors)
 
     def _copy(self, peer: Peer, letter: bytes, rest: bytes, descriptors: list[int]) -> None:
         if letter == b"L" and descriptors:
@@ -191,10 +192,10 @@
                 os.close(peer.listener)
             peer.listener = descriptors.pop()
         elif letter == b"C" and descriptors and len(peer.connections) < MOST_DESCRIPTORS:
-            peer.drop(int(rest))  # told of twice: a copy that is left would keep it from ending
-            peer.connections[int(rest)] = descriptors.pop()
+            peer.drop(decode_number(rest))  # told of twice: a copy that is left would keep it from ending
+            peer.connections[decode_number(rest)] = descriptors.pop()
         elif letter == b"D":
-            peer.drop(int(rest))
+            peer.drop(decode_number(rest))
 
     def _come(self, link: Link, record: int, serving: bool) -> None:
         for old in [old for old in self.peers.values() if old.link.peer_process.pid == link.peer_process.pid]:
--- a/quota_gateway/net/admin_commands.py
+++ b/quota_gateway/net/admin_commands.py
@@ -11,7 +11,7 @@
 from quota_gateway.net.clients import Clients
 from quota_gateway.net.discovery import Roster
 from quota_gateway.net.driver import Driver
-from quota_gateway.net.hot_restart import Handover
+from quota_gateway.net.hot_restart import HotRestart
 
 log = logging.getLogger(__name__)
 
@@ -21,11 +21,11 @@
 class Operators:
     """The calls. They wait until this process serves: what the one before it knows would undo them."""
 
-    def __init__(self, driver: Driver, clients: Clients, roster: Roster, handover: Handover) -> None:
+    def __init__(self, driver: Driver, clients: Clients, roster: Roster, hot_restart: HotRestart) -> None:
         self.driver = driver
         self.clients = clients
         self.roster = roster
-        self.handover = handover
+        self.hot_restart = hot_restart
         self.gateway = driver.gateway
         self.up = asyncio.Event()
         self.revision: Callable[[], str] = str  # of the configuration in force, by digest
@@ -45,7 +45,7 @@
 
     async def health(self, _: str) -> Answer:
         """Whether this process can serve; it can while the gateway is drained, too."""
-        if self.handover.handed:
+        if self.hot_restart.handed_over:
             return False, "the next process has taken over"
         if not self.up.is_set() or not self.clients.ready:
             return False, "the list of servers is not known yet"
@@ -55,11 +55,11 @@
     async def fence(self, token: int) -> int:
         """Take a caller's token: 0 if it may act, else the higher one. Known to the other process, too."""
         await self.up.wait()
-        before = self.handover.token
-        if not self.handover.fence(token):
+        before = self.hot_restart.highest_token
+        if not self.hot_restart.fence(token):
             return before
         if token > before:
-            await self.handover.share()
+            await self.hot_restart.share_wishes()
         return 0
 
     async def figures(self, _: str) -> Answer:
@@ -69,7 +69,7 @@
 
     async def retire(self, _: str) -> Answer:
         """End the process that was followed, be it this one or the one beside it."""
-        why = self.handover.retire()
+        why = self.hot_restart.retire()
         if not why:
             log.info("the process that was followed is told to end")
         return not why, why or "the process that was followed ends once nothing is in hand"
@@ -89,7 +89,7 @@
         if number not in self.gateway.by_hand:
             self.roster.unpin(name, number in self.gateway.servers)
             return False, "too many servers are out"
-        await self.handover.share()
+        await self.hot_restart.share_wishes()
         log.info("server %s is taken out by hand", name)
         return True, "out"
 
@@ -102,7 +102,7 @@
         self.driver.post(api.ServerAdminDown(number, False))
         listed = number in self.gateway.servers
         self.roster.unpin(name, listed)
-        await self.handover.share()
+        await self.hot_restart.share_wishes()
         log.info("server %s is put back by hand", name)
         return True, "back" if listed else "back, once discovery lists it"
 
@@ -119,4 +119,4 @@
     async def _drain(self, active: bool) -> None:
         await self.up.wait()
         self.driver.post(api.DrainChanged(active))
-        await self.handover.share()
+        await self.hot_restart.share_wishes()
--- a/quota_gateway/net/clients.py
+++ b/quota_gateway/net/clients.py
@@ -229,7 +229,7 @@
         self.rounds = 0
         self.unsent_bytes = self.stalled_at = 0
         self.read_bytes = self.written_bytes = 0  # in all
-        self.kept_as = 0  # the number under which the process before this one keeps a copy of it
+        self.retained_id = 0  # the number under which the process before this one keeps a copy of it
         self.bad = 0  # commands in a row that were answered with an error
         self.asked = False  # a request has come: clients keep such connections between their requests
         self.stall: asyncio.TimerHandle | None = None
@@ -505,8 +505,8 @@
             return
         if self.ending or (self.clients.leaving and self._may_leave()):
             self.close()
-        elif self.clients.pass_on:
-            self.clients.try_to_pass(self)
+        elif self.clients.transfer:
+            self.clients.try_to_transfer(self)
         elif self.asked and not self.lengths.within() and self.clients.unwanted():
             self.close_idle()
 
@@ -642,8 +642,8 @@
         self.listener: socket.socket | None = None
         self.buffer = memoryview(bytearray(READ))
         self.unsent_bytes = 0
-        self.elsewhere = 0  # connections that the process before this one still holds
-        self.pass_on: Callable[[Client, int], bool] | None = None  # to the next process, if it takes over
+        self.peer_connections = 0  # connections that the process before this one still holds
+        self.transfer: Callable[[Client, int], bool] | None = None  # to the next process, if it takes over
         self.on_closed: Callable[[Client], None] | None = None
         self.on_opened: Callable[[Client], None] | None = None
         self.on_rest: Callable[[Client], None] | None = None  # nothing of it is in hand
@@ -686,7 +686,7 @@
         sock: socket.socket,
         asked: bool,
         waited_s: float,
-        kept_as: int = 0,
+        retained_id: int = 0,
     ) -> asyncio.Task[None]:
         """Take a connection that is accepted already.
 
@@ -695,7 +695,7 @@
         client = Client(self)
         client.asked = asked
         client.grace_s = max(0.0, WHOLE_S - waited_s)
-        client.kept_as = kept_as
+        client.retained_id = retained_id
         task = self.loop.create_task(self._open(client, sock))
         self.adopting.add(task)
         task.add_done_callback(self.adopting.discard)
@@ -707,11 +707,11 @@
         except OSError:
             sock.close()
 
-    def try_to_pass(self, client: Client) -> None:
+    def try_to_transfer(self, client: Client) -> None:
         """Pass a connection on to the next process, if it is between requests."""
-        if self.pass_on and client.transport and client.between_requests():
+        if self.transfer and client.transport and client.between_requests():
             copy = client.transport.get_extra_info("socket")
-            if self.pass_on(client, copy.fileno()):
+            if self.transfer(client, copy.fileno()):
                 client.detach()
 
     def pong(self) -> bytes:
@@ -757,7 +757,7 @@
 
     def beyond(self) -> bool:
         """Whether there are more connections than there may be."""
-        return len(self.connections) + self.elsewhere > self.most_connections
+        return len(self.connections) + self.peer_connections > self.most_connections
 
     def opened(self, client: Client) -> None:
         """Count a new connection; beyond the limit an idle one goes, or else the new one.
--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -89,7 +89,7 @@
         self.alarm: tuple[float, asyncio.TimerHandle] | None = None
         self.loop = asyncio.get_running_loop()
         servers.on_linked = self.post
-        self.on_elsewhere: Callable[[api.PeerUsage], None] = lambda _: None  # set by who hands over
+        self.on_peer_usage: Callable[[api.PeerUsage], None] = lambda _: None  # set by who hands over
         self.on_admit: Callable[[api.SetServing], None] = lambda _: None  # set by who holds the clients
         self.actions: dict[type, Callable[[Any], None]] = {
             api.Send: self._send,
@@ -102,7 +102,7 @@
             api.SetServerUsable: lambda action: servers.hold(action.server, not action.usable),
             api.Subscribe: lambda _: None,  # the watch on discovery is kept in any case
             api.SetServing: lambda action: self.on_admit(action),
-            api.PeerUsage: lambda action: self.on_elsewhere(action),
+            api.PeerUsage: lambda action: self.on_peer_usage(action),
         }
 
     # ---- Events in
--- /dev/null
+++ b/quota_gateway/net/hot_restart/messages.py
@@ -0,0 +1,314 @@
+"""Messages between two processes of one gateway, and their bytes.
+
+A message is one letter, then JSON or raw bytes. Processes of different versions hand over to each other, so
+the bytes never change. A later version adds optional fields only, which an earlier one ignores; what an
+earlier version does not send has a default here. Decoding is the one edge where bytes of the peer process
+are trusted: all that is wrong with them becomes a PeerProcessError.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any, ClassVar
+
+from quota_gateway.errors import PeerProcessError
+from quota_gateway.net.hot_restart.identity import GatewayIdentity
+from quota_gateway.net.hot_restart.operator_wishes import OperatorWishes
+from quota_gateway.net.retained_connections import NOT_RETAINED
+
+TAKE_OVER_WITH_HEARTBEATS = b"+"
+
+
+def _json(document: Any) -> bytes:
+    return json.dumps(document).encode()
+
+
+@dataclass(frozen=True, slots=True)
+class Hello:
+    """Both ways, first: who the sender is. The predecessor answers with its own."""
+
+    letter: ClassVar[bytes] = b"H"
+    identity: GatewayIdentity
+
+    def body(self) -> bytes:
+        """The bytes behind the letter."""
+        return _json(self.identity.to_document())
+
+    @classmethod
+    def read(cls, body: bytes) -> Hello:
+        """The message of this body."""
+        return cls(GatewayIdentity.from_document(json.loads(body)))
+
+
+@dataclass(frozen=True, slots=True)
+class TakeOver:
+    """Successor to predecessor: stop accepting and hand over now."""
+
+    letter: ClassVar[bytes] = b"T"
+    heartbeats: bool  # the successor sends heartbeats; earlier versions do not
+
+    def body(self) -> bytes:
+        """The bytes behind the letter."""
+        return TAKE_OVER_WITH_HEARTBEATS if self.heartbeats else b""
+
+    @classmethod
+    def read(cls, body: bytes) -> TakeOver:
+        """The message of this body."""
+        return cls(body == TAKE_OVER_WITH_HEARTBEATS)
+
+
+@dataclass(frozen=True, slots=True)
+class StatePiece:
+    """Predecessor to successor: the next bytes of the state."""
+
+    letter: ClassVar[bytes] = b"S"
+    data: bytes
+
+    def body(self) -> bytes:
+        """The bytes behind the letter."""
+        return self.data
+
+    @classmethod
+    def read(cls, body: bytes) -> StatePiece:
+        """The message of this body."""
+        return cls(body)
+
+
+@dataclass(frozen=True, slots=True)
+class StateEnd:
+    """Predecessor to successor: the state is complete. Carries the clients' listener, if there is one."""
+
+    letter: ClassVar[bytes] = b"E"
+    size_bytes: int
+    checksum: int  # CRC-32
+    heartbeats: bool  # the predecessor sends heartbeats, too; earlier versions do not
+
+    def body(self) -> bytes:
+        """The bytes behind the letter."""
+        return _json({"bytes": self.size_bytes, "crc": self.checksum, "beats": self.heartbeats})
+
+    @classmethod
+    def read(cls, body: bytes) -> StateEnd:
+        """The message of this body."""
+        fields = json.loads(body)
+        return cls(fields["bytes"], fields["crc"], bool(fields.get("beats")))
+
+
+@dataclass(frozen=True, slots=True)
+class ClientConnection:
+    """Predecessor to successor, with its descriptor: a client connection between two requests."""
+
+    letter: ClassVar[bytes] = b"C"
+    has_requested: bool  # a request has come on it
+    waited_s: float  # since it was opened
+    retained_id: int  # of the predecessor's copy; NOT_RETAINED from earlier versions
+
+    def body(self) -> bytes:
+        """The bytes behind the letter."""
+        return _json({"asked": self.has_requested, "waited": self.waited_s, "kept": self.retained_id})
+
+    @classmethod
+    def read(cls, body: bytes) -> ClientConnection:
+        """The message of this body."""
+        fields = json.loads(body)
+        return cls(bool(fields["asked"]), float(fields["waited"]), int(fields.get("kept", NOT_RETAINED)))
+
+
+@dataclass(frozen=True, slots=True)
+class ServerConnection:
+    """Predecessor to successor, with its descriptor: an idle connection to a server."""
+
+    letter: ClassVar[bytes] = b"V"
+    server_id: str  # as in discovery's list
+
+    def body(self) -> bytes:
+        """The bytes behind the letter."""
+        return self.server_id.encode()
+
+    @classmethod
+    def read(cls, body: bytes) -> ServerConnection:
+        """The message of this body."""
+        return cls(body.decode())
+
+
+@dataclass(frozen=True, slots=True)
+class RemainingConnections:
+    """Predecessor to successor: how many connections it still has."""
+
+    letter: ClassVar[bytes] = b"F"
+    clients: int
+    servers: int
+
+    def body(self) -> bytes:
+        """The bytes behind the letter."""
+        return _json(self.to_document())
+
+    def to_document(self) -> dict[str, int]:
+        """The counts by their keys, which stand in the state as well."""
+        return {"clients": self.clients, "servers": self.servers}
+
+    @classmethod
+    def from_document(cls, fields: dict[str, Any]) -> RemainingConnections:
+        """The counts in a document, among other keys."""
+        return cls(int(fields["clients"]), int(fields["servers"]))
+
+
+@dataclass(frozen=True, slots=True)
+class CustomerUsage:
+    """Predecessor to successor: what a request that it still had did to its customer's quota."""
+
+    letter: ClassVar[bytes] = b"F"
+    plan: str
+    customer: str
+    in_flight: int  # requests that the predecessor still has of the customer
+    charged_units: float
+    metered_use_percent: float | None  # the meter's reading, if the answer had one
+
+    def body(self) -> bytes:
+        """The bytes behind the letter."""
+        return _json(
+            {
+                "plan": self.plan,
+                "customer": self.customer,
+                "in_hand": self.in_flight,
+                "charged": self.charged_units,
+                "used": self.metered_use_percent,
+            }
+        )
+
+    @classmethod
+    def from_document(cls, fields: dict[str, Any]) -> CustomerUsage:
+        """The usage in a document."""
+        used = fields["used"]
+        return cls(
+            plan=fields["plan"],
+            customer=fields["customer"],
+            in_flight=int(fields["in_hand"]),
+            charged_units=float(fields["charged"]),
+            metered_use_percent=None if used is None else float(used),
+        )
+
+
+def _read_remaining_or_usage(body: bytes) -> RemainingConnections | CustomerUsage:
+    """Two messages have the letter F; only one of them names a plan."""
+    fields = json.loads(body)
+    if "plan" in fields:
+        return CustomerUsage.from_document(fields)
+    return RemainingConnections.from_document(fields)
+
+
+@dataclass(frozen=True, slots=True)
+class WishesChanged:
+    """Both ways: what operators wish has changed; the receiver applies it and answers."""
+
+    letter: ClassVar[bytes] = b"O"
+    number: int
+    wishes: OperatorWishes
+
+    def body(self) -> bytes:
+        """The bytes behind the letter."""
+        return _json({"number": self.number, "operators": self.wishes.to_document()})
+
+    @classmethod
+    def read(cls, body: bytes) -> WishesChanged:
+        """The message of this body."""
+        fields = json.loads(body)
+        return cls(fields["number"], OperatorWishes.from_document(fields["operators"]))
+
+
+@dataclass(frozen=True, slots=True)
+class WishesApplied:
+    """Both ways: the answer to ``WishesChanged``, by its number."""
+
+    letter: ClassVar[bytes] = b"A"
+    number: int
+
+    def body(self) -> bytes:
+        """The bytes behind the letter."""
+        return _json(self.number)
+
+    @classmethod
+    def read(cls, body: bytes) -> WishesApplied:
+        """The message of this body."""
+        return cls(json.loads(body))
+
+
+@dataclass(frozen=True, slots=True)
+class RetainedConnectionClosed:
+    """Successor to predecessor: a connection of which it retains a copy is closed."""
+
+    letter: ClassVar[bytes] = b"D"
+    retained_id: int
+
+    def body(self) -> bytes:
+        """The bytes behind the letter."""
+        return _json(self.retained_id)
+
+    @classmethod
+    def read(cls, body: bytes) -> RetainedConnectionClosed:
+        """The message of this body."""
+        return cls(int(json.loads(body)))
+
+
+@dataclass(frozen=True, slots=True)
+class Alive:
+    """Both ways: a heartbeat."""
+
+    letter: ClassVar[bytes] = b"B"
+
+    def body(self) -> bytes:
+        """The bytes behind the letter."""
+        return b""
+
+    @classmethod
+    def read(cls, _body: bytes) -> Alive:
+        """The message; a body has no meaning yet."""
+        return cls()
+
+
+Message = (
+    Hello
+    | TakeOver
+    | StatePiece
+    | StateEnd
+    | ClientConnection
+    | ServerConnection
+    | RemainingConnections
+    | CustomerUsage
+    | WishesChanged
+    | WishesApplied
+    | RetainedConnectionClosed
+    | Alive
+)
+READERS: dict[bytes, Callable[[bytes], Message]] = {
+    Hello.letter: Hello.read,
+    TakeOver.letter: TakeOver.read,
+    StatePiece.letter: StatePiece.read,
+    StateEnd.letter: StateEnd.read,
+    ClientConnection.letter: ClientConnection.read,
+    ServerConnection.letter: ServerConnection.read,
+    RemainingConnections.letter: _read_remaining_or_usage,
+    WishesChanged.letter: WishesChanged.read,
+    WishesApplied.letter: WishesApplied.read,
+    RetainedConnectionClosed.letter: RetainedConnectionClosed.read,
+    Alive.letter: Alive.read,
+}
+
+
+def encode(message: Message) -> bytes:
+    """The message as it goes over the link."""
+    return message.letter + message.body()
+
+
+def decode(data: bytes) -> Message:
+    """The message of these bytes. Raises PeerProcessError if they are none."""
+    read = READERS.get(data[:1])
+    if read is None:
+        raise PeerProcessError(f"no message has the letter {data[:1]!r}")
+    try:
+        return read(data[1:])
+    except (ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
+        # not JSON, a field missing, a field of another type: each is a malformed message
+        raise PeerProcessError(f"{data[:1]!r} with a malformed body: {error!r}") from error
--- /dev/null
+++ b/quota_gateway/net/hot_restart/predecessor.py
@@ -0,0 +1,275 @@
+"""The end of a hot restart that hands over: the process that serves, for the next one."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import os
+import socket
+from collections.abc import Callable
+from contextlib import suppress
+from enum import Enum
+
+from quota_gateway import api, state_document
+from quota_gateway.errors import PeerProcessError
+from quota_gateway.net.hot_restart import limits
+from quota_gateway.net.hot_restart.address import SocketFolder
+from quota_gateway.net.hot_restart.connection_transfer import ConnectionSender
+from quota_gateway.net.hot_restart.identity import GatewayIdentity
+from quota_gateway.net.hot_restart.link import NO_DESCRIPTOR
+from quota_gateway.net.hot_restart.messages import (
+    CustomerUsage,
+    Hello,
+    Message,
+    RetainedConnectionClosed,
+    TakeOver,
+    WishesApplied,
+    WishesChanged,
+)
+from quota_gateway.net.hot_restart.process_parts import ProcessParts
+from quota_gateway.net.hot_restart.session import PeerSession
+from quota_gateway.net.hot_restart.state_transfer import TransferredState, end_of, split
+from quota_gateway.net.hot_restart.wishes_exchange import WishesExchange
+from quota_gateway.state_machine import Transitions, transition
+
+log = logging.getLogger(__name__)
+
+SOCKET_NAME = "gateway.sock"
+LISTEN_BACKLOG = 4
+
+
+class PredecessorState(Enum):
+    """How far a process has handed over to the next one."""
+
+    SERVING = "serving"  # no next process is connected
+    CONNECTED = "connected"  # a next process is, and has not said who it is
+    GREETED = "greeted"  # it has, and may ask to take over
+    HANDED_OVER = "handed over"  # the successor serves; this process finishes its requests
+    AWAITING_EXIT = "awaiting exit"  # the session has ended, the successor's process has not
+
+
+TRANSITIONS: Transitions[PredecessorState] = {
+    PredecessorState.SERVING: frozenset({PredecessorState.CONNECTED}),
+    PredecessorState.CONNECTED: frozenset({PredecessorState.GREETED, PredecessorState.SERVING}),
+    PredecessorState.GREETED: frozenset({PredecessorState.HANDED_OVER, PredecessorState.SERVING}),
+    PredecessorState.HANDED_OVER: frozenset({PredecessorState.AWAITING_EXIT}),
+    PredecessorState.AWAITING_EXIT: frozenset({PredecessorState.SERVING}),
+}
+SUCCESSOR_SERVES = frozenset({PredecessorState.HANDED_OVER, PredecessorState.AWAITING_EXIT})
+GREETED = frozenset({PredecessorState.GREETED, PredecessorState.HANDED_OVER})
+
+
+class Predecessor:
+    """Offers itself to the next process and hands over to it; takes back if that process ends.
+
+    Two processes never serve side by side: once handed over, this one serves again only when the successor's
+    process has ended, however the session between them ended.
+    """
+
+    def __init__(
+        self,
+        folder: SocketFolder | None,
+        identity: GatewayIdentity,
+        parts: ProcessParts,
+        exchange: WishesExchange,
+        may_accept: Callable[[], bool],
+    ) -> None:
+        self.state = PredecessorState.SERVING
+        self.session: PeerSession | None = None
+        self.connections = ConnectionSender(parts)
+        self._folder = folder
+        self._identity = identity
+        self._parts = parts
+        self._exchange = exchange
+        self._may_accept = may_accept
+        self._loop = asyncio.get_running_loop()
+        self._offer_socket: socket.socket | None = None
+        self._reclaiming: asyncio.Task[None] | None = None
+        parts.driver.on_peer_usage = self._report_usage
+
+    # ---- Offering
+
+    def offer(self) -> None:
+        """Listen for the next process. A failure is logged: the next one then starts plainly."""
+        if self._folder is None:
+            return
+        own_name = f"{SOCKET_NAME}.{os.getpid()}"
+        own_path = self._folder.path / own_name
+        try:
+            with suppress(FileNotFoundError):
+                own_path.unlink()
+            self._offer_socket = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+            self._offer_socket.setblocking(False)
+            self._offer_socket.bind(self._folder.address(own_name))
+            self._offer_socket.listen(LISTEN_BACKLOG)
+            os.replace(own_path, self._folder.path / SOCKET_NAME)
+            self._loop.add_reader(self._offer_socket.fileno(), self._accept, self._offer_socket)
+            self._exchange.save()
+        except OSError as error:
+            log.error("no upgrade without a break: %r", error)
+
+    def withdraw(self) -> None:
+        """Offer no more. The path stays, as it may be the successor's by now."""
+        if self._offer_socket:
+            self._loop.remove_reader(self._offer_socket.fileno())
+            self._offer_socket.close()
+            self._offer_socket = None
+
+    @property
+    def offering(self) -> bool:
+        """Whether the next process could connect."""
+        return self._offer_socket is not None
+
+    def _accept(self, offer_socket: socket.socket) -> None:
+        try:
+            sock, _ = offer_socket.accept()
+        except OSError:  # it has gone again
+            return
+        if self.state is not PredecessorState.SERVING or not self._may_accept():
+            sock.close()  # it starts plainly
+            return
+        self.session = PeerSession(sock, self._received, self._ended)
+        self._enter(PredecessorState.CONNECTED)
+        timeout_s = limits.HELLO_TIMEOUT_S + limits.STATE_TIMEOUT_S
+        self._loop.call_later(timeout_s, self._end_unless_handed_over, self.session)
+
+    def _end_unless_handed_over(self, session: PeerSession) -> None:
+        """End a session with a process that connects and hangs: it would keep the next one out."""
+        if session is self.session and not self.handed_over:
+            session.end("it did not take over in time")
+
+    # ---- Messages
+
+    def _received(self, session: PeerSession, message: Message, _descriptors: list[int]) -> None:
+        match message:
+            case Hello():
+                self._greet(session, message)
+            case TakeOver():
+                self._hand_over(session, message)
+            case RetainedConnectionClosed():
+                self.connections.retained.release(message.retained_id)
+            case WishesChanged():
+                self._exchange.apply_changed(session, message)
+            case WishesApplied():
+                self._exchange.note_applied(message)
+            case _:
+                raise PeerProcessError(f"not a successor's message: {type(message).__name__}")
+
+    def _greet(self, session: PeerSession, message: Hello) -> None:
+        if message.identity != self._identity:
+            raise PeerProcessError(f"another gateway, or another version: {message.identity}")
+        if self.state is PredecessorState.CONNECTED:
+            self._enter(PredecessorState.GREETED)
+            session.send(Hello(self._identity))
+
+    # ---- Handing over
+
+    @property
+    def greeted(self) -> bool:
+        """Whether both processes have said who they are, and the session is open."""
+        return self.state in GREETED
+
+    @property
+    def handed_over(self) -> bool:
+        """Whether the successor serves in place of this process."""
+        return self.state in SUCCESSOR_SERVES
+
+    def complete(self) -> bool:
+        """Whether this process has handed over, and all messages have gone out."""
+        return self.handed_over and self.session is not None and self.session.all_sent()
+
+    def _hand_over(self, session: PeerSession, request: TakeOver) -> None:
+        """Hand over in one step of the event loop, so that no request is decided by both processes.
+
+        Idle connections go at once. What is in flight stays and is reserved in the state; the successor is
+        notified of each end. Raises PeerProcessError out of turn.
+        """
+        if self.state is not PredecessorState.GREETED:
+            raise PeerProcessError(f"asked to hand over out of turn: {self.state.value}")
+        self._enter(PredecessorState.HANDED_OVER)
+        clients = self._parts.clients
+        clients.stop_accepting()
+        self._parts.driver.post(api.HotRestartBegun())
+        self._send_state(session, request.heartbeats)
+        if not session.open:
+            return
+        # Half of the capacity that is left, as the successor opens new connections meanwhile. A successor
+        # without heartbeats does not report the connections that it closes.
+        unused = max(0, clients.most_connections - len(clients.connections))
+        self.connections.begin(session, max_retained=unused // 2 if request.heartbeats else 0)
+        if request.heartbeats and session.open:
+            session.heartbeat.start()
+
+    def _send_state(self, session: PeerSession, heartbeats: bool) -> None:
+        state = TransferredState(
+            server_list=self._parts.discovery.roster.document(),
+            decisions=state_document.save(self._parts.driver.gateway, self._parts.server_names()),
+            wishes=self._exchange.in_force.current(),
+            remaining=self.connections.remaining(),
+        )
+        raw = state.to_bytes()
+        for piece in split(raw):
+            session.send(piece)
+        listener = self._parts.clients.listener
+        session.send(end_of(raw, heartbeats), listener.fileno() if listener else NO_DESCRIPTOR)
+
+    def _report_usage(self, usage: api.PeerUsage) -> None:
+        """Notify the successor of what a request that stayed here did to its customer's quota."""
+        if self.handed_over and self.session:
+            self.session.send(
+                CustomerUsage(
+                    usage.plan,
+                    usage.customer,
+                    usage.in_flight,
+                    usage.charged,
+                    usage.metered_use_percent,
+                )
+            )
+
+    # ---- Taking back
+
+    def _ended(self, session: PeerSession) -> None:
+        """The next process has ended, or broke off."""
+        self.session = None
+        self.connections.end()
+        if self.handed_over:
+            self._enter(PredecessorState.AWAITING_EXIT)
+            session.peer_process.when_ended(lambda: self._take_back(session))
+            return
+        self._enter(PredecessorState.SERVING)
+        self._parts.driver.post(api.PeerExited())
+        session.peer_process.close()
+
+    def _take_back(self, session: PeerSession) -> None:
+        """The successor's process has ended: this one serves again."""
+        session.peer_process.close()
+        self._enter(PredecessorState.SERVING)
+        self._parts.driver.post(api.PeerExited())
+        log.error("the next process has ended: this one accepts again")
+        self._reclaiming = self._loop.create_task(self.reclaim(), name="take back connections")
+
+    async def reclaim(self) -> None:
+        """Go on with the connections that the successor had not touched, accept and offer again.
+
+        During a shutdown only what has come is served: nobody takes over from this process any more.
+        """
+        clients = self._parts.clients
+        for connection in self.connections.retained.reclaim():
+            connection.sock.setblocking(False)
+            await clients.adopt(connection.sock, connection.has_requested, 0.0)
+        if clients.leaving:
+            return
+        await clients.accept()
+        self.withdraw()
+        self.offer()
+
+    def _enter(self, state: PredecessorState) -> None:
+        self.state = transition("predecessor", TRANSITIONS, self.state, state)
+
+    def close(self) -> None:
+        """Release all, as this process ends."""
+        self.withdraw()
+        self.connections.retained.close()
+        if self.session:
+            self.session.close("this process ends")
+            self.session = None
--- /dev/null
+++ b/quota_gateway/net/hot_restart/process_parts.py
@@ -0,0 +1,24 @@
+"""The parts of this process that a hot restart works on."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from quota_gateway.net.clients import Clients
+from quota_gateway.net.discovery import Discovery
+from quota_gateway.net.driver import Driver
+from quota_gateway.net.servers import Servers
+
+
+@dataclass(frozen=True, slots=True)
+class ProcessParts:
+    """The decisions' driver, the sockets and discovery's list."""
+
+    driver: Driver
+    clients: Clients
+    servers: Servers
+    discovery: Discovery
+
+    def server_names(self) -> dict[int, str]:
+        """Discovery's ids of the servers, by the number that this process has given them."""
+        return {number: server_id for server_id, number in self.discovery.roster.numbers.items()}
--- a/quota_gateway/net/reload.py
+++ b/quota_gateway/net/reload.py
@@ -25,7 +25,7 @@
 from quota_gateway.net.clients import MOST_LINGERING, Clients
 from quota_gateway.net.discovery import Discovery
 from quota_gateway.net.driver import Driver
-from quota_gateway.net.hot_restart import Handover
+from quota_gateway.net.hot_restart import HotRestart
 from quota_gateway.net.servers import Servers
 
 log = logging.getLogger(__name__)
@@ -66,11 +66,11 @@
         clients: Clients,
         discovery: Discovery,
         door: admin.Door,
-        handover: Handover,
+        hot_restart: HotRestart,
     ) -> None:
         self.environment = environment
         self.door = door
-        self.handover = handover
+        self.hot_restart = hot_restart
         self.driver = driver
         self.servers = servers
         self.clients = clients
@@ -166,7 +166,7 @@
         """Why nothing is changed here any more; empty while it may be."""
         if self.stopping:
             return "this process stops"
-        return "the next process has taken over" if self.handover.handed else ""
+        return "the next process has taken over" if self.hot_restart.handed_over else ""
 
     async def _reload(self, readings: int, trial_s: float | None) -> Answer:
         """Guards against a file that is being written: it is read again shortly, a few times."""
--- a/quota_gateway/net/servers.py
+++ b/quota_gateway/net/servers.py
@@ -452,8 +452,10 @@
     def __init__(self, settings: api.Settings, most_connections: int) -> None:
         self.loop = asyncio.get_running_loop()
         self.hosts: dict[int, Host] = {}
-        self.elsewhere = 0  # connections that the process before this one still holds
-        self.pass_on: Callable[[Connection, int], bool] | None = None  # to the next process, if it takes over
+        self.peer_connections = 0  # connections that the process before this one still holds
+        self.transfer: Callable[[Connection, int], bool] | None = (
+            None  # to the next process, if it takes over
+        )
         self.held: set[int] = set()  # not to be used whatever discovery lists
         self.connections: set[Connection] = set()
         self.buffer = memoryview(bytearray(READ))
@@ -478,7 +480,7 @@
 
     def _beyond(self) -> bool:
         """Whether there are more connections than there may be."""
-        return len(self.connections) + self.elsewhere > self.most_connections
+        return len(self.connections) + self.peer_connections > self.most_connections
 
     def update(self, news: api.ServerList, addresses: Mapping[int, Address]) -> None:
         """Take over discovery's news; connections that it makes useless are closed."""
@@ -551,7 +553,7 @@
         return next((one for one in reversed(host.idle) if one.idle_since <= before), None)
 
     def _connect(self, host: Host, attempt: Attempt) -> None:
-        full = len(self.connections) + self.elsewhere >= self.most_connections
+        full = len(self.connections) + self.peer_connections >= self.most_connections
         if full and not self._evict():
             self.no_room += 1
             attempt.finish(Reply(api.Status.CONNECT_FAILED))
@@ -580,7 +582,7 @@
             f"{self.no_room} turned away for want of room since the last look"
         )
         self.handshakes = self.reuses = self.evicted = self.no_room = 0
-        passed = f", {self.elsewhere} in the process before" if self.elsewhere else ""
+        passed = f", {self.peer_connections} in the process before" if self.peer_connections else ""
         return (
             f"{held} open ({idle} idle, {opening} opening) of {self.most_connections}{passed} "
             f"to {len(self.hosts)} servers; {counts}"
@@ -609,7 +611,7 @@
         if connection.closed or connection.epoch != connection.host.epoch or self._beyond():
             connection.close(api.Status.RESET)
             return
-        if self.pass_on:
+        if self.transfer:
             self._pass(connection)
             return
         connection.idle_since = self.loop.time()
@@ -622,7 +624,7 @@
             host.told = not host.told
             self.on_linked(api.IdleConnectionChanged(host.number, host.told))
 
-    def hand_over(self) -> None:
+    def transfer_idle(self) -> None:
         """Pass on what is idle."""
         for host in self.hosts.values():
             for connection in list(host.idle):
@@ -630,7 +632,7 @@
 
     def _pass(self, connection: Connection) -> None:
         assert connection.socket
-        if self.pass_on and connection.alive() and self.pass_on(connection, connection.socket.fileno()):
+        if self.transfer and connection.alive() and self.transfer(connection, connection.socket.fileno()):
             connection.detach()
         else:
             connection.close(api.Status.RESET)
@@ -638,7 +640,11 @@
     async def adopt(self, server: int, sock: socket.socket) -> None:
         """Take an idle connection of the process before this one."""
         host = self.hosts.get(server)
-        if host is None or not host.ready or len(self.connections) + self.elsewhere >= self.most_connections:
+        if (
+            host is None
+            or not host.ready
+            or len(self.connections) + self.peer_connections >= self.most_connections
+        ):
             sock.close()
             return
         connection = Connection(self, host, None)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -20,12 +20,15 @@
     Status,
     state_document,
 )
-from quota_gateway.net import hot_restart as module
 from quota_gateway.net.clients import Client
 from quota_gateway.net.discovery import Discovery
-from quota_gateway.net.hot_restart import KEPT, SOCKET, VERSION, Handover, Link
+from quota_gateway.net.hot_restart import GatewayIdentity, HotRestart, ProcessParts, limits
+from quota_gateway.net.hot_restart.link import QueuedMessage
+from quota_gateway.net.hot_restart.operator_wishes import FILE_NAME, OperatorWishes
+from quota_gateway.net.hot_restart.predecessor import SOCKET_NAME
+from quota_gateway.net.hot_restart.session import PeerSession
 
-WHO = {"name": "n0", "listen": "127.0.0.1:6379"}
+WHO = GatewayIdentity("n0", "127.0.0.1:6379")
 NAMES = {1: "s-1", 2: "s-2"}
 
 
@@ -169,12 +172,13 @@
                 "instances": [row(f"s-{number}", fake.port) for number, fake in enumerate(fakes, 1)],
             }
         )
-        gateway.handover = Handover(str(folder), who, driver, clients, servers, discovery)
+        parts = ProcessParts(driver, clients, servers, discovery)
+        gateway.hot_restart = HotRestart(folder and str(folder), who, parts)
         gateway.discovery = discovery
         try:
             yield gateway
         finally:
-            gateway.handover.close()
+            gateway.hot_restart.close()
 
 
 async def silent_on_one() -> FakeServer:
@@ -191,20 +195,20 @@
             await server.until(lambda: len(server.commands) == 1)
             assert await idle.ask(call(2)) == b"0000000000000002"
             old.driver.post(ServerAdminDown(9, True))
-            old.handover.offer()
-            assert await new.handover.take()
+            old.hot_restart.offer()
+            assert await new.hot_restart.take_over()
             connections = len(server.writers)
             await until(lambda: any(host.idle for host in new.servers.hosts.values()))
             assert await idle.ask(call(4)) == b"0000000000000004"
             assert len(server.writers) == connections  # nor was the server connected to anew
             assert len(old.clients.connections) == 1
             assert len(new.clients.connections) == 1
-            await until(lambda: new.clients.elsewhere == 1)
+            await until(lambda: new.clients.peer_connections == 1)
             server.writers[server.by[0]].write(array(b"late"))
             assert await busy.reply() == b"late"
             assert await busy.ask(call(5)) == b"0000000000000005"
             await until(lambda: not old.clients.connections and not old.servers.connections)
-            await until(lambda: new.clients.elsewhere == 0 and new.servers.elsewhere == 0)
+            await until(lambda: new.clients.peer_connections == 0 and new.servers.peer_connections == 0)
 
     run(test())
 
@@ -213,17 +217,17 @@
     async def test():
         server = await silent_on_one()
         async with process(tmp_path, server) as old, process(tmp_path) as new:
-            old.handover.offer()
-            assert await new.handover.take()
+            old.hot_restart.offer()
+            assert await new.hot_restart.take_over()
             peer = await old.peer()
             peer.send(call(2))
             for _ in range(20):
                 await asyncio.sleep(0.001)
             # it waits in the queue that both have
             assert not server.commands
-            new.handover.close()
+            new.hot_restart.close()
             assert await peer.reply() == b"0000000000000002"
-            assert not old.handover.handed
+            assert not old.hot_restart.handed_over
 
     run(test())
 
@@ -236,16 +240,16 @@
             roster.pin("s-2")
             old.driver.post(ServerAdminDown(roster.number("s-2"), True))
             old.driver.post(DrainChanged(True))
-            old.handover.offer()
-            assert await new.handover.take()
-            assert new.handover.wanted() == {"out": ["s-2"], "drained": True}
+            old.hot_restart.offer()
+            assert await new.hot_restart.take_over()
+            assert new.hot_restart.operator_wishes() == OperatorWishes(("s-2",), drained=True)
             new.driver.post(DrainChanged(False))
-            await new.handover.share()
+            await new.hot_restart.share_wishes()
             assert not old.driver.gateway.draining
             old.driver.post(ServerAdminDown(roster.number("s-2"), False))
-            await old.handover.share()
-            assert new.handover.wanted() == {"out": [], "drained": False}
-            kept = json.loads((tmp_path / KEPT).read_text())
+            await old.hot_restart.share_wishes()
+            assert new.hot_restart.operator_wishes() == OperatorWishes((), drained=False)
+            kept = json.loads((tmp_path / FILE_NAME).read_text())
             assert kept["operators"] == {"out": [], "drained": False}
 
     run(test())
@@ -254,19 +258,19 @@
 def test_no_process_or_a_dead_one_is_a_plain_start_and_what_it_wrote_is_forgotten(tmp_path):
     async def test():
         async with process(tmp_path) as new:
-            assert not await new.handover.take()
+            assert not await new.hot_restart.take_over()
         stale = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        stale.bind(str(tmp_path / SOCKET))
+        stale.bind(str(tmp_path / SOCKET_NAME))
         stale.close()
         wanted = {"out": ["s-2"], "drained": True}
-        (tmp_path / KEPT).write_text(json.dumps({"version": VERSION, **WHO, "operators": wanted}))
+        (tmp_path / FILE_NAME).write_text(json.dumps({**WHO.to_document(), "operators": wanted}))
         async with process(tmp_path) as new:
-            assert not await new.handover.take()
-            assert new.handover.wanted() == {"out": [], "drained": False}
-            assert not (tmp_path / KEPT).exists()
-            new.handover.offer()
+            assert not await new.hot_restart.take_over()
+            assert new.hot_restart.operator_wishes() == OperatorWishes((), drained=False)
+            assert not (tmp_path / FILE_NAME).exists()
+            new.hot_restart.offer()
             async with process(tmp_path) as later:
-                assert await later.handover.take()
+                assert await later.hot_restart.take_over()
 
     run(test())
 
@@ -276,11 +280,12 @@
         deep = tmp_path / ("d" * 120)
         deep.mkdir()
         async with process(deep) as old, process(deep) as new:
-            old.handover.offer()
-            assert await new.handover.take()
-            new.handover.folder = None
-            new.handover.offer()
-            assert not await new.handover.take()
+            old.hot_restart.offer()
+            assert await new.hot_restart.take_over()
+        async with process(None) as alone:
+            alone.hot_restart.offer()
+            assert not alone.hot_restart.predecessor.offering
+            assert not await alone.hot_restart.take_over()
 
     run(test())
 
@@ -288,9 +293,12 @@
 def test_other_gateway_takes_nothing_over_and_the_old_one_serves_on(tmp_path):
     async def test():
         server = await silent_on_one()
-        async with process(tmp_path, server) as old, process(tmp_path, who={**WHO, "name": "n1"}) as new:
-            old.handover.offer()
-            assert not await new.handover.take()
+        async with (
+            process(tmp_path, server) as old,
+            process(tmp_path, who=GatewayIdentity("n1", WHO.listen)) as new,
+        ):
+            old.hot_restart.offer()
+            assert not await new.hot_restart.take_over()
             assert await (await old.peer()).ask(call(2)) == b"0000000000000002"
 
     run(test())
@@ -302,7 +310,7 @@
     def __init__(self, folder, *messages: bytes, hang_up: bool = False) -> None:
         self.messages, self.hang_up = messages, hang_up
         self.listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        self.listener.bind(str(folder / SOCKET))
+        self.listener.bind(str(folder / SOCKET_NAME))
         self.listener.listen(1)
         self.listener.setblocking(False)
 
@@ -319,7 +327,7 @@
             sock.close()
 
 
-HELLO = b"H" + json.dumps({"version": VERSION, **WHO}).encode()
+HELLO = b"H" + json.dumps(WHO.to_document()).encode()
 
 
 @pytest.mark.parametrize(
@@ -341,21 +349,23 @@
     ],
 )
 def test_state_that_is_torn_foreign_or_missing_is_a_plain_start(tmp_path, monkeypatch, messages, hang_up):
-    monkeypatch.setattr(module, "HELLO_S", 0.1)
-    monkeypatch.setattr(module, "TAKE_S", 0.1)
+    monkeypatch.setattr(limits, "HELLO_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(limits, "STATE_TIMEOUT_S", 0.1)
 
     async def test():
         server = await silent_on_one()
         playing = asyncio.ensure_future(Impostor(tmp_path, *messages, hang_up=hang_up).play())
         wanted = {"out": ["s-9"], "drained": False}
-        (tmp_path / KEPT).write_text(json.dumps({"version": VERSION, **WHO, "operators": wanted}))
+        (tmp_path / FILE_NAME).write_text(json.dumps({**WHO.to_document(), "operators": wanted}))
         async with process(tmp_path, server) as new:
-            assert not await new.handover.take()
-            assert new.handover.wanted() == wanted  # the old process lived: what it kept holds
+            assert not await new.hot_restart.take_over()
+            assert new.hot_restart.operator_wishes() == OperatorWishes(
+                ("s-9",), drained=False
+            )  # the old process lived: what it kept holds
             assert await (await new.peer()).ask(call(2)) == b"0000000000000002"
-            new.handover.offer()
+            new.hot_restart.offer()
             async with process(tmp_path) as later:
-                assert await later.handover.take()
+                assert await later.hot_restart.take_over()
         await playing
 
     run(test())
@@ -366,8 +376,8 @@
         before = set(os.listdir("/proc/self/fd"))
         server = await silent_on_one()
         async with process(tmp_path, server) as old, process(tmp_path) as new:
-            old.handover.offer()
-            assert await new.handover.take()
+            old.hot_restart.offer()
+            assert await new.hot_restart.take_over()
         server.server.close()
         await server.server.wait_closed()
         await until(lambda: len(os.listdir("/proc/self/fd")) <= len(before) + 1)
@@ -376,7 +386,9 @@
 
 
 def test_connections_that_come_along_are_counted_once(tmp_path, monkeypatch):
-    monkeypatch.setattr(module, "TURN", 2)  # so that some are adopted before the others have come
+    monkeypatch.setattr(
+        limits, "MAX_MESSAGES_PER_TURN", 2
+    )  # so that some are adopted before the others have come
 
     async def test():
         server = await silent_on_one()
@@ -384,8 +396,8 @@
             peers = [await old.peer() for _ in range(10)]
             for number, peer in enumerate(peers, 2):
                 assert await peer.ask(call(number))
-            old.handover.offer()
-            assert await new.handover.take()
+            old.hot_restart.offer()
+            assert await new.hot_restart.take_over()
             for number, peer in enumerate(peers, 20):
                 assert await peer.ask(call(number)) == b"%016x" % number
             assert len(new.clients.connections) == 10
@@ -394,19 +406,19 @@
 
 
 def test_process_that_asks_and_hangs_does_not_keep_the_next_one_out(tmp_path, monkeypatch):
-    monkeypatch.setattr(module, "HELLO_S", 0.1)
-    monkeypatch.setattr(module, "TAKE_S", 0.1)
+    monkeypatch.setattr(limits, "HELLO_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(limits, "STATE_TIMEOUT_S", 0.1)
 
     async def test():
         async with process(tmp_path) as old, process(tmp_path) as new:
-            old.handover.offer()
+            old.hot_restart.offer()
             hung = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-            hung.connect(str(tmp_path / SOCKET))
-            await until(lambda: old.handover.link is not None)
-            await until(lambda: old.handover.link is None)
-            monkeypatch.setattr(module, "HELLO_S", 10.0)
-            monkeypatch.setattr(module, "TAKE_S", 10.0)
-            assert await new.handover.take()
+            hung.connect(str(tmp_path / SOCKET_NAME))
+            await until(lambda: old.hot_restart.predecessor.session is not None)
+            await until(lambda: old.hot_restart.predecessor.session is None)
+            monkeypatch.setattr(limits, "HELLO_TIMEOUT_S", 10.0)
+            monkeypatch.setattr(limits, "STATE_TIMEOUT_S", 10.0)
+            assert await new.hot_restart.take_over()
             hung.close()
 
     run(test())
@@ -415,13 +427,14 @@
 def test_old_process_is_not_done_before_all_that_it_passes_on_is_taken(tmp_path):
     async def test():
         async with process(tmp_path) as old, process(tmp_path) as new:
-            old.handover.offer()
-            assert not old.handover.done()
-            assert await new.handover.take()
-            await until(old.handover.done)
-            old.handover.link.queue.append((b"F{}", -1))
-            assert not old.handover.done()
-            old.handover.link.queue.clear()
+            old.hot_restart.offer()
+            assert not old.hot_restart.complete()
+            assert await new.hot_restart.take_over()
+            await until(old.hot_restart.complete)
+            queue = old.hot_restart.predecessor.session.link.queue
+            queue.append(QueuedMessage(b"F{}"))
+            assert not old.hot_restart.complete()
+            queue.clear()
 
     run(test())
 
@@ -445,15 +458,17 @@
         server = await silent_on_one()
         async with process(tmp_path, server) as old:
             raw, client = await resting(old)
-            assert old.handover.kept.retain(client.transport.get_extra_info("socket").fileno(), True, 1)
+            predecessor = old.hot_restart.predecessor
+            descriptor = client.transport.get_extra_info("socket").fileno()
+            assert predecessor.connections.retained.retain(descriptor, True, 1)
             client.detach()  # the next process has it, reads nothing and ends
             raw.send(call(3))
             old.clients.stop_listening()
             if late:
                 old.clients._close_late()
-            await old.handover._again()
+            await predecessor.reclaim()
             assert await raw.rest() == (answer(3), "end")
-            assert old.handover.offered is None  # nobody takes over from a process that stops
+            assert not predecessor.offering  # nobody takes over from a process that stops
 
     run(test())
 
@@ -464,14 +479,17 @@
         async with process(tmp_path, server) as old:
             raw, client = await resting(old)
             near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-            old.handover.link = Link(near, old.handover._message, old.handover._ended)
-            old.handover.handed, old.handover.room = True, 1
-            old.clients.pass_on = old.handover._pass_client
+            connections = old.hot_restart.predecessor.connections
+            client.slots.append(None)  # busy: it is not transferred at once
+            session = PeerSession(near, lambda *_: None, lambda _: connections.end())
+            connections.begin(session, max_retained=1)
+            client.slots.clear()
             far.close()  # its end is not read yet
             raw.send(call(3))
-            old.clients.try_to_pass(client)
+            old.clients.try_to_transfer(client)
+            assert not session.open
             assert await raw.read(len(answer(3))) == answer(3)
             assert list(old.clients.connections) == [client]
-            assert not len(old.handover.kept)
+            assert not len(connections.retained)
 
     run(test())
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -36,7 +36,7 @@
         self.write()
         config = read(read_file(str(path)), environment)
         self.discovery = Discovery(config.discovery, lambda *_: None)
-        self.handover = SimpleNamespace(handed=False)
+        self.hot_restart = SimpleNamespace(handed_over=False)
         self.door = admin.Door({})
         self.reload = Reload(
             config,
@@ -46,7 +46,7 @@
             gateway.clients,
             self.discovery,
             self.door,
-            self.handover,
+            self.hot_restart,
         )
         self.door.calls.update(self.reload.calls())
         self.reload.up.set()
@@ -416,7 +416,7 @@
             first = made.reload.config
             made.plan(refill=3.0, most_at_once=5.0)
             await made.tell("RELOAD CONFIRM 30")
-            made.handover.handed = True  # the next process has taken over: nothing is changed here
+            made.hot_restart.handed_over = True  # the next process has taken over: nothing is changed here
             made.reload.trial.ends = 0.0
             made.reload._time_is_up()
             await made.reload.returning
@@ -425,7 +425,7 @@
             assert "has taken over" in await made.tell("RELOAD CONFIRM 9")
             assert "has taken over" in await made.tell("CONFIRM")
             assert "has taken over" in await made.tell("ROLLBACK")
-            made.handover.handed = False  # it died
+            made.hot_restart.handed_over = False  # it died
             await until(lambda: made.reload.config is first)
 
     run(test())
@@ -581,7 +581,7 @@
                 made.reload.signal()
                 for _ in range(turns):
                     await asyncio.sleep(0)
-                made.handover.handed = True
+                made.hot_restart.handed_over = True
                 then = made.state()
                 while made.reload.task:
                     await asyncio.sleep(0)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -466,6 +466,7 @@
 if fault == "config" and "--check" in sys.argv:
     sys.exit("settings.seasons: missing")
 from quota_gateway import __main__ as program
+from quota_gateway import state_document
 from quota_gateway.net import admin_commands, driver, hot_restart
 served = 0
 request = driver.Driver.request
@@ -495,12 +496,12 @@
         return False, "the list of servers is not known yet"
     admin_commands.Operators.health = health
 if fault == "alone":
-    async def take(self):
+    async def take_over(self):
         return False
-    hot_restart.Handover.take = take
+    hot_restart.HotRestart.take_over = take_over
 if fault == "apart":
     hot_restart.ABOUT["handover"] = 2
-save = hot_restart.state_document.save
+save = state_document.save
 def saved(gateway, names):
     document = save(gateway, names)
     document["seasons"] = {"a": 1}
@@ -508,7 +509,7 @@
     for row in document["servers"].values():
         row["mood"] = [1, 2]
     return document
-hot_restart.state_document.save = saved
+state_document.save = saved
 sys.exit(program.main(sys.argv[1:]))
 """
 
