--- a/quota_gateway/net/hot_restart/connection_transfer.py
+++ b/quota_gateway/net/hot_restart/connection_transfer.py
@@ -130,7 +130,7 @@
         sock = _take_socket(descriptors)
         servers = self._parts.servers
         servers.peer_connections = max(0, servers.peer_connections - 1)
-        number = self._parts.discovery.roster.number(message.server_id)
+        number = self._parts.discovery.registry.number(message.server_id)
         adoption = asyncio.get_running_loop().create_task(servers.adopt(number, sock))
         self._adoptions.add(adoption)
         adoption.add_done_callback(self._adoptions.discard)
--- a/quota_gateway/net/hot_restart/operator_wishes.py
+++ b/quota_gateway/net/hot_restart/operator_wishes.py
@@ -58,7 +58,7 @@
     def current(self) -> OperatorWishes:
         """The wishes as they are now."""
         gateway = self._driver.gateway
-        numbers = self._discovery.roster.numbers
+        numbers = self._discovery.registry.numbers
         down = [server_id for server_id, number in numbers.items() if number in gateway.by_hand]
         return OperatorWishes(tuple(sorted(down)), gateway.draining, self.highest_token)
 
@@ -78,15 +78,15 @@
         self._driver.post(api.DrainChanged(wishes.drained))
 
     def _set_down(self, server_id: str) -> None:
-        roster = self._discovery.roster
-        roster.pin(server_id)
-        self._driver.post(api.ServerAdminDown(roster.assign(server_id), True))
+        registry = self._discovery.registry
+        registry.pin(server_id)
+        self._driver.post(api.ServerAdminDown(registry.assign(server_id), True))
 
     def _restore(self, server_id: str) -> None:
-        roster = self._discovery.roster
-        number = roster.number(server_id)
+        registry = self._discovery.registry
+        number = registry.number(server_id)
         self._driver.post(api.ServerAdminDown(number, False))
-        roster.unpin(server_id, number in self._driver.gateway.servers)
+        registry.unpin(server_id, number in self._driver.gateway.servers)
 
     def raise_token(self, token: int) -> None:
         """Note a caller's token; the highest one counts."""
--- a/quota_gateway/net/hot_restart/predecessor.py
+++ b/quota_gateway/net/hot_restart/predecessor.py
@@ -202,7 +202,7 @@
 
     def _send_state(self, session: PeerSession, heartbeats: bool) -> None:
         state = TransferredState(
-            server_list=self._parts.discovery.roster.document(),
+            server_list=self._parts.discovery.registry.document(),
             decisions=state_document.save(self._parts.driver.gateway, self._parts.server_names()),
             wishes=self._exchange.in_force.current(),
             remaining=self.connections.remaining(),
@@ -221,7 +221,7 @@
                     usage.plan,
                     usage.customer,
                     usage.in_flight,
-                    usage.charged,
+                    usage.charged_units,
                     usage.metered_use_percent,
                 )
             )
--- a/quota_gateway/net/hot_restart/process_parts.py
+++ b/quota_gateway/net/hot_restart/process_parts.py
@@ -21,4 +21,4 @@
 
     def server_names(self) -> dict[int, str]:
         """Discovery's ids of the servers, by the number that this process has given them."""
-        return {number: server_id for server_id, number in self.discovery.roster.numbers.items()}
+        return {number: server_id for server_id, number in self.discovery.registry.numbers.items()}
--- a/quota_gateway/net/hot_restart/successor.py
+++ b/quota_gateway/net/hot_restart/successor.py
@@ -214,9 +214,9 @@
             self._listener = socket.socket(fileno=descriptors.pop())
         state = self._assembly.complete(end)
         discovery = self._parts.discovery
-        discovery.known(state.server_list)
+        discovery.use_cached_list(state.server_list)
         try:
-            state_document.load(self._parts.driver.gateway, state.decisions, discovery.roster.numbers)
+            state_document.load(self._parts.driver.gateway, state.decisions, discovery.registry.numbers)
         except (RestartError, ValueError, KeyError, TypeError, AttributeError) as error:
             # the document's own fields are malformed; the decisions are as they were
             raise PeerProcessError(f"the decisions' state is malformed: {error!r}") from error
--- a/quota_gateway/state_document.py
+++ b/quota_gateway/state_document.py
@@ -18,6 +18,7 @@
 from typing import Any
 
 from quota_gateway.policy.gateway import Gateway
+from quota_gateway.policy.rate_ceiling import BucketLevel
 from quota_gateway.state.customer import Customer
 from quota_gateway.state.records import CustomerKey, FailureRecord, Moment
 from quota_gateway.state.server import Server
@@ -70,7 +71,7 @@
 
 def save(gateway: Gateway, server_ids: Mapping[int, str]) -> Document:
     """The gateway's state after ``HotRestartBegun``: what this process still has to do is reserved in it."""
-    reserved_units = gateway.hand.reserved_units()
+    reserved_units = gateway.in_flight.reserved_units()
     newest = islice(reversed(gateway.customers.values()), MAX_CUSTOMERS)
     rows = [_write_customer(gateway, customer, reserved_units) for customer in newest]
     return {
@@ -86,7 +87,9 @@
         "sends": gateway.sends,
         "started_at": gateway.started_at,
         "marks": gateway.marks,
-        "fresh": gateway.fresh,
+        "fresh": {
+            plan_name: (level.level_units, level.updated_ms) for plan_name, level in gateway.fresh.items()
+        },
         "quick": {
             class_name: [server_ids[number] for number in servers if number in server_ids]
             for class_name, servers in gateway.quick.items()
@@ -120,7 +123,7 @@
         for class_name in gateway.quick
     }
     unseen_levels = {
-        str(plan): (_number(level), _number(at))
+        str(plan): BucketLevel(_number(level), _number(at))
         for plan, (level, at, *_) in document.get("fresh", {}).items()
     }
 
@@ -139,7 +142,7 @@
         gateway.quick[class_name] = {
             number: gateway.servers[number] for number in numbers if number in gateway.servers
         }
-    gateway.lists.relist()
+    gateway.endpoint_list.refresh()
 
 
 def _write_customer(
@@ -158,7 +161,7 @@
         customer.ceiling_updated_ms,
         customer.demand_units,
         customer.demand_updated_ms,
-        gateway.hand.places(customer),
+        gateway.in_flight.occupied_places(customer),
     ]
 
 
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -8,9 +8,11 @@
 from fakes import FakeServer, call, node, resp, run, until
 
 from quota_gateway import AttemptEnded, Limits, Status, StreamStarted
-from quota_gateway.net import clients as clients_module
-from quota_gateway.net import servers as servers_module
+from quota_gateway.net.clients import connection as client_connection_module
+from quota_gateway.net.clients import registry as registry_module
 from quota_gateway.net.declared_lengths import LONG, LONGEST_VALUE, long_value
+from quota_gateway.net.servers import connection as connection_module
+from quota_gateway.net.servers import pool as pool_module
 
 LENGTH = 3 * 1024 * 1024
 VALUE = bytes(range(256)) * (LENGTH // 256)
@@ -75,7 +77,7 @@
             assert await peer.ask(call(2)) == b"v"
             assert len(server.writers) == 1
             assert not gateway.driver.calls
-            assert not gateway.servers.passing
+            assert not gateway.servers.streams
             assert [c.metered_use_ratio for c in gateway.driver.gateway.customers.values()] == [0.4]
 
     run(test())
@@ -130,17 +132,19 @@
             await server.until(lambda: len(server.commands) == 1)
             read = asyncio.ensure_future(peer.reader.read())  # to its end
             server.writers[0].write(HEAD + VALUE + end[:cut])
-            await until(lambda: all(one.sink and not one.left for one in gateway.servers.connections))
+            await until(
+                lambda: all(one.sink and not one.value_bytes_left for one in gateway.servers.connections)
+            )
             server.writers[0].write(end[cut:] + TAIL)
             assert (b"$%d\r\n" % LENGTH + VALUE).startswith(await read)  # no line's end behind it
-            await until(lambda: not gateway.driver.calls and not gateway.servers.passing)
+            await until(lambda: not gateway.driver.calls and not gateway.servers.streams)
             assert not gateway.servers.connections
 
     run(test())
 
 
 def test_server_that_gives_no_more_of_a_value_is_given_up_after_a_while(monkeypatch):
-    monkeypatch.setattr(servers_module, "SILENT_S", 0.2)
+    monkeypatch.setattr(connection_module, "STREAM_SILENCE_S", 0.2)
 
     async def test():
         server = held(1)
@@ -181,7 +185,7 @@
             paused = gateway.servers.connections
             await until(lambda: all(not c.transport.is_reading() for c in paused))
             kept = [c.transport.get_write_buffer_size() for c in gateway.clients.connections]
-            assert max(kept) <= servers_module.READ
+            assert max(kept) <= pool_module.READ_BYTES
             for sock in socks:
                 got, size = 0, len(b"$%d\r\n" % LENGTH) + LENGTH + 2
                 while got < size:
@@ -195,11 +199,11 @@
 def test_reads_are_smaller_when_many_values_are_on_their_way():
     async def test():
         async with node() as gateway:
-            assert len(gateway.servers.room()) == servers_module.READ
+            assert len(gateway.servers.read_buffer()) == pool_module.READ_BYTES
             for passing in (100, 1000, 100_000):
-                gateway.servers.passing = passing
-                size = len(gateway.servers.room())
-                assert size == servers_module.LEAST_READ or size * passing <= servers_module.MOST_HELD
+                gateway.servers.streams = passing
+                size = len(gateway.servers.read_buffer())
+                assert size == pool_module.MIN_READ_BYTES or size * passing <= pool_module.MAX_STREAMED_BYTES
 
     run(test())
 
@@ -239,7 +243,7 @@
 
 
 def test_clients_that_read_no_answers_are_bounded_over_all_of_them(monkeypatch):
-    monkeypatch.setattr(clients_module, "MOST_UNSENT", 600_000)
+    monkeypatch.setattr(registry_module, "MAX_UNSENT_BYTES", 600_000)
 
     async def test():
         body = b"x" * 60_000
@@ -253,13 +257,13 @@
             for at, peer in enumerate(peers):  # the first of each is never answered: the rest wait behind it
                 peer.send(*(call(at * 16 + number) for number in range(6)))
             await until(lambda: len(gateway.clients.connections) < 4)
-            assert gateway.clients.unsent_bytes <= 600_000
+            assert gateway.clients.unsent.used_bytes <= 600_000
 
     run(test())
 
 
 def test_body_may_come_slowly_while_a_head_that_does_not_end_is_closed(monkeypatch):
-    monkeypatch.setattr(clients_module, "WHOLE_S", 0.3)
+    monkeypatch.setattr(client_connection_module, "COMMAND_TIMEOUT_S", 0.3)
 
     async def test():
         server = FakeServer()
