--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -25,8 +25,9 @@
 from quota_gateway.net.hot_restart import GatewayIdentity, HotRestart, ProcessParts, limits
 from quota_gateway.net.hot_restart.link import QueuedMessage
 from quota_gateway.net.hot_restart.operator_wishes import FILE_NAME, OperatorWishes
-from quota_gateway.net.hot_restart.predecessor import SOCKET_NAME
+from quota_gateway.net.hot_restart.predecessor import SOCKET_NAME, PredecessorState
 from quota_gateway.net.hot_restart.session import PeerSession
+from quota_gateway.net.hot_restart.successor import SuccessorState
 
 WHO = GatewayIdentity("n0", "127.0.0.1:6379")
 NAMES = {1: "s-1", 2: "s-2"}
@@ -405,6 +406,60 @@
     run(test())
 
 
+@pytest.mark.parametrize(
+    "messages",
+    [
+        (b"T+",),  # it did not say who it is
+        (b"T+", HELLO),
+        (HELLO, b"Sx"),  # a predecessor's message
+        (HELLO, b'F{"clients": 9, "servers": 9}'),
+        (HELLO, b"E[]"),
+        (b"garbage",),
+        (HELLO.replace(b"n0", b"n1"), b"T+"),
+    ],
+)
+def test_next_process_that_speaks_out_of_turn_is_broken_off_and_nothing_is_handed_over(tmp_path, messages):
+    """A process that can't be the successor would leave the gateway without one that accepts."""
+
+    async def test():
+        server = await silent_on_one()
+        async with process(tmp_path, server) as old, process(tmp_path) as new:
+            old.hot_restart.offer()
+            with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as stranger:
+                stranger.connect(str(tmp_path / SOCKET_NAME))
+                predecessor = old.hot_restart.predecessor
+                await until(lambda: predecessor.state is PredecessorState.CONNECTED)
+                for message in messages:
+                    stranger.send(message)
+                await until(lambda: predecessor.state is PredecessorState.SERVING)
+            assert old.clients.peer_connections == old.servers.peer_connections == 0
+            assert await (await old.peer()).ask(call(2)) == b"0000000000000002"
+            assert await new.hot_restart.take_over()
+
+    run(test())
+
+
+def test_process_that_comes_beside_the_successor_starts_plainly(tmp_path):
+    """Two successors of one process would charge and accept side by side."""
+
+    async def test():
+        async with process(tmp_path) as old, process(tmp_path) as new, process(tmp_path) as third:
+            old.hot_restart.offer()
+            assert await new.hot_restart.take_over()
+            assert not await third.hot_restart.take_over()  # the successor does not offer yet
+            assert old.hot_restart.handed_over
+            assert third.hot_restart.successor.state is SuccessorState.ALONE
+            new.hot_restart.offer()
+            async with process(tmp_path) as fourth:  # while the one before the successor still lives
+                assert not await fourth.hot_restart.take_over()
+            old.hot_restart.close()
+            await until(lambda: new.hot_restart.successor.state is SuccessorState.ALONE)
+            async with process(tmp_path) as fifth:
+                assert await fifth.hot_restart.take_over()
+
+    run(test())
+
+
 def test_process_that_asks_and_hangs_does_not_keep_the_next_one_out(tmp_path, monkeypatch):
     monkeypatch.setattr(limits, "HELLO_TIMEOUT_S", 0.1)
     monkeypatch.setattr(limits, "STATE_TIMEOUT_S", 0.1)
