--- a/quota_gateway/net/hot_restart/__init__.py
+++ b/quota_gateway/net/hot_restart/__init__.py
@@ -16,6 +16,5 @@
 
 from quota_gateway.net.hot_restart.hot_restart import HotRestart
 from quota_gateway.net.hot_restart.identity import ABOUT, GatewayIdentity
-from quota_gateway.net.hot_restart.process_parts import ProcessParts
 
-__all__ = ["ABOUT", "GatewayIdentity", "HotRestart", "ProcessParts"]
+__all__ = ["ABOUT", "GatewayIdentity", "HotRestart"]
--- a/quota_gateway/net/hot_restart/connection_transfer.py
+++ b/quota_gateway/net/hot_restart/connection_transfer.py
@@ -14,8 +14,8 @@
     RetainedConnectionClosed,
     ServerConnection,
 )
-from quota_gateway.net.hot_restart.process_parts import ProcessParts
 from quota_gateway.net.hot_restart.session import PeerSession
+from quota_gateway.net.process_parts import ProcessParts
 from quota_gateway.net.retained_connections import NOT_RETAINED, RetainedConnections
 from quota_gateway.net.servers import Connection
 
--- a/quota_gateway/net/hot_restart/hot_restart.py
+++ b/quota_gateway/net/hot_restart/hot_restart.py
@@ -12,10 +12,10 @@
 from quota_gateway.net.hot_restart.identity import GatewayIdentity
 from quota_gateway.net.hot_restart.operator_wishes import OperatorWishes, OperatorWishesFile, WishesInForce
 from quota_gateway.net.hot_restart.predecessor import SOCKET_NAME, Predecessor
-from quota_gateway.net.hot_restart.process_parts import ProcessParts
 from quota_gateway.net.hot_restart.session import PeerSession
 from quota_gateway.net.hot_restart.successor import Successor
 from quota_gateway.net.hot_restart.wishes_exchange import WishesExchange
+from quota_gateway.net.process_parts import ProcessParts
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/hot_restart/predecessor.py
+++ b/quota_gateway/net/hot_restart/predecessor.py
@@ -26,10 +26,10 @@
     WishesApplied,
     WishesChanged,
 )
-from quota_gateway.net.hot_restart.process_parts import ProcessParts
 from quota_gateway.net.hot_restart.session import PeerSession
 from quota_gateway.net.hot_restart.state_transfer import TransferredState, end_of, split
 from quota_gateway.net.hot_restart.wishes_exchange import WishesExchange
+from quota_gateway.net.process_parts import ProcessParts
 from quota_gateway.state_machine import Transitions, transition
 
 log = logging.getLogger(__name__)
--- a/quota_gateway/net/hot_restart/successor.py
+++ b/quota_gateway/net/hot_restart/successor.py
@@ -29,11 +29,11 @@
     WishesApplied,
     WishesChanged,
 )
-from quota_gateway.net.hot_restart.process_parts import ProcessParts
 from quota_gateway.net.hot_restart.session import PeerSession
 from quota_gateway.net.hot_restart.state_transfer import StateAssembly
 from quota_gateway.net.hot_restart.wishes_exchange import WishesExchange
 from quota_gateway.net.peer_process import peer_credentials
+from quota_gateway.net.process_parts import ProcessParts
 from quota_gateway.state_machine import Transitions, transition
 
 log = logging.getLogger(__name__)
--- a/quota_gateway/net/hot_restart/process_parts.py
+++ b/quota_gateway/net/process_parts.py
@@ -1,4 +1,4 @@
-"""The parts of this process that a hot restart works on."""
+"""The parts of this process that a hot restart hands over and a reload changes."""
 
 from __future__ import annotations
 
--- a/quota_gateway/process/builder.py
+++ b/quota_gateway/process/builder.py
@@ -11,10 +11,12 @@
 from quota_gateway.net import admin
 from quota_gateway.net.admin_commands import Operators
 from quota_gateway.net.clients import Clients
+from quota_gateway.net.connection_budget import connection_budget
 from quota_gateway.net.discovery import Discovery
 from quota_gateway.net.driver import Clock, Driver
-from quota_gateway.net.hot_restart import GatewayIdentity, HotRestart, ProcessParts
-from quota_gateway.net.reload import Reload, budget
+from quota_gateway.net.hot_restart import GatewayIdentity, HotRestart
+from quota_gateway.net.process_parts import ProcessParts
+from quota_gateway.net.reload import ConfigurationReload
 from quota_gateway.net.servers import Address, Servers
 from quota_gateway.policy.gateway import Gateway
 
@@ -34,24 +36,25 @@
     standby: Survivor | None  # its end of the supervisor with connection failover, where there is one
     admin_commands: Operators
     admin_endpoint: admin.Door
-    reload: Reload
+    reload: ConfigurationReload
 
 
 def build(config: Config) -> GatewayParts:
     """All parts of the process, connected as the configuration and the environment want it."""
-    connection_budget = budget(config)
-    servers = Servers(config.settings, connection_budget)
+    max_connections = connection_budget(config)
+    servers = Servers(config.settings, max_connections)
     driver = Driver(Gateway(config.settings, config.seed), servers, Clock())
-    clients = Clients(driver, config.settings, connection_budget)
+    clients = Clients(driver, config.settings, max_connections)
     driver.on_admit = clients.admit
     discovery = _discovery(config, driver, servers, clients)
     standby = _standby(clients)
-    hot_restart = _hot_restart(config, driver, servers, clients, discovery, standby)
+    process_parts = ProcessParts(driver, clients, servers, discovery)
+    hot_restart = _hot_restart(config, process_parts, standby)
     admin_commands = Operators(driver, clients, discovery.registry, hot_restart)
     admin_endpoint = admin.Door(admin_commands.calls(), admin_commands.fence)
-    reload = Reload(config, os.environ, driver, servers, clients, discovery, admin_endpoint, hot_restart)
+    reload = ConfigurationReload(config, os.environ, process_parts, admin_endpoint, hot_restart)
     admin_endpoint.calls.update(reload.calls())
-    admin_commands.revision = lambda: reload.config.digest
+    admin_commands.revision = lambda: reload.in_force.config.digest
     return GatewayParts(
         driver,
         servers,
@@ -88,18 +91,11 @@
     return Survivor(path, clients)
 
 
-def _hot_restart(
-    config: Config,
-    driver: Driver,
-    servers: Servers,
-    clients: Clients,
-    discovery: Discovery,
-    standby: Survivor | None,
-) -> HotRestart:
+def _hot_restart(config: Config, parts: ProcessParts, standby: Survivor | None) -> HotRestart:
     """Both ends of a hot restart, off under a supervisor.
 
     There the next process stands by already, and must not take over from one that serves.
     """
     folder = None if standby else os.environ.get("TMPDIR")
     identity = GatewayIdentity(config.name, f"{config.listen[0]}:{config.listen[1]}")
-    return HotRestart(folder, identity, ProcessParts(driver, clients, servers, discovery))
+    return HotRestart(folder, identity, parts)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -22,12 +22,13 @@
 )
 from quota_gateway.net.clients import Client
 from quota_gateway.net.discovery import Discovery
-from quota_gateway.net.hot_restart import GatewayIdentity, HotRestart, ProcessParts, limits
+from quota_gateway.net.hot_restart import GatewayIdentity, HotRestart, limits
 from quota_gateway.net.hot_restart.link import QueuedMessage
 from quota_gateway.net.hot_restart.operator_wishes import FILE_NAME, OperatorWishes
 from quota_gateway.net.hot_restart.predecessor import SOCKET_NAME, PredecessorState
 from quota_gateway.net.hot_restart.session import PeerSession
 from quota_gateway.net.hot_restart.successor import SuccessorState
+from quota_gateway.net.process_parts import ProcessParts
 
 WHO = GatewayIdentity("n0", "127.0.0.1:6379")
 NAMES = {1: "s-1", 2: "s-2"}
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,10 +16,11 @@
 
 from quota_gateway import DrainChanged
 from quota_gateway.config import read, read_file
-from quota_gateway.net import admin
+from quota_gateway.net import admin, configuration_trial, connection_budget
 from quota_gateway.net import reload as module
 from quota_gateway.net.discovery import Discovery
-from quota_gateway.net.reload import Reload
+from quota_gateway.net.process_parts import ProcessParts
+from quota_gateway.net.reload import ConfigurationReload
 from quota_gateway.settings_reader import settings_from
 
 SERVICE = {**GOOD["settings"]["services"][0], "name": "read", "slo_ms": 2000.0, "hard_limit_ms": 4000.0}
@@ -38,13 +39,10 @@
         self.discovery = Discovery(config.discovery, lambda *_: None)
         self.hot_restart = SimpleNamespace(handed_over=False)
         self.door = admin.Door({})
-        self.reload = Reload(
+        self.reload = ConfigurationReload(
             config,
             environment,
-            gateway.driver,
-            gateway.servers,
-            gateway.clients,
-            self.discovery,
+            ProcessParts(gateway.driver, gateway.clients, gateway.servers, self.discovery),
             self.door,
             self.hot_restart,
         )
@@ -83,10 +81,11 @@
             self.discovery.address,
             self.discovery.backoff.max_s,
             self.door.server,
-            self.reload.config,
-            self.reload.revision,
-            self.reload.before,
-            self.reload.trial,
+            self.reload.in_force.config,
+            self.reload.in_force.revision,
+            self.reload.in_force.rollback_target,
+            self.reload.trial.state,
+            self.reload.trial.ends_at_s,
         )
 
 
@@ -120,7 +119,7 @@
                     answers.append((number, await peer.ask(call(number))))
 
             asking = [asyncio.create_task(ask(peer)) for peer in peers]
-            before = made.reload.revision
+            before = made.reload.in_force.revision
             for number in range(100):
                 await made.gateway.servers.loop.create_task(asyncio.sleep(0))
                 if number % 10 == 9:
@@ -133,7 +132,7 @@
                 assert (await made.tell("RELOAD")).startswith("YES")
             done.set()
             await asyncio.gather(*asking)
-            assert made.reload.revision == before + 100
+            assert made.reload.in_force.revision == before + 100
             assert len(answers) >= 4
             assert all(answer == b"%016x" % number for number, answer in answers)
             assert len({number for number, _ in answers}) == len(answers)
@@ -250,7 +249,9 @@
             for peer in first:
                 assert await peer.reply() == b"v"
             await until(lambda: sum(len(host.idle) for host in servers.hosts.values()) == 2)
-            made.document["limits"] = {"sockets": module.OTHER_DESCRIPTORS + 4}  # two for each side
+            made.document["limits"] = {
+                "sockets": connection_budget.OTHER_DESCRIPTORS + 4
+            }  # two for each side
             made.write()
             assert (await made.tell("RELOAD")).startswith("YES")
             assert len(servers.connections) == 4
@@ -274,17 +275,17 @@
     async def test():
         async with configured(tmp_path) as made:
             assert await made.tell("ROLLBACK") == "NO there is nothing to go back to"
-            first = made.reload.config
+            first = made.reload.in_force.config
             made.plan(refill=3.0, most_at_once=5.0)
             assert await made.tell("RELOAD") == "YES revision 2, 2 changes"
             assert await made.tell("RELOAD") == "YES nothing changed, revision 2"
             told = await made.tell("CONFIG")
-            assert told.startswith(f"YES revision 2, digest {made.reload.config.digest}, since 20")
+            assert told.startswith(f"YES revision 2, digest {made.reload.in_force.config.digest}, since 20")
             assert f"way back to {first.digest}" in told
             assert "trial" not in told
             assert (await made.tell("ROLLBACK")).startswith("YES revision 3")
             assert made.driver.gateway.plans["free"].rate == 0.0
-            assert made.reload.config is first
+            assert made.reload.in_force.config is first
             assert await made.tell("ROLLBACK") == "NO there is nothing to go back to"
 
     run(test())
@@ -312,25 +313,25 @@
     async def test():
         async with configured(tmp_path) as made:
             assert await made.tell("CONFIRM") == "NO nothing is on trial"
-            first = made.reload.config
+            first = made.reload.in_force.config
             made.plan(refill=3.0, most_at_once=5.0)
             assert "unless confirmed" in await made.tell("RELOAD CONFIRM 30")
             assert "on trial for" in await made.tell("CONFIG")
-            made.reload._time_is_up()  # as a timer that fires early would: nothing yet
-            await made.reload.returning
-            assert made.reload.trial
-            assert made.reload.config is not first
-            made.reload.trial.ends = 0.0
-            made.reload._time_is_up()
-            await until(lambda: made.reload.config is first)
-            assert made.reload.trial is None
+            made.reload.trial.expire()  # as a timer that fires early would: nothing yet
+            await made.reload.trial.rollback_task
+            assert made.reload.trial.active
+            assert made.reload.in_force.config is not first
+            made.reload.trial.ends_at_s = 0.0
+            made.reload.trial.expire()
+            await until(lambda: made.reload.in_force.config is first)
+            assert not made.reload.trial.active
             assert made.driver.gateway.plans["free"].rate == 0.0
             assert (await made.tell("RELOAD CONFIRM 1")).startswith("YES")
             assert (await made.tell("CONFIRM")).startswith("YES confirmed")
-            made.reload._time_is_up()
-            await made.reload.returning
+            made.reload.trial.expire()
+            await made.reload.trial.rollback_task
             assert made.driver.gateway.plans["free"].rate == 3.0
-            assert made.reload.before is first
+            assert made.reload.in_force.rollback_target is first
 
     run(test())
 
@@ -338,12 +339,12 @@
 def test_trial_of_a_second_goes_back_by_itself(tmp_path):
     async def test():
         async with configured(tmp_path) as made:
-            first = made.reload.config
+            first = made.reload.in_force.config
             made.plan(refill=3.0, most_at_once=5.0)
             assert (await made.tell("RELOAD CONFIRM 1")).startswith("YES")
-            while made.reload.config is not first:
+            while made.reload.in_force.config is not first:
                 await asyncio.sleep(0.01)
-            assert made.reload.trial is None
+            assert not made.reload.trial.active
 
     run(test())
 
@@ -376,17 +377,17 @@
 def test_file_changed_during_a_trial_takes_its_place_and_the_way_back_stays(tmp_path):
     async def test():
         async with configured(tmp_path) as made:
-            first = made.reload.config
+            first = made.reload.in_force.config
             made.plan(refill=3.0, most_at_once=5.0)
             await made.tell("RELOAD CONFIRM 30")
             made.plan(refill=4.0, most_at_once=5.0)
             assert (await made.tell("RELOAD")).startswith("YES")
-            assert made.reload.trial is None
-            assert made.reload.before is first
+            assert not made.reload.trial.active
+            assert made.reload.in_force.rollback_target is first
             made.plan(refill=5.0, most_at_once=5.0)
             await made.tell("RELOAD CONFIRM 30")
             assert (await made.tell("ROLLBACK")).startswith("YES")
-            assert made.reload.trial is None
+            assert not made.reload.trial.active
             assert made.driver.gateway.plans["free"].rate == 4.0
 
     run(test())
@@ -396,13 +397,13 @@
     async def test():
         async with configured(tmp_path) as made:
             made.driver.on_admit = made.gateway.clients.admit
-            first = made.reload.config
+            first = made.reload.in_force.config
             made.plan(refill=3.0, most_at_once=5.0)
             await made.tell("RELOAD CONFIRM 30")
             made.driver.post(DrainChanged(True))
-            made.reload.trial.ends = 0.0
-            made.reload._time_is_up()
-            await until(lambda: made.reload.config is first)
+            made.reload.trial.ends_at_s = 0.0
+            made.reload.trial.expire()
+            await until(lambda: made.reload.in_force.config is first)
             assert made.driver.gateway.draining
             peer = await made.gateway.peer()
             assert (await peer.ask(resp("PING"))).startswith("-DRAINING")
@@ -411,24 +412,24 @@
 
 
 def test_way_back_that_is_shut_is_tried_until_it_is_open(tmp_path, monkeypatch):
-    monkeypatch.setattr(module, "LATER_S", 0.01)
+    monkeypatch.setattr(configuration_trial, "RETRY_INTERVAL_S", 0.01)
 
     async def test():
         async with configured(tmp_path) as made:
-            first = made.reload.config
+            first = made.reload.in_force.config
             made.plan(refill=3.0, most_at_once=5.0)
             await made.tell("RELOAD CONFIRM 30")
             made.hot_restart.handed_over = True  # the next process has taken over: nothing is changed here
-            made.reload.trial.ends = 0.0
-            made.reload._time_is_up()
-            await made.reload.returning
-            assert made.reload.config is not first
-            assert made.reload.trial
+            made.reload.trial.ends_at_s = 0.0
+            made.reload.trial.expire()
+            await made.reload.trial.rollback_task
+            assert made.reload.in_force.config is not first
+            assert made.reload.trial.active
             assert "has taken over" in await made.tell("RELOAD CONFIRM 9")
             assert "has taken over" in await made.tell("CONFIRM")
             assert "has taken over" in await made.tell("ROLLBACK")
             made.hot_restart.handed_over = False  # it died
-            await until(lambda: made.reload.config is first)
+            await until(lambda: made.reload.in_force.config is first)
 
     run(test())
 
@@ -454,19 +455,19 @@
             made.plan(refill=3.0, most_at_once=5.0)
             made.reload.signal()
             made.reload.signal()
-            await until(lambda: made.reload.task is None)
+            await until(lambda: made.reload.signal_task is None)
             assert len(readings) == 1
-            assert made.reload.revision == 2
+            assert made.reload.in_force.revision == 2
             made.reload.signal()
-            await until(lambda: made.reload.task is None)
+            await until(lambda: made.reload.signal_task is None)
             assert len(readings) == 2
-            assert made.reload.revision == 2
+            assert made.reload.in_force.revision == 2
 
     run(test())
 
 
 def test_file_that_is_being_written_is_read_again_and_no_signal_in_between_is_missed(tmp_path, monkeypatch):
-    monkeypatch.setattr(module, "AGAIN_S", 0.001)
+    monkeypatch.setattr(module, "READ_INTERVAL_S", 0.001)
 
     async def test():
         async with configured(tmp_path) as made:
@@ -478,31 +479,31 @@
             made.reload.signal()
             made.document["discovery"] = "127.0.0.1:9"
             made.write()
-            await until(lambda: made.reload.task is None)
+            await until(lambda: made.reload.signal_task is None)
             assert made.discovery.address == ("127.0.0.1", 9)
-            assert made.reload.revision == 2
+            assert made.reload.in_force.revision == 2
             assert readings
-            assert not made.reload.signalled
+            assert not made.reload.signal_pending
 
     run(test())
 
 
 def test_file_that_stays_torn_is_given_up_after_a_while_and_the_next_signal_counts(tmp_path, monkeypatch):
-    monkeypatch.setattr(module, "AGAIN_S", 0.0)
+    monkeypatch.setattr(module, "READ_INTERVAL_S", 0.0)
 
     async def test():
         async with configured(tmp_path) as made:
             readings, before = count_readings(monkeypatch), made.state()
             made.path.write_text("{")
             made.reload.signal()
-            await until(lambda: made.reload.task is None)
-            assert len(readings) == module.READINGS
+            await until(lambda: made.reload.signal_task is None)
+            assert len(readings) == module.MAX_READS_SIGNAL
             assert made.state() == before
-            assert "not JSON" in made.reload.refused
+            assert "not JSON" in made.reload.last_rejection
             made.plan(refill=3.0, most_at_once=5.0)
             made.reload.signal()
-            await until(lambda: made.reload.task is None)
-            assert made.reload.revision == 2
+            await until(lambda: made.reload.signal_task is None)
+            assert made.reload.in_force.revision == 2
 
     run(test())
 
@@ -514,15 +515,15 @@
             made.plan(refill=3.0, most_at_once=5.0)
             made.reload.signal()
             await asyncio.sleep(0)
-            assert made.reload.revision == 1
+            assert made.reload.in_force.revision == 1
             made.reload.up.set()
-            await until(lambda: made.reload.task is None)
-            assert made.reload.revision == 2
+            await until(lambda: made.reload.signal_task is None)
+            assert made.reload.in_force.revision == 2
             made.reload.close()
             made.plan(refill=4.0, most_at_once=5.0)
             made.reload.signal()
-            await until(lambda: made.reload.task is None)
-            assert made.reload.revision == 2
+            await until(lambda: made.reload.signal_task is None)
+            assert made.reload.in_force.revision == 2
             assert "stops" in await made.tell("RELOAD")
 
     run(test())
@@ -585,11 +586,11 @@
                     await asyncio.sleep(0)
                 made.hot_restart.handed_over = True
                 then = made.state()
-                while made.reload.task:
+                while made.reload.signal_task:
                     await asyncio.sleep(0)
                 assert made.state() == then  # what the next process was given is what holds here
-                took = made.reload.revision > 1
-                assert took != ("the next process has taken over" in made.reload.refused)
+                took = made.reload.in_force.revision > 1
+                assert took != ("the next process has taken over" in made.reload.last_rejection)
                 seen.add(took)
         assert seen == {True, False}
 
