--- a/quota_gateway/failover/connection_record.py
+++ b/quota_gateway/failover/connection_record.py
@@ -1,12 +1,11 @@
-"""The record of the work in hand, in memory that outlives its writer: rows that are whole or not there.
+"""The connections' record: rows in shared memory that outlives its writer, each complete or absent.
 
-One process writes, without a system call; whoever follows it reads, after its end. A row has two halves that
-are written in turn, each under a number that grows and a checksum over all of it: a writer that is killed in
-the middle of a store leaves the half of before. Bounds are fixed at the beginning; what finds no room is not
-protected, and counted.
+One process writes, without a system call; its successor reads after its end. What finds no free row is not
+protected, and counted. Who may go on with the record is settled by a claim: its number grows with each
+holder, and nobody gets one while the holder before may live.
 
-Who may go on with it is told by a claim: its number grows with each holder, and nobody gets one while the
-holder before may live.
+The layout is that of all versions since the first: a header, the claim, then the rows; claim and rows are
+double buffers.
 """
 
 from __future__ import annotations
@@ -18,155 +17,190 @@
 import zlib
 from collections.abc import Iterator
 from contextlib import contextmanager
+from dataclasses import dataclass
 from pathlib import Path
 
+from quota_gateway.errors import GatewayError
+
 MAGIC = b"blwork\0\0"
 VERSION = 1
-HEAD = struct.Struct("<8sIII")  # magic, version, rows, bytes of a row's half
-HALF = struct.Struct("<QII")  # number, length, checksum of both and of what follows
-CLAIM = struct.Struct("<QQQ")  # number, process, when that process started
-# where the claim's two halves and the rows begin
-CLAIM_AT = 64
-ROWS_AT = 256
-MOST_ROWS = 65_536
-MOST_ROOM = 1024 * 1024
-
+HEADER = struct.Struct("<8sIII")  # magic, version, rows, bytes of a row's body
+BUFFER_HEADER = struct.Struct("<QII")  # sequence number, length, checksum of both and of the body
+CLAIM_BODY = struct.Struct("<QQQ")  # number, process id, when that process started
+CLAIM_OFFSET = 64
+ROWS_OFFSET = 256
+MAX_ROWS = 65_536
+MAX_BODY_BYTES = 1024 * 1024
+NO_ROW = -1
+NO_CLAIM = 0
+ENDED_STATES = ("Z", "X")  # of a process, as /proc has them: zombie, dead
 
-class RecordError(Exception):
-    """No record, or one of another version."""
 
+class ConnectionRecordError(GatewayError):
+    """No record, or one of another version; nothing of it can be used."""
 
-class Pair:
-    """Two halves that are written in turn. ``room``: bytes that each holds."""
 
-    __slots__ = ("memory", "at", "room", "number")
+class DoubleBuffer:
+    """A value in shared memory that is replaced as a whole.
 
-    def __init__(self, memory: mmap.mmap, at: int, room: int) -> None:
-        self.memory = memory
-        self.at = at
-        self.room = room
-        self.number = max((number for number, _ in self._whole()), default=0)
+    Guards against a writer that is killed in the middle of a store, which would leave a mixture of two
+    values. Holds because two buffers are written in turn, each with a growing number and a checksum: the one
+    that holds the value is never touched, and a torn one does not match its checksum.
+    """
 
-    def _place(self, number: int) -> int:
-        return self.at + (number & 1) * (HALF.size + self.room)
+    __slots__ = ("memory", "offset", "max_body_bytes", "sequence")
 
-    def _whole(self) -> Iterator[tuple[int, bytes]]:
-        for place in (self._place(0), self._place(1)):
-            number, length, checksum = HALF.unpack_from(self.memory, place)
-            if not number or length > self.room or self._place(number) != place:
+    def __init__(self, memory: mmap.mmap, offset: int, max_body_bytes: int) -> None:
+        self.memory = memory
+        self.offset = offset
+        self.max_body_bytes = max_body_bytes
+        self.sequence = max((sequence for sequence, _ in self._complete_buffers()), default=0)
+
+    def _buffer_offset(self, sequence: int) -> int:
+        return self.offset + (sequence & 1) * (BUFFER_HEADER.size + self.max_body_bytes)
+
+    def _complete_buffers(self) -> Iterator[tuple[int, bytes]]:
+        """Sequence number and body of each buffer that is not torn."""
+        for offset in (self._buffer_offset(0), self._buffer_offset(1)):
+            sequence, length, checksum = BUFFER_HEADER.unpack_from(self.memory, offset)
+            if not sequence or length > self.max_body_bytes or self._buffer_offset(sequence) != offset:
                 continue
-            body = bytes(self.memory[place + HALF.size : place + HALF.size + length])
-            if checksum == _checksum(number, body):
-                yield number, body
+            start = offset + BUFFER_HEADER.size
+            body = bytes(self.memory[start : start + length])
+            if checksum == _checksum(sequence, body):
+                yield sequence, body
 
     def read(self) -> bytes:
-        """What was written last, whole; empty where nothing was."""
-        return max(self._whole(), default=(0, b""))[1]
+        """The value that was written last; empty where there was none."""
+        _, body = max(self._complete_buffers(), default=(0, b""))
+        return body
 
     def write(self, body: bytes) -> None:
-        """Put it in place of what is there. The half that holds is not touched."""
-        self.number += 1
-        place = self._place(self.number)
-        self.memory[place + HALF.size : place + HALF.size + len(body)] = body
-        self.memory[place : place + HALF.size] = HALF.pack(
-            self.number, len(body), _checksum(self.number, body)
+        """Replace the value."""
+        self.sequence += 1
+        offset = self._buffer_offset(self.sequence)
+        start = offset + BUFFER_HEADER.size
+        self.memory[start : start + len(body)] = body
+        self.memory[offset:start] = BUFFER_HEADER.pack(
+            self.sequence, len(body), _checksum(self.sequence, body)
         )
 
 
-def _checksum(number: int, body: bytes) -> int:
-    return zlib.crc32(body, zlib.crc32(b"%d %d" % (number, len(body))))
+def _checksum(sequence: int, body: bytes) -> int:
+    return zlib.crc32(body, zlib.crc32(b"%d %d" % (sequence, len(body))))
+
+
+@dataclass(frozen=True, slots=True)
+class Claim:
+    """Who may go on with the record; a number and a process of 0 before the first.
 
+    Attributes:
+        number: grows with each holder.
+        pid: the holder's process.
+        started_ticks: when that process started, see `started_ticks`.
+    """
 
-class Record:
-    """Rows in a file of memory, by its descriptor, which stays the caller's."""
+    number: int
+    pid: int
+    started_ticks: int
+
+
+class ConnectionRecord:
+    """Rows in a memory file, by its descriptor, which stays the caller's."""
 
     def __init__(self, file: int, memory: mmap.mmap) -> None:
+        """Use a record. Raises ConnectionRecordError where it is none of this version."""
         self.file = file
         self.memory = memory
-        magic, version, rows, room = HEAD.unpack_from(memory, 0)
+        magic, version, row_count, max_body_bytes = HEADER.unpack_from(memory, 0)
         if magic != MAGIC or version != VERSION:
-            raise RecordError("no record of this version's")
-        if not (0 < rows <= MOST_ROWS and 0 < room <= MOST_ROOM) or len(memory) < size(rows, room):
-            raise RecordError("a record that breaks off")
-        self.room = room
-        self.rows = [Pair(memory, ROWS_AT + row * 2 * (HALF.size + room), room) for row in range(rows)]
-        self.free = [row for row in range(rows - 1, -1, -1) if not self.rows[row].read()]
-        self.unprotected = 0
+            raise ConnectionRecordError("no record of this version's")
+        if not _is_valid_size(row_count, max_body_bytes) or len(memory) < record_bytes(
+            row_count, max_body_bytes
+        ):
+            raise ConnectionRecordError("a record that breaks off")
+        self.max_body_bytes = max_body_bytes
+        row_bytes = 2 * (BUFFER_HEADER.size + max_body_bytes)
+        self.rows = [
+            DoubleBuffer(memory, ROWS_OFFSET + row * row_bytes, max_body_bytes) for row in range(row_count)
+        ]
+        self.free_rows = [row for row in range(row_count - 1, -1, -1) if not self.rows[row].read()]
+        self.unprotected = 0  # bodies that found no room
 
     @classmethod
-    def create(cls, file: int, rows: int, room: int) -> Record:
-        """An empty one, in an empty file (of memory: ``os.memfd_create``)."""
-        if not (0 < rows <= MOST_ROWS and 0 < room <= MOST_ROOM):
-            raise RecordError(f"{rows} rows of {room} bytes")
-        os.ftruncate(file, size(rows, room))
-        memory = mmap.mmap(file, size(rows, room))
-        memory[: HEAD.size] = HEAD.pack(MAGIC, VERSION, rows, room)
+    def create(cls, file: int, row_count: int, max_body_bytes: int) -> ConnectionRecord:
+        """Make an empty record in an empty memory file (``os.memfd_create``)."""
+        if not _is_valid_size(row_count, max_body_bytes):
+            raise ConnectionRecordError(f"{row_count} rows of {max_body_bytes} bytes")
+        size_bytes = record_bytes(row_count, max_body_bytes)
+        os.ftruncate(file, size_bytes)
+        memory = mmap.mmap(file, size_bytes)
+        memory[: HEADER.size] = HEADER.pack(MAGIC, VERSION, row_count, max_body_bytes)
         return cls(file, memory)
 
     @classmethod
-    def open(cls, file: int) -> Record:
-        """One that another process has written. Raises RecordError or OSError."""
-        length = os.fstat(file).st_size
-        if length < ROWS_AT:
-            raise RecordError("a record that breaks off")
-        return cls(file, mmap.mmap(file, length))
+    def open(cls, file: int) -> ConnectionRecord:
+        """Use a record that another process has written. Raises ConnectionRecordError or OSError."""
+        size_bytes = os.fstat(file).st_size
+        if size_bytes < ROWS_OFFSET:
+            raise ConnectionRecordError("a record that breaks off")
+        return cls(file, mmap.mmap(file, size_bytes))
 
     # ---- Rows
 
-    def take(self, body: bytes) -> int:
-        """A new row with this in it; -1 where there is no room, which is counted."""
-        if not self.free or not 0 < len(body) <= self.room:
+    def add_row(self, body: bytes) -> int:
+        """Write a new row; its number, or `NO_ROW` where there is no room, which is counted."""
+        if not self.free_rows or not 0 < len(body) <= self.max_body_bytes:
             self.unprotected += 1
-            return -1
-        row = self.free.pop()
+            return NO_ROW
+        row = self.free_rows.pop()
         self.rows[row].write(body)
         return row
 
-    def change(self, row: int, body: bytes) -> bool:
-        """Put this in its place; false, and counted, where it is too long: the row is given back."""
-        if len(body) > self.room:
+    def replace_row(self, row: int, body: bytes) -> bool:
+        """Replace a row's body; false where it is too long: then the row is freed, and that is counted."""
+        if len(body) > self.max_body_bytes:
             self.unprotected += 1
-            self.give_back(row)
+            self.free_row(row)
             return False
         self.rows[row].write(body)
         return True
 
-    def give_back(self, row: int) -> None:
-        """What was in it is over."""
+    def free_row(self, row: int) -> None:
+        """Free a row whose connection has ended."""
         self.rows[row].write(b"")
-        self.free.append(row)
+        self.free_rows.append(row)
 
-    def read(self) -> dict[int, bytes]:
-        """All that is in hand, by row."""
-        bodies = {row: pair.read() for row, pair in enumerate(self.rows)}
+    def read_rows(self) -> dict[int, bytes]:
+        """The bodies of all rows in use, by row."""
+        bodies = {row: buffer.read() for row, buffer in enumerate(self.rows)}
         return {row: body for row, body in bodies.items() if body}
 
     # ---- Claims
 
     def claim(self) -> int:
-        """A number above all before it, if the holder has certainly ended; else 0. One caller at a time."""
-        with self._alone():
-            pair, number, process, started = self._held()
-            if process and not has_ended(process, started):
-                return 0
-            own = os.getpid()
-            pair.write(CLAIM.pack(number + 1, own, started_at(own) or 0))
-            return number + 1
-
-    def holder(self) -> tuple[int, int]:
-        """The highest number that was given, and the process that has it; 0 and 0 at the beginning."""
-        _, number, process, _ = self._held()
-        return number, process
-
-    def _held(self) -> tuple[Pair, int, int, int]:
-        """The claim as it stands now: others write it, too."""
-        pair = Pair(self.memory, CLAIM_AT, CLAIM.size)
-        number, process, started = CLAIM.unpack(pair.read() or bytes(CLAIM.size))
-        return pair, number, process, started
+        """Claim the record: a number above all before it, or `NO_CLAIM` while the holder may live."""
+        with self._lock():
+            buffer = self._claim_buffer()
+            held = _decode_claim(buffer)
+            if held.pid and not has_ended(held.pid, held.started_ticks):
+                return NO_CLAIM
+            pid = os.getpid()
+            number = held.number + 1
+            buffer.write(CLAIM_BODY.pack(number, pid, started_ticks(pid) or 0))
+            return number
+
+    def holder(self) -> Claim:
+        """The latest claim."""
+        return _decode_claim(self._claim_buffer())
+
+    def _claim_buffer(self) -> DoubleBuffer:
+        """The claim as it stands now: other processes write it, too."""
+        return DoubleBuffer(self.memory, CLAIM_OFFSET, CLAIM_BODY.size)
 
     @contextmanager
-    def _alone(self) -> Iterator[None]:
-        """A lock of the process's, which the kernel gives back if it dies within."""
+    def _lock(self) -> Iterator[None]:
+        """Admit one process at a time; the kernel unlocks if it dies within."""
         fcntl.lockf(self.file, fcntl.LOCK_EX)
         try:
             yield
@@ -174,25 +208,34 @@
             fcntl.lockf(self.file, fcntl.LOCK_UN)
 
     def close(self) -> None:
-        """Let go of the memory; the descriptor stays open."""
+        """Unmap the memory; the descriptor stays open."""
         self.memory.close()
 
 
-def size(rows: int, room: int) -> int:
-    """Bytes of a record."""
-    return ROWS_AT + rows * 2 * (HALF.size + room)
+def _decode_claim(buffer: DoubleBuffer) -> Claim:
+    number, pid, started = CLAIM_BODY.unpack(buffer.read() or bytes(CLAIM_BODY.size))
+    return Claim(number, pid, started)
+
+
+def _is_valid_size(row_count: int, max_body_bytes: int) -> bool:
+    return 0 < row_count <= MAX_ROWS and 0 < max_body_bytes <= MAX_BODY_BYTES
+
+
+def record_bytes(row_count: int, max_body_bytes: int) -> int:
+    """Size of a record."""
+    return ROWS_OFFSET + row_count * 2 * (BUFFER_HEADER.size + max_body_bytes)
 
 
-def started_at(process: int) -> int | None:
-    """When a process started, in the kernel's ticks since boot; None where it has ended, reaped or not."""
+def started_ticks(pid: int) -> int | None:
+    """When a process started, in the kernel's ticks since boot; none where it has ended, reaped or not."""
     try:
-        line = Path(f"/proc/{process}/stat").read_text()
+        line = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
         return None
     state, *fields = line.rpartition(")")[2].split()
-    return None if state in ("Z", "X") else int(fields[18])
+    return None if state in ENDED_STATES else int(fields[18])
 
 
-def has_ended(process: int, started: int) -> bool:
-    """Whether it has: a number that the kernel has given to another process since is not it."""
-    return started_at(process) != started
+def has_ended(pid: int, started: int) -> bool:
+    """Whether a process has ended: a number that the kernel has reused since is another process."""
+    return started_ticks(pid) != started
--- a/quota_gateway/failover/gateway.py
+++ b/quota_gateway/failover/gateway.py
@@ -16,7 +16,7 @@
 import struct
 from contextlib import suppress
 
-from quota_gateway.failover.connection_record import Record, RecordError
+from quota_gateway.failover.connection_record import ConnectionRecord, ConnectionRecordError
 from quota_gateway.net.clients import Client, Clients
 from quota_gateway.net.hot_restart import Link, close_all, connected
 from quota_gateway.net.peer_process import BEAT_S, consumed, written
@@ -39,14 +39,14 @@
     def read(self, file: int) -> None:
         """The record; one that is none protects nothing."""
         try:
-            record = Record.open(file)
-        except (RecordError, OSError, ValueError) as error:
+            record = ConnectionRecord.open(file)
+        except (ConnectionRecordError, OSError, ValueError) as error:
             log.error("the record that was left can't be read: %r", error)
             return
         if not record.claim():
             log.error("the record that was left is another's")
             return
-        for body in record.read().values():
+        for body in record.read_rows().values():
             number, came, went, asked = ROW.unpack(body)
             self.rows[number] = (came, went, asked)
         record.close()
@@ -70,7 +70,7 @@
         self.clients = clients
         self.loop = asyncio.get_running_loop()
         self.file = os.memfd_create("work")
-        self.record = Record.create(self.file, clients.most_connections, ROW.size)
+        self.record = ConnectionRecord.create(self.file, clients.most_connections, ROW.size)
         self.record.claim()
         self.numbers = 0
         self.bases: dict[Client, tuple[int, int, int, int]] = {}  # number, row, counts as it was opened
@@ -182,7 +182,7 @@
             went = written(descriptor)
         except OSError:
             return
-        row = self.record.take(ROW.pack(self.numbers, came, went, client.asked))
+        row = self.record.add_row(ROW.pack(self.numbers, came, went, client.asked))
         if row < 0:
             return
         self.bases[client] = (self.numbers, row, came, went)
@@ -194,14 +194,14 @@
         base = self.bases.get(client)
         if base:
             number, row, came, went = base
-            self.record.change(
+            self.record.replace_row(
                 row, ROW.pack(number, came + client.read_bytes, went + client.written_bytes, client.asked)
             )
 
     def _closed(self, client: Client) -> None:
         base = self.bases.pop(client, None)
         if base:
-            self.record.give_back(base[1])
+            self.record.free_row(base[1])
             if self.link:
                 self.link.send(b"D%d" % base[0])
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -16,7 +16,12 @@
 from test_peer_process import call_of
 
 from quota_gateway.failover.__main__ import main
-from quota_gateway.failover.connection_record import HALF, Pair, Record, RecordError
+from quota_gateway.failover.connection_record import (
+    BUFFER_HEADER,
+    ConnectionRecord,
+    ConnectionRecordError,
+    DoubleBuffer,
+)
 from quota_gateway.failover.model import FAULTS, HALVES, UNSAFE, Model, World, explore
 from quota_gateway.failover.supervisor import Job, Keeper
 from quota_gateway.fault_bench.bench import Rig
@@ -81,54 +86,54 @@
 @given(st.lists(st.binary(min_size=0, max_size=24), min_size=1, max_size=5), st.data())
 @settings(max_examples=150, deadline=None)
 def test_row_is_the_last_whole_one_wherever_its_writer_is_killed(bodies, data):
-    memory = Torn(2 * (HALF.size + 24))
-    pair, held = Pair(memory, 0, 24), b""
+    memory = Torn(2 * (BUFFER_HEADER.size + 24))
+    pair, held = DoubleBuffer(memory, 0, 24), b""
     for body in bodies[:-1]:
         pair.write(body)
         held = body
-    memory.left = cut = data.draw(st.integers(1, HALF.size + len(bodies[-1])))
+    memory.left = cut = data.draw(st.integers(1, BUFFER_HEADER.size + len(bodies[-1])))
     with pytest.raises(KilledError):
         pair.write(bodies[-1])
-    after = Pair(memory, 0, 24)
+    after = DoubleBuffer(memory, 0, 24)
     assert after.read() in (held, bodies[-1])
-    assert after.read() == held or cut == HALF.size + len(bodies[-1])
+    assert after.read() == held or cut == BUFFER_HEADER.size + len(bodies[-1])
     memory.left = 1 << 60
     after.write(b"the next one goes on"[:24])
-    assert Pair(memory, 0, 24).read() == b"the next one goes on"
+    assert DoubleBuffer(memory, 0, 24).read() == b"the next one goes on"
 
 
 WRITES = """
 import sys
-from quota_gateway.failover.connection_record import Record
-record = Record.open(int(sys.argv[1]))
+from quota_gateway.failover.connection_record import ConnectionRecord
+record = ConnectionRecord.open(int(sys.argv[1]))
 assert record.claim()
-rows = [record.take(b"begin") for _ in range(8)]
+rows = [record.add_row(b"begin") for _ in range(8)]
 print("up", flush=True)
 n = 0
 while True:
     n += 1
     for row in rows:
-        record.change(row, b"%08d" % n * (1 + n % 40))
+        record.replace_row(row, b"%08d" % n * (1 + n % 40))
 """
 
 
 def test_record_of_a_process_that_is_killed_is_whole_and_claimed_once():
     for _ in range(8):
         file = os.memfd_create("work")
-        Record.create(file, 8, 400).close()
+        ConnectionRecord.create(file, 8, 400).close()
         with subprocess.Popen(
             [sys.executable, "-c", WRITES, str(file)], pass_fds=(file,), cwd=ROOT, stdout=subprocess.PIPE
         ) as writer:
             assert writer.stdout
             assert writer.stdout.readline() == b"up\n"
-            record = Record.open(file)
+            record = ConnectionRecord.open(file)
             try:
                 # it lives
                 assert record.claim() == 0
-                assert record.holder() == (1, writer.pid)
+                assert (record.holder().number, record.holder().pid) == (1, writer.pid)
             finally:
                 writer.kill()
-        bodies = Record.open(file).read()
+        bodies = ConnectionRecord.open(file).read_rows()
         counts = [int(body[:8]) for body in bodies.values() if body != b"begin"]
         assert len(bodies) == 8
         assert not counts or max(counts) - min(counts) <= 1
@@ -138,7 +143,7 @@
             if body != b"begin"
         )
         assert record.claim() == 2
-        assert record.holder() == (2, os.getpid())
+        assert (record.holder().number, record.holder().pid) == (2, os.getpid())
         assert record.claim() == 0
         record.close()
         os.close(file)
@@ -146,8 +151,8 @@
 
 CLAIMS = """
 import sys
-from quota_gateway.failover.connection_record import Record
-record = Record.open(int(sys.argv[1]))
+from quota_gateway.failover.connection_record import ConnectionRecord
+record = ConnectionRecord.open(int(sys.argv[1]))
 sys.stdin.readline()
 print(record.claim(), flush=True)
 sys.stdin.readline()
@@ -156,7 +161,7 @@
 
 def test_of_standbys_that_race_one_gets_the_claim_and_its_successor_the_next():
     file = os.memfd_create("work")
-    Record.create(file, 1, 8).close()
+    ConnectionRecord.create(file, 1, 8).close()
     for number in (1, 2, 3):
         racers = [
             subprocess.Popen(
@@ -182,23 +187,23 @@
 
 def test_record_that_is_foreign_of_another_version_or_cut_off_is_refused_and_full_ones_count():
     file = os.memfd_create("work")
-    record = Record.create(file, 2, 4)
-    assert [record.take(body) for body in (b"a", b"b", b"c", b"too long")] == [0, 1, -1, -1]
+    record = ConnectionRecord.create(file, 2, 4)
+    assert [record.add_row(body) for body in (b"a", b"b", b"c", b"too long")] == [0, 1, -1, -1]
     assert record.unprotected == 2
-    assert record.read() == {0: b"a", 1: b"b"}
-    assert not record.change(0, b"too long")
-    assert record.read() == {1: b"b"}
-    assert record.take(b"d") == 0
+    assert record.read_rows() == {0: b"a", 1: b"b"}
+    assert not record.replace_row(0, b"too long")
+    assert record.read_rows() == {1: b"b"}
+    assert record.add_row(b"d") == 0
     for place, value in ((0, b"x"), (8, b"\x09"), (12, b"\xff\xff")):
         whole = os.pread(file, 64, 0)
         os.pwrite(file, value, place)
-        with pytest.raises(RecordError):
-            Record.open(file)
+        with pytest.raises(ConnectionRecordError):
+            ConnectionRecord.open(file)
         os.pwrite(file, whole, 0)
-    assert Record.open(file).read() == {0: b"d", 1: b"b"}
+    assert ConnectionRecord.open(file).read_rows() == {0: b"d", 1: b"b"}
     os.ftruncate(file, 100)
-    with pytest.raises(RecordError):
-        Record.open(file)
+    with pytest.raises(ConnectionRecordError):
+        ConnectionRecord.open(file)
     os.close(file)
 
 
--- a/tests/test_rollout_journal.py
+++ b/tests/test_rollout_journal.py
@@ -17,7 +17,7 @@
 import pytest
 from test_fault_bench import ROOT
 
-from quota_gateway.failover.connection_record import Record
+from quota_gateway.failover.connection_record import ConnectionRecord
 from quota_gateway.rollout import journal
 from quota_gateway.rollout.plan import Plan, Target, fingerprint
 from quota_gateway.rollout.plan_file import load
@@ -91,11 +91,11 @@
     file = os.memfd_create("record")
     try:
         os.write(file, (folder / "four-rows.record").read_bytes())
-        record = Record.open(file)
-        assert {str(row): body.decode() for row, body in record.read().items()} == expected["rows"]
-        assert record.room == expected["room"]
-        assert record.free == expected["free"]
-        assert record.holder() == (expected["claim"], expected["process"])
+        record = ConnectionRecord.open(file)
+        assert {str(row): body.decode() for row, body in record.read_rows().items()} == expected["rows"]
+        assert record.max_body_bytes == expected["room"]
+        assert record.free_rows == expected["free"]
+        assert (record.holder().number, record.holder().pid) == (expected["claim"], expected["process"])
         record.close()
     finally:
         os.close(file)
