--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -22,14 +22,16 @@
     Status,
     state_document,
 )
-from quota_gateway.policy.concurrency_limit import Pressure
+from quota_gateway.policy.concurrency_cap import ConcurrencyCap
+from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
 from quota_gateway.policy.customers import Customers
-from quota_gateway.policy.outlier_detection import Health
-from quota_gateway.policy.quota_meter import Meter
-from quota_gateway.policy.rate_ceiling import Ceilings
-from quota_gateway.policy.retry_policy import group, harmless
-from quota_gateway.policy.slow_start import Cold
-from quota_gateway.state import Context, Customer, Fleet, PendingRequest, Server
+from quota_gateway.policy.outlier_detection import OutlierDetection
+from quota_gateway.policy.quota_meter import Admit, Hold, QuotaMeter, RejectOverQuota
+from quota_gateway.policy.rate_ceiling import RateCeiling
+from quota_gateway.policy.retry_policy import is_client_retry_harmless, retry_group
+from quota_gateway.policy.slow_start import SlowStart
+from quota_gateway.state import Attempt, Context, Customer, Endpoints, PendingRequest, Server, ServerGroup
+from quota_gateway.state.endpoints import GroupIndex
 
 RECORDINGS = Path(__file__).parent / "recordings"
 METERED, CAPPED = (next(p for p in SETTINGS.plans if p.name == name) for name in ("metered", "only-cap"))
@@ -50,71 +52,114 @@
 
 
 def test_the_meter_holds_then_refuses_and_drains():
-    meter, customer = Meter(context()), Customer(("metered", "c"), 0.0, 0.0, 0)
-    customer.serving_gateways, customer.largest_request_units = 2, 1.0
-    holds = [meter.take(customer, METERED, 1.0, 0.0) for _ in range(9)]  # a slice of 5 a second, burst 4
-    assert holds == [0.0] * 4 + [200.0, 400.0, 600.0, 800.0, float("inf")]
-    assert meter.advice(customer, METERED, 1.0, 0.0) == 1000.0
-    assert not meter.as_new(customer, METERED, 1599.0)
-    assert meter.as_new(customer, METERED, 4000.0)
+    meter = QuotaMeter(context())
+    customer = Customer(("metered", "c"), 0.0, 0.0, 0)
+    customer.serving_gateways = 2
+    customer.largest_request_units = 1.0
+    decisions = []
+    for _ in range(9):  # a share of 5 a second, burst 4
+        meter.record_demand(customer, METERED, 1.0, 0.0)
+        decision = meter.decide(customer, METERED, 1.0, 0.0)
+        decisions.append(decision)
+        if not isinstance(decision, RejectOverQuota):
+            meter.apply(customer, decision, 0.0)
+    admitted = [Admit(1000.0 * count) for count in range(1, 5)]
+    held = [Hold(200.0 * count, 4000.0 + 1000.0 * count) for count in range(1, 5)]
+    assert decisions == [*admitted, *held, RejectOverQuota()]
+    assert customer.excess_milliunits == 8000.0
+    assert customer.demand_units == 9.0
+    assert meter.retry_after_ms(customer, METERED, 1.0, 0.0) == 1000.0
+    assert not meter.is_as_new(customer, METERED, 1599.0)
+    assert meter.is_as_new(customer, METERED, 4000.0)
+
+
+def test_a_decision_of_the_meter_stores_nothing_until_it_is_applied():
+    meter = QuotaMeter(context())
+    customer = Customer(("metered", "c"), 0.0, 0.0, 0)
+    customer.largest_request_units = 1.0
+    before = [getattr(customer, name) for name in Customer.__slots__]
+    decisions = [meter.decide(customer, METERED, 20.0, 100.0) for _ in range(2)]
+    assert decisions == [RejectOverQuota()] * 2
+    decisions = [meter.decide(customer, METERED, 3.0, 100.0) for _ in range(2)]
+    assert decisions == [Admit(3000.0 - 1000.0)] * 2
+    assert [getattr(customer, name) for name in Customer.__slots__] == before
+    meter.apply(customer, decisions[0], 100.0)
+    assert customer.excess_milliunits == 2000.0
+    assert customer.excess_updated_ms == 100.0
+
+
+def test_a_plan_without_a_quota_admits_and_leaves_the_row_alone():
+    meter = QuotaMeter(context())
+    customer = Customer(("free", "c"), 7.0, 0.0, 0)
+    meter.record_demand(customer, Plan("free"), 5.0, 100.0)
+    decision = meter.decide(customer, Plan("free"), 5.0, 100.0)
+    assert decision == Admit(None)
+    meter.apply(customer, decision, 100.0)
+    assert (customer.excess_milliunits, customer.excess_updated_ms) == (0.0, 7.0)
+    assert (customer.demand_units, customer.demand_updated_ms) == (0.0, 7.0)
 
 
 def test_a_ceiling_starts_at_nought_and_a_cap_is_one_at_least():
     made = context(now=0.0)
-    ceilings = Ceilings(made, Meter(made))
+    ceiling = RateCeiling(made)
+    cap = ConcurrencyCap(made, QuotaMeter(made))
     plan = Plan("x", ceiling_rate=10.0, ceiling_burst=20.0, max_in_flight=1)
     waiting = pending(SETTINGS.classes[0])
-    waiting.plan, waiting.customer = plan, Customer(("x", "c"), 0.0, ceilings.fresh_level(plan, 1, 0.0), 0)
-    assert ceilings.wait(waiting, 0.0) == 100.0
-    assert ceilings.wait(waiting, 100.0) == 0.0
-    ceilings.draw(waiting, 100.0)
-    assert ceilings.level(waiting.customer, plan, 100.0) == 0.0
-    assert not ceilings.capped(waiting, 0.0)
+    waiting.plan = plan
+    waiting.customer = Customer(("x", "c"), 0.0, ceiling.unseen_level_units(plan, 1, 0.0), 0)
+    assert ceiling.wait_ms(waiting, 0.0) == 100.0
+    assert ceiling.wait_ms(waiting, 100.0) == 0.0
+    ceiling.consume(waiting, 100.0)
+    assert ceiling.level_units(waiting.customer, plan, 100.0) == 0.0
+    assert not cap.is_reached(waiting, 0.0)
     waiting.customer.attempts_in_flight = 1
-    assert ceilings.capped(waiting, 0.0)
+    assert cap.is_reached(waiting, 0.0)
 
 
 def test_health_tells_a_class_from_a_server_and_forgets():
     made = context()
-    health, bad, good = Health(made), Server(entry(1), 0.1), Server(entry(2), 0.2)
+    health, bad, good = OutlierDetection(made), Server(entry(1), 0.1), Server(entry(2), 0.2)
     one, other = (pending(kind) for kind in SETTINGS.classes[:2])
     for _ in range(4):
-        health.judge(one, bad, Status.ERROR)
-        health.judge(one, good, Status.OK)
-    doubts = [[health.doubt(f, server, health.priors(f)) for server in (bad, good)] for f in (one, other)]
-    assert doubts[0][0] > 0.7 > 0.2 > doubts[0][1]
-    assert doubts[1][0] < 0.1
+        health.on_attempt_ended(one, bad, Status.ERROR)
+        health.on_attempt_ended(one, good, Status.OK)
+    probabilities = [
+        [health.failure_probability(item, server, health.priors(item)) for server in (bad, good)]
+        for item in (one, other)
+    ]
+    assert probabilities[0][0] > 0.7 > 0.2 > probabilities[0][1]
+    assert probabilities[1][0] < 0.1
     made.begin(61_000.0)
     made.decay.sends = 1000
-    assert health.doubt(one, bad, (0.0, 0.0)) < 0.01
+    assert health.failure_probability(one, bad, (0.0, 0.0)) < 0.01
 
 
 def test_the_pool_moves_by_what_answers_show():
-    pressure, server, kind = Pressure(context()), Server(entry(1), 0.1), SETTINGS.classes[0]
-    pressure.begin(servers=10, gateways=2)
-    assert pressure.size == 10.0
-    assert not pressure.full()
-    pressure.young = {(str(n), 0) for n in range(10)}
-    assert pressure.full()
-    pressure.answered(server, kind, 0.1 * kind.latency_objective_ms)
-    assert pressure.size == pytest.approx(10.035)
-    assert 1 in pressure.latencies.quick[kind.name]
-    pressure.answered(server, kind, 0.9 * kind.latency_objective_ms)
-    assert pressure.size == pytest.approx(9.735)
-    assert not pressure.latencies.quick[kind.name]
+    pressure, server, kind = ConcurrencyLimit(context()), Server(entry(1), 0.1), SETTINGS.classes[0]
+    pressure.start(servers=10, gateways=2)
+    assert pressure.limit == 10.0
+    assert not pressure.is_reached()
+    pressure.attempts_within_threshold = {(str(n), 0) for n in range(10)}
+    assert pressure.is_reached()
+    pressure.on_response(server, kind, 0.1 * kind.latency_objective_ms)
+    assert pressure.limit == pytest.approx(10.035)
+    assert 1 in pressure.latencies.quick_servers[kind.name]
+    pressure.on_response(server, kind, 0.9 * kind.latency_objective_ms)
+    assert pressure.limit == pytest.approx(9.735)
+    assert not pressure.latencies.quick_servers[kind.name]
 
 
 @pytest.mark.parametrize(
     ("effect", "scope", "age", "first", "wanted", "told"),
     [
-        (Idempotency.IDEMPOTENT, "all", 9e9, True, (), True),
+        (Idempotency.IDEMPOTENT, "all", 9e9, True, ServerGroup(), True),
         (Idempotency.NOT_IDEMPOTENT, "all", 0.0, True, None, False),
-        (Idempotency.NOT_IDEMPOTENT, "all", 0.0, False, (), True),
-        (Idempotency.WITH_KEY, "all", 100.0, True, (), True),
-        (Idempotency.WITH_KEY, "zone", 100.0, True, ("b",), False),
-        (Idempotency.WITH_KEY, "cell", 100.0, True, ("b", 7), False),
+        (Idempotency.NOT_IDEMPOTENT, "all", 0.0, False, ServerGroup(), True),
+        (Idempotency.WITH_KEY, "all", 100.0, True, ServerGroup(), True),
+        (Idempotency.WITH_KEY, "zone", 100.0, True, ServerGroup("b"), False),
+        (Idempotency.WITH_KEY, "cell", 100.0, True, ServerGroup("b", 7), False),
         (Idempotency.WITH_KEY, "zone", 3000.0, True, None, False),
-        (Idempotency.WITH_KEY, "cell", 3000.0, False, (), True),
+        (Idempotency.WITH_KEY, "cell", 3000.0, False, ServerGroup(), True),
     ],
 )
 def test_where_a_request_may_go_again_and_what_its_client_is_told(effect, scope, age, first, wanted, told):
@@ -123,9 +168,9 @@
         "k", 1000.0, 4000.0, effect, idempotency_scope=scopes[scope], idempotency_window_ms=3000.0
     )
     made = pending(kind)
-    made.first_possible_run = (Server(entry(1, "b", cell=7), 0.0), 1000.0) if first else None
-    assert group(made, 1000.0 + age) == wanted
-    assert harmless(made) is told
+    made.first_possible_run = Attempt(Server(entry(1, "b", cell=7), 0.0), 1000.0) if first else None
+    assert retry_group(made, 1000.0 + age) == wanted
+    assert is_client_retry_harmless(made) is told
 
 
 # ---- The tables choose as a plain loop over the whole list would
@@ -136,7 +181,7 @@
 def test_the_fleets_tables_find_what_a_loop_finds(size, seed, turn):
     made = Context(SETTINGS, seed, 4000.0)
     made.begin(5000.0)
-    fleet, cold = Fleet(made.random), Cold(made)
+    fleet, cold = Endpoints(made.random), SlowStart(made)
     states = (ServerState.READY, ServerState.DRAINING)
     fleet.update(
         ServerList(
@@ -153,19 +198,19 @@
             ),
         )
     )
-    fleet.relist(lambda server: cold.warmth(server) < 1.0)
+    fleet.refresh(lambda server: cold.capacity_ratio(server) < 1.0)
     asked, ready = pending(SETTINGS.classes[0], turn=turn), [s for s in fleet.servers.values() if s.is_ready]
     tried = {n for n in range(size) if made.random.random() < 0.1}
     for key in [(), ("a",), ("b", 1), ("c",)]:
         wanted = [s for s in ready if s.id not in tried and key == (s.zone, s.cell)[: len(key)]]
-        found = fleet.others(key, tried)
+        found = fleet.ready_in_group(ServerGroup(*key), tried)
         assert list(found) == wanted
         assert len(found) == len(wanted)
         assert [s for s in fleet.servers.values() if s in found] == wanted
     if ready:
-        turns = [s for s in fleet.cold if cold.in_turn(asked, s, len(ready))]
-        near = fleet.in_phase((1.0 - turn) % 1.0, cold.widest_turn(len(ready)))
-        assert [s for s in near if cold.in_turn(asked, s, len(ready))] == turns
+        turns = [s for s in fleet.warming_up if cold.is_eligible(asked, s, len(ready))]
+        near = fleet.warming_up_in((1.0 - turn) % 1.0, cold.widest_share_ratio(len(ready)))
+        assert [s for s in near if cold.is_eligible(asked, s, len(ready))] == turns
 
 
 class Counted(list):
@@ -194,11 +239,13 @@
                 for n in range(size)
             )
         )
-        fleet = rig.gateway.fleet
+        fleet = rig.gateway.endpoints
         rig.finish(rig.ask(), Status.RESET)  # a group is made once for each list
         Counted.seen = 0
-        fleet.ready, fleet.cold = Counted(fleet.ready), Counted(fleet.cold)
-        fleet._groups = {key: (Counted(found[0]), found[1]) for key, found in fleet._groups.items()}
+        fleet.ready, fleet.warming_up = Counted(fleet.ready), Counted(fleet.warming_up)
+        fleet._groups = {
+            key: GroupIndex(Counted(found.servers), found.places) for key, found in fleet._groups.items()
+        }
         for _ in range(40):
             name = rig.ask()
             rig.finish(name, Status.RESET)
@@ -214,7 +261,7 @@
 def test_a_customer_with_a_request_in_hand_is_not_forgotten():
     # its row holds the cap: forgotten while a request waits, a second row would count from nought
     rig = Rig(replace(SETTINGS, plans=(CAPPED, Plan("free")), gateways=1, meter_period_ms=100.0))
-    mine = [rig.ask("only-cap", width=1) for _ in range(3)]  # parked: no server yet
+    mine = [rig.ask("only-cap", width=1) for _ in range(3)]  # queued: no server yet
     rig.run(1000.0)  # all that is known of it is as new
     for name in "xyz":
         rig.ask(customer=name, width=1)
@@ -225,16 +272,16 @@
 
 def test_customers_are_forgotten_at_the_bound_but_for_those_in_hand():
     made = context(now=0.0)
-    book = Customers(made, Meter(made), Ceilings(made, Meter(made)))
+    book = Customers(made, QuotaMeter(made), RateCeiling(made))
     for number in range(3000):
         made.begin(100.0 * number)
-        found = book.find(Request(str(number), "safe", "metered", f"c{number}", 1000.0, 1.0), METERED)
+        found = book.find_or_add(Request(str(number), "safe", "metered", f"c{number}", 1000.0, 1.0), METERED)
         found.pending_count = (
             1 if number % 1000 == 0 else 0
         )  # one that waits for hours stops nobody else's row
-    held = [customer.key[1] for customer in book.known.values() if customer.pending_count]
+    held = [customer.key[1] for customer in book.rows.values() if customer.pending_count]
     assert sorted(held) == ["c0", "c1000", "c2000"]
-    assert 40 <= len(book.known) <= 48
+    assert 40 <= len(book.rows) <= 48
 
 
 def test_settings_that_change_between_two_attempts_keep_the_class_and_lift_no_bound():
@@ -307,9 +354,9 @@
     state_document.load(
         new.gateway, state_document.save(old.gateway, names), {name: number for number, name in names.items()}
     )
-    cold, fleet = new.gateway.warming, new.gateway.fleet
+    cold, fleet = new.gateway.slow_start, new.gateway.endpoints
     for turn in (number / 500 for number in range(500)):
         asked = pending(SETTINGS.classes[0], turn=turn)
-        turns = [server for server in fleet.cold if cold.in_turn(asked, server, 60)]
-        near = fleet.in_phase((1.0 - turn) % 1.0, cold.widest_turn(60))
-        assert [server for server in near if cold.in_turn(asked, server, 60)] == turns
+        turns = [server for server in fleet.warming_up if cold.is_eligible(asked, server, 60)]
+        near = fleet.warming_up_in((1.0 - turn) % 1.0, cold.widest_share_ratio(60))
+        assert [server for server in near if cold.is_eligible(asked, server, 60)] == turns
--- a/tests/test_quota_meter.py
+++ b/tests/test_quota_meter.py
@@ -78,7 +78,7 @@
 
 def test_slice_grows_by_the_room_and_falls_back(rig):
     def share(customer):
-        return rig.gateway.meter.share(customer, rig.now)
+        return rig.gateway.meter.quota_share(customer, rig.now)
 
     rig.finish(rig.ask("metered"), used=40.0)
     customer = rig.gateway.customers["metered", "c"]
@@ -255,7 +255,7 @@
         else:
             assert rig.answers[name] == "Reject"  # at once, and nothing is left of it
         customer.metered_use_ratio, customer.metered_use_at_ms = heard
-    assert not rig.gateway.hand.pending_requests
+    assert not rig.gateway.in_flight.pending_requests
     return out
 
 
