--- a/tests/test_rollout_journal.py
+++ b/tests/test_rollout_journal.py
@@ -10,6 +10,7 @@
 
 import json
 import os
+from collections import Counter
 from pathlib import Path
 from typing import Any
 
@@ -17,12 +18,27 @@
 import pytest
 from test_fault_bench import ROOT
 
+from quota_gateway.errors import IllegalTransitionError
 from quota_gateway.failover.connection_record import ConnectionRecord
 from quota_gateway.rollout import journal
+from quota_gateway.rollout.canary_analysis import Baseline
+from quota_gateway.rollout.journal_records import (
+    BaselineMeasured,
+    RollbackStarted,
+    RolloutEnded,
+    RolloutHalted,
+    RolloutResumed,
+    RolloutStarted,
+    StageConfirmed,
+    StagePassed,
+    TargetChanged,
+    TargetChanging,
+)
 from quota_gateway.rollout.plan import Plan, Target, fingerprint
 from quota_gateway.rollout.plan_file import load
-from quota_gateway.rollout.rollout_state import RolloutState
+from quota_gateway.rollout.rollout_state import TRANSITIONS, RolloutPhase, RolloutState
 from quota_gateway.rollout.status import target_standings
+from quota_gateway.state_machine import illegal_transitions
 
 DATA = Path(__file__).parent / "data"
 EXPECTED: dict[str, Any] = json.loads((DATA / "rollout" / "expected.json").read_text())
@@ -99,3 +115,72 @@
         record.close()
     finally:
         os.close(file)
+
+
+# ---- The phases
+
+RECORDS = {
+    "start": RolloutStarted(0.0, "p", "f", [["g0"], ["g1"]], {}, {}),
+    "baseline": BaselineMeasured(0.0, 0, Baseline(0, {}, {}, (0, 0), ({}, {}))),
+    "changing": TargetChanging(0.0, "g0"),
+    "changed": TargetChanged(0.0, "g0", pid=7),
+    "passed": StagePassed(0.0, 0, "fine"),
+    "confirmed": StageConfirmed(0.0, 0),
+    "halted": RolloutHalted(0.0, "by hand"),
+    "resumed": RolloutResumed(0.0),
+    "rollback": RollbackStarted(0.0, "worse"),
+    "ended": RolloutEnded(0.0, "back"),
+}
+
+
+def state_after(*names: str) -> RolloutState:
+    state = RolloutState()
+    for name in names:
+        state.apply(RECORDS[name])
+    return state
+
+
+TO_CHANGING = ("start", "baseline", "changing")
+TO_WATCHING = (*TO_CHANGING, "changed")
+TO_CONFIRMING = (*TO_WATCHING, "passed")
+
+
+@pytest.mark.parametrize(
+    ("names", "phase"),
+    [
+        ((), RolloutPhase.NOT_STARTED),
+        (("start",), RolloutPhase.MEASURING),
+        (TO_CHANGING, RolloutPhase.CHANGING),
+        (TO_WATCHING, RolloutPhase.WATCHING),
+        (TO_CONFIRMING, RolloutPhase.CONFIRMING),
+        ((*TO_CONFIRMING, "changing"), RolloutPhase.CHANGING),  # it went back by itself
+        ((*TO_CONFIRMING, "confirmed"), RolloutPhase.MEASURING),
+        ((*TO_WATCHING, "halted"), RolloutPhase.HALTED),
+        ((*TO_WATCHING, "halted", "changed"), RolloutPhase.HALTED),  # restarted, and accepted by an operator
+        ((*TO_WATCHING, "halted", "resumed"), RolloutPhase.WATCHING),
+        ((*TO_WATCHING, "halted", "rollback"), RolloutPhase.ROLLING_BACK),
+        ((*TO_CONFIRMING, "rollback", "ended"), RolloutPhase.ENDED),
+    ],
+)
+def test_phase_follows_from_the_records(names, phase):
+    assert state_after(*names).phase is phase
+
+
+def test_every_phase_can_be_left_or_is_the_end():
+    assert set(TRANSITIONS) == set(RolloutPhase)
+    assert [phase for phase, following in TRANSITIONS.items() if not following] == [RolloutPhase.ENDED]
+
+
+def test_record_that_can_not_follow_is_raised_in_tests_and_counted_in_service(monkeypatch):
+    """A fault of the controller writes an end in the middle of a watch.
+
+    Shown by a rollout that is over while targets are on trial. In service the journal stays readable, so that
+    operators see where it stands, and the fault is counted.
+    """
+    with pytest.raises(IllegalTransitionError):
+        state_after(*TO_WATCHING, "ended")
+    monkeypatch.setattr(illegal_transitions, "raised", False)
+    monkeypatch.setattr(illegal_transitions, "counts", Counter())
+    state = state_after(*TO_WATCHING, "ended")
+    assert state.phase is RolloutPhase.ENDED
+    assert illegal_transitions.counts == {("rollout", RolloutPhase.WATCHING, RolloutPhase.ENDED): 1}
