--- a/quota_gateway/net/configuration_in_force.py
+++ b/quota_gateway/net/configuration_in_force.py
@@ -63,9 +63,9 @@
 
     def _apply_to_decisions(self, settings: api.Settings) -> None:
         driver = self._parts.driver
-        if settings != driver.gateway.settings:
+        if settings != driver.gateway.context.settings:
             driver.post(api.SettingsChanged(settings))
-        if settings != driver.gateway.settings:
+        if settings != driver.gateway.context.settings:
             raise ConfigError(["the decisions failed"])
 
     def _apply_to_sockets(self, config: Config, admin_server: asyncio.Server | None) -> None:
