--- a/quota_gateway/net/hot_restart/link.py
+++ b/quota_gateway/net/hot_restart/link.py
@@ -115,7 +115,7 @@
         if not self.open:
             return
         self.open = False
-        log.info("the link to the other process ended: %s", reason)
+        log.info("the link to the peer process ended: %s", reason)
         self._loop.remove_reader(self._sock.fileno())
         self._loop.remove_writer(self._sock.fileno())
         self._sock.close()
--- a/quota_gateway/net/hot_restart/operator_wishes.py
+++ b/quota_gateway/net/hot_restart/operator_wishes.py
@@ -118,7 +118,7 @@
             new_path.write_text(json.dumps(document))
             os.replace(new_path, self._path)
         except OSError as error:
-            log.error("what operators want can't be kept: %r", error)
+            log.error("operators' wishes can't be saved: %r", error)
 
     def read(self) -> OperatorWishes | None:
         """The wishes, or None where there is no file or it is not one of this gateway."""
--- a/quota_gateway/net/hot_restart/predecessor.py
+++ b/quota_gateway/net/hot_restart/predecessor.py
@@ -106,7 +106,7 @@
             self._loop.add_reader(self._offer_socket.fileno(), self._accept, self._offer_socket)
             self._exchange.save()
         except OSError as error:
-            log.error("no upgrade without a break: %r", error)
+            log.error("hot restart can't be offered: %r", error)
 
     def withdraw(self) -> None:
         """Offer no more. The path stays, as it may be the successor's by now."""
@@ -245,7 +245,7 @@
         session.peer_process.close()
         self._enter(PredecessorState.SERVING)
         self._parts.driver.post(api.PeerExited())
-        log.error("the next process has ended: this one accepts again")
+        log.error("the successor has ended: this process accepts again")
         self._reclaiming = self._loop.create_task(self.reclaim(), name="take back connections")
 
     async def reclaim(self) -> None:
--- a/quota_gateway/net/hot_restart/session.py
+++ b/quota_gateway/net/hot_restart/session.py
@@ -77,6 +77,6 @@
 
     def _hung(self) -> None:
         """End a process that has sent nothing for several heartbeats; it must not serve any more."""
-        log.error("the other process hangs: it is ended")
+        log.error("the peer process hangs and is killed")
         self.peer_process.kill()
         self.end("it hangs")
--- a/quota_gateway/net/hot_restart/successor.py
+++ b/quota_gateway/net/hot_restart/successor.py
@@ -98,7 +98,7 @@
             self._assembly.clear()
         wishes = self._exchange.in_force.current()
         log.info(
-            "taken over from the process before; out: %s%s",
+            "taken over from the predecessor; servers down: %s%s",
             ", ".join(wishes.servers_down) or "no server",
             "; drained" if wishes.drained else "",
         )
@@ -130,12 +130,12 @@
             await self._greeted.wait()
         async with asyncio.timeout(limits.STATE_TIMEOUT_S):
             if not session.open:
-                raise RestartError("the process before broke off")
+                raise RestartError("the predecessor broke off")
             session.link.has_received = False
             session.send(TakeOver(heartbeats=True))
             await self._loaded.wait()
         if self.state is not SuccessorState.TAKEN_OVER:
-            raise RestartError("the process before broke off")
+            raise RestartError("the predecessor broke off")
 
     async def _give_up(self, session: PeerSession, timed_out: bool) -> None:
         """End the session for a plain start.
@@ -148,7 +148,7 @@
             for _ in range(MAX_MISSED_HEARTBEATS):
                 await asyncio.sleep(HEARTBEAT_INTERVAL_S)
         if timed_out and not session.link.has_received and session.peer_process.alive():
-            log.error("the process before hangs: it is ended")
+            log.error("the predecessor hangs and is killed")
             session.peer_process.kill()
             while session.peer_process.alive():
                 await asyncio.sleep(limits.EXIT_POLL_INTERVAL_S)
--- a/quota_gateway/net/hot_restart/wishes_exchange.py
+++ b/quota_gateway/net/hot_restart/wishes_exchange.py
@@ -36,7 +36,7 @@
             async with asyncio.timeout(limits.WISHES_TIMEOUT_S):
                 await self._applied.wait()
         except TimeoutError:
-            log.error("the other process did not confirm what operators want")
+            log.error("the peer process did not confirm operators' wishes")
 
     def apply_changed(self, session: PeerSession, message: WishesChanged) -> None:
         """Take over the peer's wishes and answer it."""
--- a/quota_gateway/net/retained_connections.py
+++ b/quota_gateway/net/retained_connections.py
@@ -84,7 +84,7 @@
             else:
                 os.close(copy.descriptor)
         if copies:
-            log.info("%d connections taken back, %d closed", len(reclaimed), len(copies) - len(reclaimed))
+            log.info("%d connections reclaimed, %d closed", len(reclaimed), len(copies) - len(reclaimed))
         return reclaimed
 
     def close(self) -> None:
--- a/tests/test_hot_restart_messages.py
+++ b/tests/test_hot_restart_messages.py
@@ -230,4 +230,4 @@
     monkeypatch.setattr(Path, "write_text", fail)
     file.write(OperatorWishes())
     assert file.read() == DRAINED
-    assert "what operators want can't be kept" in caplog.text
+    assert "operators' wishes can't be saved" in caplog.text
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -45,8 +45,8 @@
         assert await idle.reply() == b"0000000000000002"
         assert old.alive
         assert (await old.call("HEALTH")).startswith("YES serving")
-        assert "the other process hangs" in member.log()
-        assert "taken back" in member.log()
+        assert "the peer process hangs" in member.log()
+        assert "connections reclaimed" in member.log()
         again = await member.start()
         assert await member.ready(again)  # the way is open for the next one
 
@@ -75,7 +75,7 @@
         new = await member.start()
         assert await member.ready(new)
         assert not old.alive
-        assert "the process before hangs" in member.log()
+        assert "the predecessor hangs" in member.log()
         peer = await Peer().open(rig.links["clients>g0"].at[1], rig.host)
         assert await peer.ask(call_of(1)) == b"0000000000000001"
 
