--- a/quota_gateway/net/tcp_info.py
+++ b/quota_gateway/net/tcp_info.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import errno
 import fcntl
 import os
 import socket
@@ -13,13 +14,15 @@
 BYTES_ACKED_OFFSET = 120
 BYTES_RECEIVED_OFFSET = 128
 TCP_INFO_BYTES = 136  # up to the end of the last field that is read
+MAX_READS = 100  # of a counter that moves while it is read
 COUNTER = struct.Struct("Q")
 IOCTL_RESULT = struct.Struct("i")
 
 
 def bytes_consumed(descriptor: int) -> int:
     """Bytes that were read out of the kernel: those received, less those unread. Raises OSError."""
-    return _tcp_info_counter(descriptor, BYTES_RECEIVED_OFFSET) - _queued_bytes(descriptor, termios.FIONREAD)
+    received, unread = _counter_with_queue(descriptor, BYTES_RECEIVED_OFFSET, termios.FIONREAD)
+    return received - unread
 
 
 def bytes_written(descriptor: int) -> int:
@@ -27,7 +30,24 @@
 
     They are those that the peer has acknowledged and those still in the send queue.
     """
-    return _tcp_info_counter(descriptor, BYTES_ACKED_OFFSET) + _queued_bytes(descriptor, termios.TIOCOUTQ)
+    acknowledged, unacknowledged = _counter_with_queue(descriptor, BYTES_ACKED_OFFSET, termios.TIOCOUTQ)
+    return acknowledged + unacknowledged
+
+
+def _counter_with_queue(descriptor: int, offset: int, request: int) -> tuple[int, int]:
+    """A counter, and the bytes of it that still wait in a queue, as of one moment.
+
+    Bytes that come between the two readings would be in one of them only: more would be unread than had been
+    received. So the counter is read again behind the queue, until it has not moved.
+    """
+    counter = _tcp_info_counter(descriptor, offset)
+    for _ in range(MAX_READS):
+        queued = _queued_bytes(descriptor, request)
+        counter_after = _tcp_info_counter(descriptor, offset)
+        if counter_after == counter:
+            return counter, queued
+        counter = counter_after
+    raise BlockingIOError(errno.EAGAIN, "the connection's byte counts do not come to rest")
 
 
 def _tcp_info_counter(descriptor: int, offset: int) -> int:
