--- a/quota_gateway/rollout/rollout_context.py
+++ b/quota_gateway/rollout/rollout_context.py
@@ -76,8 +76,8 @@
         """Roll back all that was changed."""
         self.record(RollbackStarted(self.now_s(), reason))
 
-    def is_interrupted(self) -> bool:
-        """Whether the stage is to be left, by an operator's command or as a record says it already."""
+    def interrupt_if_asked(self) -> bool:
+        """Carry out an operator's command, if there is one; whether the stage is to be left."""
         command = self.commands.take()
         if command is OperatorCommand.ROLL_BACK:
             self.start_rollback(BY_OPERATOR)
--- a/quota_gateway/rollout/stage_runner.py
+++ b/quota_gateway/rollout/stage_runner.py
@@ -78,7 +78,7 @@
                 if measured_s >= self.plan.max_watch_s or is_sufficient:
                     break
                 next_check_s = min(BASELINE_GROWTH_RATIO * measured_s, self.plan.max_watch_s)
-            if self.context.is_interrupted():
+            if self.context.interrupt_if_asked():
                 return
             await asyncio.sleep(self.plan.poll_interval_s)
             for name, window in (await self.metrics.read()).items():
@@ -116,7 +116,7 @@
         await self.metrics.begin_watch()
         loop = asyncio.get_running_loop()
         started_at_s = loop.time()
-        while self.state.passed_stage < stage and not self.context.is_interrupted():
+        while self.state.passed_stage < stage and not self.context.interrupt_if_asked():
             await asyncio.sleep(self.plan.poll_interval_s)
             windows = await self.metrics.read()
             if loop.time() - started_at_s >= self.plan.settle_s:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -37,6 +37,12 @@
 
 
 def test_nothing_changed_is_seldom_blamed_and_harm_is_found():
+    """A harmless change is blamed, or a harmful one is not.
+
+    Users would wait for changes that are rolled back for nothing, or meet the harm at every gateway. The
+    chance of a false stop is bounded, also where the first target is ten times as busy as the others.
+    """
+
     def plays(harm, count):
         return Counter(run_trial(harm, 10, 20.0, seed).verdict for seed in range(count))
 
@@ -161,6 +167,10 @@
     ],
 )
 def test_file_that_is_no_plan_is_refused_with_its_fault(tmp_path, old, new, why):
+    """An operator's plan has a fault.
+
+    A rollout would begin and fail in the middle. Instead the file is rejected with the place of its fault.
+    """
     assert old in PLAN
     (tmp_path / "p.toml").write_text(PLAN)
     assert load(tmp_path / "p.toml").stages() == [["g0"], ["g1"]]
@@ -176,6 +186,11 @@
 
 
 def test_journal_cut_or_flipped_anywhere_is_read_up_to_its_last_whole_record(tmp_path):
+    """The controller's machine dies in the middle of a write, or a bit of the file flips.
+
+    The next controller would act on half a record, or on none. Instead it goes on after the last complete
+    one, with a token above that of the one before, even if the clock went back.
+    """
     path = tmp_path / "j"
     held = journal.Journal(path, lambda: 5.0)
     for name in ("g0", "g1", "g2"):
@@ -320,6 +335,12 @@
 
 
 def test_good_change_reaches_all_and_a_bad_one_goes_back_from_the_first_stage(tmp_path):
+    """A change that rejects requests is rolled out.
+
+    Users of every gateway would be rejected. Instead it is rolled back from the one gateway of the first
+    stage, while a good change reaches all of them.
+    """
+
     async def case(made: Fleet):
         bad = made.plan(0.01, "bad")
         assert await made.to_end(bad) == 1, made.log()
@@ -346,6 +367,12 @@
 
 @pytest.mark.parametrize(("what", "end"), [(21.0, 0), (0.01, 1), ("fine", 0), ("refuses", 1)])
 def test_controller_killed_after_each_record_is_followed_by_one_to_the_end(tmp_path, what, end):
+    """The controller dies after any of its records.
+
+    Gateways would stay half changed, or be changed twice. Instead each next controller looks and does what
+    is missing, to the same end.
+    """
+
     async def case(made: Fleet):
         settings, lives = isinstance(what, float), 0
         new = next_version(tmp_path / "next", "fine" if settings else what)
@@ -371,6 +398,12 @@
 
 
 def test_controller_that_slept_past_anothers_takeover_does_nothing_when_it_wakes(tmp_path):
+    """A controller is stopped, taken for dead and followed by another; then it wakes.
+
+    Two controllers would change gateways at the same time. Instead the journal's lock and the higher token
+    leave the older one no effect.
+    """
+
     async def case(made: Fleet):
         first = made.plan(21.0, "first", watch_s=3.0)
         sleeper = await made.start(first)
@@ -395,6 +428,11 @@
 
 
 def test_member_killed_on_trial_stops_the_rollout_and_comes_back_as_before(tmp_path):
+    """A gateway dies under its new settings.
+
+    The settings that killed it would reach the others. Instead all is rolled back, and it starts as before.
+    """
+
     async def case(made: Fleet):
         plan, g0 = made.plan(21.0, watch_s=3.0), made.rig.members["g0"]
         running = await made.start(plan)
@@ -410,6 +448,12 @@
 
 
 def test_partition_of_doors_is_waited_for_and_who_went_back_by_itself_is_changed_again(tmp_path):
+    """The controller can't reach a gateway for a while, or dies so long that a trial ends.
+
+    The rollout would fail, or go on with a gateway that does not have the change. Instead it waits, and
+    changes and watches again what went back.
+    """
+
     async def case(made: Fleet):
         plan = made.plan(21.0, watch_s=1.5, stages=[2, 1.0])
         names = load(plan).stages()[0]
@@ -436,6 +480,12 @@
 
 
 def test_pause_holds_resume_goes_on_and_back_gives_up_who_is_away_by_name(tmp_path):
+    """Operators pause a rollout, resume it, and roll it back while a gateway is unreachable.
+
+    A pause that ends trials would lose the change; a rollback that waits for ever would leave the others
+    changed. Instead trials are kept up, and the unreachable one is given up by name, its file restored.
+    """
+
     async def case(made: Fleet):
         plan = made.plan(21.0, watch_s=1.0, longest_watch_s=2.0, member_s=2.0)
         assert (
@@ -556,6 +606,12 @@
 
 
 def test_next_version_takes_over_everywhere_and_a_rollout_back_hands_its_state_back(tmp_path):
+    """A version takes over and is rolled back, while discovery fails.
+
+    Servers that were taken out, the drain and quotas would be forgotten at either step. Instead the state
+    goes along in both directions, also with fields that one version does not know.
+    """
+
     async def case(made: Fleet):
         new, plan = next_version(tmp_path / "next"), None
         assert (await made.rig.door("g1", "OFFLINE s-2")) == "YES out"
@@ -595,6 +651,11 @@
     ],
 )
 def test_next_version_that_fails_goes_back_and_no_other_is_touched(tmp_path, fault, why, breaks):
+    """The next version fails in one of the ways that a version can fail.
+
+    It would take away one gateway after the other. Instead the first one goes back, and no other is touched.
+    """
+
     async def case(made: Fleet):
         plan = made.upgrade(
             next_version(tmp_path / "next", fault),
@@ -617,6 +678,12 @@
     [(("g0",), "can't be reached", "back", 1), (("g0", "g1"), "g1 went, too, unchanged", "resume", 0)],
 )
 def test_machines_that_go_in_the_middle_of_a_stage_are_not_the_changes_fault(tmp_path, lost, why, wish, end):
+    """Machines go while a stage is watched.
+
+    A good version would be blamed, and rolled back in the middle of an outage. Instead the rollout halts
+    and operators say how to go on.
+    """
+
     async def case(made: Fleet):
         new = next_version(tmp_path / "next")
         plan = made.upgrade(new, watch_s=3.0, member_s=3.0, measures=["failed"])
@@ -668,6 +735,12 @@
     ],
 )
 def test_earlier_commit_and_this_one_take_over_from_each_other(tmp_path, commit, words, alone):
+    """Operators go from an earlier version to this one, back, and on again, under load.
+
+    Requests would be lost, or quotas and servers that are out forgotten, where the versions do not
+    understand each other. A plan that names the earlier package's command goes on working.
+    """
+
     async def case(made: Fleet):
         old, here = earlier_version, version(ROOT, words)
         assert (await made.rig.door("g1", "OFFLINE s-2")) == "YES out"
@@ -724,6 +797,11 @@
     ],
 )
 def test_program_that_can_not_be_rolled_out_is_refused_with_nothing_touched(tmp_path, fault, why):
+    """A plan names a version that can't follow the present one.
+
+    The first gateway would be lost for finding it out. Instead everything is checked before any is touched.
+    """
+
     async def case(made: Fleet):
         new, before, member = next_version(tmp_path / "next", fault), None, made.rig.members["g1"]
         pids = [one.process.pid for one in made.rig.members.values()]
@@ -742,6 +820,11 @@
 
 
 def test_launcher_starts_one_process_a_door_ends_it_and_obeys_no_older_token(tmp_path):
+    """Two controllers ask for a process at the same address, or one asks after it was followed.
+
+    Two processes would have one address, or a process that serves would be ended. Instead one is started
+    once, and an older token is rejected.
+    """
     made = SCENARIO.world.settings(0)
     host, door = own_host(), "20001"
     document = {
