--- a/quota_gateway/errors.py
+++ b/quota_gateway/errors.py
@@ -20,7 +20,7 @@
 
 
 class PeerProcessError(GatewayError):
-    """The other process of this gateway sent what is no message, or broke off; this one goes on alone."""
+    """The peer process sent a malformed message, or one out of turn; the link to it is ended."""
 
 
 class DiscoveryError(GatewayError):
@@ -28,7 +28,7 @@
 
 
 class RestartError(GatewayError):
-    """Nothing could be taken over from the process before; this one starts with empty state."""
+    """Nothing can be taken over from the predecessor or its file; this process starts with empty state."""
 
 
 class RolloutError(GatewayError):
--- a/quota_gateway/net/configuration_in_force.py
+++ b/quota_gateway/net/configuration_in_force.py
@@ -32,6 +32,10 @@
         self._parts = parts
         self._admin_endpoint = admin_endpoint
 
+    def describe(self) -> str:
+        """Revision, digest and time of the last change, for an answer at the admin endpoint."""
+        return f"revision {self.revision}, digest {self.config.digest}, since {utc(self.since_s)}"
+
     async def prepare(self, config: Config) -> asyncio.Server | None:
         """A new listener of the admin endpoint, where it moves. Raises ConfigError if there can be none."""
         if config.admin is None or config.admin == self.config.admin:
@@ -77,3 +81,8 @@
         parts.discovery.move(config.discovery)
         if config.admin != self.config.admin:
             self._admin_endpoint.move(admin_server)
+
+
+def utc(at_s: float) -> str:
+    """A moment of Unix time as answers and the log show it."""
+    return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(at_s))
--- a/quota_gateway/net/hot_restart/hot_restart.py
+++ b/quota_gateway/net/hot_restart/hot_restart.py
@@ -11,9 +11,10 @@
 from quota_gateway.net.hot_restart.address import SocketFolder
 from quota_gateway.net.hot_restart.identity import GatewayIdentity
 from quota_gateway.net.hot_restart.operator_wishes import OperatorWishes, OperatorWishesFile, WishesInForce
-from quota_gateway.net.hot_restart.predecessor import SOCKET_NAME, Predecessor
+from quota_gateway.net.hot_restart.predecessor import Predecessor
 from quota_gateway.net.hot_restart.session import PeerSession
 from quota_gateway.net.hot_restart.successor import Successor
+from quota_gateway.net.hot_restart.takeover_listener import SOCKET_NAME
 from quota_gateway.net.hot_restart.wishes_exchange import WishesExchange
 from quota_gateway.net.process_parts import ProcessParts
 
--- a/quota_gateway/net/hot_restart/messages.py
+++ b/quota_gateway/net/hot_restart/messages.py
@@ -13,6 +13,7 @@
 from dataclasses import dataclass
 from typing import Any, ClassVar
 
+from quota_gateway import api
 from quota_gateway.errors import PeerProcessError
 from quota_gateway.net.hot_restart.identity import GatewayIdentity
 from quota_gateway.net.hot_restart.operator_wishes import OperatorWishes
@@ -190,6 +191,27 @@
             metered_use_percent=None if used is None else float(used),
         )
 
+    @classmethod
+    def from_event(cls, event: api.PeerUsage) -> CustomerUsage:
+        """The message about a change that the predecessor's decisions report."""
+        return cls(
+            plan=event.plan,
+            customer=event.customer,
+            in_flight=event.in_flight,
+            charged_units=event.charged_units,
+            metered_use_percent=event.metered_use_percent,
+        )
+
+    def to_event(self) -> api.PeerUsage:
+        """The event for the successor's decisions."""
+        return api.PeerUsage(
+            plan=self.plan,
+            customer=self.customer,
+            in_flight=self.in_flight,
+            charged_units=self.charged_units,
+            metered_use_percent=self.metered_use_percent,
+        )
+
 
 def _read_remaining_or_usage(body: bytes) -> RemainingConnections | CustomerUsage:
     """Two messages have the letter F; only one of them names a plan."""
--- a/quota_gateway/net/hot_restart/predecessor.py
+++ b/quota_gateway/net/hot_restart/predecessor.py
@@ -4,10 +4,8 @@
 
 import asyncio
 import logging
-import os
 import socket
 from collections.abc import Callable
-from contextlib import suppress
 from enum import Enum
 
 from quota_gateway import api, state_document
@@ -28,15 +26,13 @@
 )
 from quota_gateway.net.hot_restart.session import PeerSession
 from quota_gateway.net.hot_restart.state_transfer import TransferredState, end_of, split
+from quota_gateway.net.hot_restart.takeover_listener import TakeoverListener
 from quota_gateway.net.hot_restart.wishes_exchange import WishesExchange
 from quota_gateway.net.process_parts import ProcessParts
 from quota_gateway.state_machine import Transitions, transition
 
 log = logging.getLogger(__name__)
 
-SOCKET_NAME = "gateway.sock"
-LISTEN_BACKLOG = 4
-
 
 class PredecessorState(Enum):
     """How far a process has handed over to the next one."""
@@ -77,13 +73,12 @@
         self.state = PredecessorState.SERVING
         self.session: PeerSession | None = None
         self.connections = ConnectionSender(parts)
-        self._folder = folder
+        self._listener = TakeoverListener(folder, self._connected) if folder else None
         self._identity = identity
         self._parts = parts
         self._exchange = exchange
         self._may_accept = may_accept
         self._loop = asyncio.get_running_loop()
-        self._offer_socket: socket.socket | None = None
         self._reclaiming: asyncio.Task[None] | None = None
         parts.driver.on_peer_usage = self._report_usage
 
@@ -91,40 +86,21 @@
 
     def offer(self) -> None:
         """Listen for the next process. A failure is logged: the next one then starts plainly."""
-        if self._folder is None:
+        if self._listener is None:
             return
-        own_name = f"{SOCKET_NAME}.{os.getpid()}"
-        own_path = self._folder.path / own_name
         try:
-            with suppress(FileNotFoundError):
-                own_path.unlink()
-            self._offer_socket = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-            self._offer_socket.setblocking(False)
-            self._offer_socket.bind(self._folder.address(own_name))
-            self._offer_socket.listen(LISTEN_BACKLOG)
-            os.replace(own_path, self._folder.path / SOCKET_NAME)
-            self._loop.add_reader(self._offer_socket.fileno(), self._accept, self._offer_socket)
-            self._exchange.save()
+            self._listener.open()
         except OSError as error:
             log.error("hot restart can't be offered: %r", error)
-
-    def withdraw(self) -> None:
-        """Offer no more. The path stays, as it may be the successor's by now."""
-        if self._offer_socket:
-            self._loop.remove_reader(self._offer_socket.fileno())
-            self._offer_socket.close()
-            self._offer_socket = None
+            return
+        self._exchange.save()
 
     @property
     def offering(self) -> bool:
         """Whether the next process could connect."""
-        return self._offer_socket is not None
+        return self._listener is not None and self._listener.is_open
 
-    def _accept(self, offer_socket: socket.socket) -> None:
-        try:
-            sock, _ = offer_socket.accept()
-        except OSError:  # it has gone again
-            return
+    def _connected(self, sock: socket.socket) -> None:
         if self.state is not PredecessorState.SERVING or not self._may_accept():
             sock.close()  # it starts plainly
             return
@@ -216,15 +192,7 @@
     def _report_usage(self, usage: api.PeerUsage) -> None:
         """Notify the successor of what a request that stayed here did to its customer's quota."""
         if self.handed_over and self.session:
-            self.session.send(
-                CustomerUsage(
-                    usage.plan,
-                    usage.customer,
-                    usage.in_flight,
-                    usage.charged_units,
-                    usage.metered_use_percent,
-                )
-            )
+            self.session.send(CustomerUsage.from_event(usage))
 
     # ---- Taking back
 
@@ -260,7 +228,6 @@
         if clients.leaving:
             return
         await clients.accept()
-        self.withdraw()
         self.offer()
 
     def _enter(self, state: PredecessorState) -> None:
@@ -268,7 +235,8 @@
 
     def close(self) -> None:
         """Release all, as this process ends."""
-        self.withdraw()
+        if self._listener:
+            self._listener.close()
         self.connections.retained.close()
         if self.session:
             self.session.close("this process ends")
--- a/quota_gateway/net/hot_restart/successor.py
+++ b/quota_gateway/net/hot_restart/successor.py
@@ -191,7 +191,7 @@
             case RemainingConnections():
                 self._connections.set_remaining(message)
             case CustomerUsage():
-                self._parts.driver.post(_usage_event(message))
+                self._parts.driver.post(message.to_event())
             case WishesChanged():
                 self._exchange.apply_changed(session, message)
             case WishesApplied():
@@ -249,13 +249,3 @@
         listener = self.take_listener()
         if listener:
             listener.close()
-
-
-def _usage_event(message: CustomerUsage) -> api.PeerUsage:
-    return api.PeerUsage(
-        message.plan,
-        message.customer,
-        message.in_flight,
-        message.charged_units,
-        message.metered_use_percent,
-    )
--- a/quota_gateway/net/reload.py
+++ b/quota_gateway/net/reload.py
@@ -18,7 +18,7 @@
 from quota_gateway.config_reader import ConfigError
 from quota_gateway.net import admin
 from quota_gateway.net.admin import Answer, Handler
-from quota_gateway.net.configuration_in_force import ConfigurationInForce
+from quota_gateway.net.configuration_in_force import ConfigurationInForce, utc
 from quota_gateway.net.configuration_trial import ConfigurationTrial
 from quota_gateway.net.hot_restart import HotRestart
 from quota_gateway.net.process_parts import ProcessParts
@@ -98,13 +98,8 @@
 
     async def show(self, _: str) -> Answer:
         """CONFIG: what is in force."""
-        in_force = self.in_force
-        target = in_force.rollback_target
-        parts = [
-            f"revision {in_force.revision}",
-            f"digest {in_force.config.digest}",
-            f"since {_utc(in_force.since_s)}",
-        ]
+        target = self.in_force.rollback_target
+        parts = [self.in_force.describe()]
         if self.trial.active:
             parts.append(f"on trial for {self.trial.remaining_s():.0f} s")
         if target:
@@ -211,7 +206,7 @@
         """The answer to a change that can't be made; everything is as it was."""
         more = f" ({len(error.faults)} faults)" if len(error.faults) > 1 else ""
         reason = f"{error}"[:MAX_REASON_CHARS] + more
-        self.last_rejection = f"{_utc(time.time())}: {reason}"
+        self.last_rejection = f"{utc(time.time())}: {reason}"
         revision = self.in_force.revision
         log.error("configuration refused, revision %d stays: %s", revision, reason)
         return False, f"refused, revision {revision} stays: {reason}"
@@ -237,7 +232,3 @@
                 return True
             done, _ = await self._roll_back("not confirmed")
             return done
-
-
-def _utc(at_s: float) -> str:
-    return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(at_s))
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -25,9 +25,10 @@
 from quota_gateway.net.hot_restart import GatewayIdentity, HotRestart, limits
 from quota_gateway.net.hot_restart.link import QueuedMessage
 from quota_gateway.net.hot_restart.operator_wishes import FILE_NAME, OperatorWishes
-from quota_gateway.net.hot_restart.predecessor import SOCKET_NAME, PredecessorState
+from quota_gateway.net.hot_restart.predecessor import PredecessorState
 from quota_gateway.net.hot_restart.session import PeerSession
 from quota_gateway.net.hot_restart.successor import SuccessorState
+from quota_gateway.net.hot_restart.takeover_listener import SOCKET_NAME
 from quota_gateway.net.process_parts import ProcessParts
 
 WHO = GatewayIdentity("n0", "127.0.0.1:6379")
@@ -234,6 +235,32 @@
     run(test())
 
 
+def test_process_takes_back_and_hands_over_again_with_what_it_has_learnt_since(tmp_path):
+    """A next version that dies is started again: the gateway must not be stuck behind the first attempt."""
+
+    async def test():
+        server = await silent_on_one()
+        async with process(tmp_path, server) as old:
+            predecessor, peer = old.hot_restart.predecessor, await old.peer()
+            for number in (2, 4, 6):
+                assert await peer.ask(call(number)) == b"%016x" % number
+                old.hot_restart.offer()
+                async with process(tmp_path) as new:
+                    assert await new.hot_restart.take_over()
+                    assert predecessor.state is PredecessorState.HANDED_OVER
+                    await until(lambda new=new: len(new.clients.connections) == 1)
+                    assert len(predecessor.connections.retained) == 1
+                    assert new.driver.gateway.sends == old.driver.gateway.sends
+                    new.hot_restart.close()  # it ends, and has read nothing of its client
+                    await until(lambda: predecessor.state is PredecessorState.SERVING)
+                    await until(lambda: len(old.clients.connections) == 1)
+                    for client in list(new.clients.connections):
+                        client.detach()
+            assert await peer.ask(call(8)) == b"0000000000000008"
+
+    run(test())
+
+
 def test_servers_out_and_the_drain_go_along_and_are_shared_both_ways(tmp_path):
     async def test():
         server, other = await silent_on_one(), await silent_on_one()
