--- a/quota_gateway/failover/__main__.py
+++ b/quota_gateway/failover/__main__.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from quota_gateway.failover.model import FAULTS, explore
-from quota_gateway.failover.supervisor import Job, Keeper
+from quota_gateway.failover.supervisor import Job, Supervisor
 
 HOLDS = 0
 BROKEN = 1
@@ -24,7 +24,7 @@
 
 @click.group()
 def main() -> None:
-    """Work in hand that outlives its process."""
+    """Connections that outlive their gateway's process."""
 
 
 @main.command()
@@ -60,15 +60,15 @@
 @main.command()
 @click.argument("file", type=click.Path(path_type=Path))
 def run(file: Path) -> None:
-    """Keep gateways as a TOML file says, until SIGTERM. Exit code 2: no such file, or another keeper runs."""
+    """Supervise gateways as a TOML file says, until SIGTERM. Exit code 2: no such file, or another one runs."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(message)s")
 
-    async def keep(job: Job) -> None:
-        await Keeper(job).run()
+    async def supervise(job: Job) -> None:
+        await Supervisor(job).run()
 
     try:
         job = msgspec.convert(tomllib.loads(file.read_text()), Job)
-        asyncio.run(keep(job))
+        asyncio.run(supervise(job))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         click.echo(f"{file}: {error}", err=True)
         sys.exit(NO_JOB)
--- a/quota_gateway/failover/gateway.py
+++ b/quota_gateway/failover/gateway.py
@@ -1,10 +1,10 @@
-"""The gateway's end of the keeper: what it leaves behind, and what it takes from a process that died.
+"""A gateway's end of connection failover: what it leaves behind, and what it takes from a dead process.
 
-Loaded only where EDGE_KEEPER names the keeper's socket. Each client connection has a row in the record: how
-many bytes had been read from it and written to it as it was last at rest, with nothing in hand. Where the
-kernel's own counts are the same after the death, nothing was read that was not answered, and all answers went
-out: the connection goes on at the next process, with what waits in it. On any other something may have been
-lost; it is closed, as all of them were without a keeper.
+Loaded only where EDGE_KEEPER names the supervisor's socket. Each client connection has a row in a shared
+record: how many bytes had been read from it and written to it as it was last at rest, with nothing in flight.
+Where the kernel's own counts are the same after the death, nothing was read that was not answered, and all
+answers went out: the connection goes on at the next process, with what waits in it. On any other something
+may have been lost; it is closed, as all of them were without a supervisor.
 """
 
 from __future__ import annotations
@@ -13,201 +13,201 @@
 import logging
 import os
 import socket
-import struct
-from contextlib import suppress
-
-from quota_gateway.failover.connection_record import ConnectionRecord, ConnectionRecordError
+from dataclasses import dataclass, replace
+
+from quota_gateway.failover.connection_record import ConnectionRecord
+from quota_gateway.failover.connection_row import ROW_BYTES, ConnectionRow
+from quota_gateway.failover.inherited_connections import InheritedConnections
+from quota_gateway.failover.messages import (
+    Alive,
+    Arrived,
+    ConnectionCopy,
+    ConnectionEnded,
+    LeftRecord,
+    ListenerCopy,
+    Message,
+    Serves,
+    TakeTurn,
+    decode,
+    encode,
+)
 from quota_gateway.net.clients import Client, Clients
 from quota_gateway.net.heartbeat import HEARTBEAT_INTERVAL_S
-from quota_gateway.net.hot_restart.link import Link, close_descriptors, connect, decode_number
+from quota_gateway.net.hot_restart.link import NO_DESCRIPTOR, Link, close_descriptors, connect
 from quota_gateway.net.tcp_info import bytes_consumed, bytes_written
 
 log = logging.getLogger(__name__)
 
-ROW = struct.Struct("<QQQ?")  # number, bytes read, bytes written at rest, whether a request had come
-AGAIN_S = 0.25  # before a keeper that is away is looked for again
-STEADY = 3  # readings of the kernel's counts, which an acknowledgement may change between the two
-
+RECONNECT_INTERVAL_S = 0.25  # before a supervisor that is away is looked for again
+RECORD_NAME = "work"  # of the shared memory, as the kernel lists it
 
-class Followed:
-    """What a process that died has left, as the keeper passes it on."""
 
-    def __init__(self) -> None:
-        self.rows: dict[int, tuple[int, int, bool]] = {}
-        self.connections: dict[int, int] = {}  # descriptors by number
-        self.listener: socket.socket | None = None
+@dataclass(frozen=True, slots=True)
+class RecordedConnection:
+    """A connection that is in the record: its place there, and its row as it was opened."""
 
-    def read(self, file: int) -> None:
-        """The record; one that is none protects nothing."""
-        try:
-            record = ConnectionRecord.open(file)
-        except (ConnectionRecordError, OSError, ValueError) as error:
-            log.error("the record that was left can't be read: %r", error)
-            return
-        if not record.claim():
-            log.error("the record that was left is another's")
-            return
-        for body in record.read_rows().values():
-            number, came, went, asked = ROW.unpack(body)
-            self.rows[number] = (came, went, asked)
-        record.close()
+    place: int
+    opened: ConnectionRow
 
-    def at_rest(self, number: int) -> bool:
-        """Whether nothing has come or gone on a connection since it was last at rest."""
-        row = self.rows.get(number)
-        for _ in range(STEADY):
-            with suppress(OSError):
-                descriptor = self.connections[number]
-                if row and (bytes_consumed(descriptor), bytes_written(descriptor)) == row[:2]:
-                    return True
-        return False
 
-
-class Survivor:
-    """Tells the keeper of each connection, and waits for this process's turn."""
+class SupervisedGateway:
+    """Reports each client connection to the supervisor, and waits for this process's turn to serve."""
 
     def __init__(self, path: str, clients: Clients) -> None:
         self.path = path
         self.clients = clients
         self.loop = asyncio.get_running_loop()
-        self.file = os.memfd_create("work")
-        self.record = ConnectionRecord.create(self.file, clients.most_connections, ROW.size)
+        self.record_descriptor = os.memfd_create(RECORD_NAME)
+        self.record = ConnectionRecord.create(self.record_descriptor, clients.most_connections, ROW_BYTES)
         self.record.claim()
-        self.numbers = 0
-        self.bases: dict[Client, tuple[int, int, int, int]] = {}  # number, row, counts as it was opened
-        self.followed = Followed()
-        self.turned = asyncio.Event()
-        self.serving = False
+        self.last_number = 0
+        self.recorded: dict[Client, RecordedConnection] = {}
+        self.inherited = InheritedConnections()
+        self.turn_has_come = asyncio.Event()
+        self.is_serving = False
         self.link: Link | None = None
-        self.task = self.loop.create_task(self._stay())
+        self.task = self.loop.create_task(self._stay_connected(), name="link to the supervisor")
 
-    # ---- The keeper
+    # ---- The supervisor
 
-    async def _stay(self) -> None:
-        """Keep a link, and give signs of life on it; a keeper that died is followed by another."""
+    async def _stay_connected(self) -> None:
+        """Keep a link to the supervisor, or to the next one after its death, and send heartbeats on it."""
         while True:
             if self.link is None:
                 self._connect()
-            await asyncio.sleep(HEARTBEAT_INTERVAL_S if self.link else AGAIN_S)
-            if self.link:
-                self.link.send(b"B")
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S if self.link else RECONNECT_INTERVAL_S)
+            self._send(Alive())
 
     def _connect(self) -> None:
         sock = connect(self.path)
         if sock is None:
             return
-        self.link = Link(sock, self._message, self._ended)
-        self.link.send(b"H1" if self.serving else b"H0", self.file)
-        if self.serving:
-            self._tell_all()
+        self.link = Link(sock, self._on_message, self._on_link_ended)
+        self._send(Arrived(self.is_serving), self.record_descriptor)
+        if self.is_serving:
+            self._report_all()
+
+    def _send(self, message: Message, descriptor: int = NO_DESCRIPTOR) -> None:
+        """Send a message where there is a link; without one everything is reported at the next."""
+        if self.link:
+            self.link.send(encode(message), descriptor)
 
-    def _ended(self, link: Link) -> None:
+    def _on_link_ended(self, link: Link) -> None:
         link.peer_process.close()
         if self.link is link:
             self.link = None
-            log.error("the keeper has ended: this process %s", "serves on" if self.serving else "stands by")
-
-    def _message(self, _link: Link, data: bytes, descriptors: list[int]) -> None:
-        letter = data[:1]
-        rest = data[1:]
-        if letter == b"C" and len(descriptors) == 1:
-            self.followed.connections[decode_number(rest)] = descriptors.pop()
-        elif letter == b"L" and len(descriptors) == 1:
-            self.followed.listener = socket.socket(fileno=descriptors.pop())
-        elif letter == b"R" and len(descriptors) == 1:
-            self.followed.read(descriptors[0])
-        elif letter == b"T":
-            self.turned.set()
+            log.error(
+                "the supervisor has ended: this process %s", "serves on" if self.is_serving else "stands by"
+            )
+
+    def _on_message(self, _link: Link, data: bytes, descriptors: list[int]) -> None:
+        has_descriptor = len(descriptors) == 1
+        match decode(data):
+            case ConnectionCopy(number=number) if has_descriptor:
+                self.inherited.descriptors[number] = descriptors.pop()
+            case ListenerCopy() if has_descriptor:
+                self.inherited.listener = socket.socket(fileno=descriptors.pop())
+            case LeftRecord() if has_descriptor:
+                self.inherited.read_record(descriptors[0])
+            case TakeTurn():
+                self.turn_has_come.set()
         close_descriptors(descriptors)
 
     # ---- This process's turn
 
     async def turn(self, stop: asyncio.Event) -> bool:
-        """Wait for it; false where this process is to end before."""
-        waits = [self.loop.create_task(event.wait()) for event in (self.turned, stop)]
+        """Wait for this process's turn; false if it is to end before."""
+        waits = [self.loop.create_task(event.wait()) for event in (self.turn_has_come, stop)]
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
-        self.clients.on_opened = self._opened
-        self.clients.on_closed = self._closed
-        self.clients.on_rest = self._rest
+        self.clients.on_opened = self._on_opened
+        self.clients.on_closed = self._on_closed
+        self.clients.on_rest = self._on_rest
         return not stop.is_set()
 
     def listener(self) -> socket.socket | None:
-        """The clients' listener, if one was left."""
-        listener = self.followed.listener
+        """The clients' listener, if a dead process has left one."""
+        listener = self.inherited.listener
         if listener:
             listener.setblocking(False)
         return listener
 
     async def serve(self) -> None:
-        """From now on this process serves: it goes on with the connections that were at rest."""
-        self.serving = True
-        followed = self.followed
-        kept = 0
-        for number, descriptor in sorted(followed.connections.items()):
+        """Serve from now on: adopt the inherited connections that were at rest, and close the others."""
+        self.is_serving = True
+        inherited = self.inherited
+        adopted = 0
+        for number, descriptor in sorted(inherited.descriptors.items()):
             sock = socket.socket(fileno=descriptor)
-            if followed.at_rest(number):
+            if inherited.is_at_rest(number):
                 sock.setblocking(False)
-                await self.clients.adopt(sock, followed.rows[number][2], 0.0)
-                kept += 1
+                await self.clients.adopt(sock, inherited.rows[number].has_requested, 0.0)
+                adopted += 1
             else:
                 sock.close()
-        if followed.connections:
+        if inherited.descriptors:
             log.info(
-                "gone on from a process that died: %d connections at rest, %d with work in hand closed",
-                kept,
-                len(followed.connections) - kept,
+                "gone on from a process that died: %d connections at rest, %d with work in flight closed",
+                adopted,
+                len(inherited.descriptors) - adopted,
             )
-        self.followed = Followed()
-        self._tell_all()
+        self.inherited = InheritedConnections()
+        self._report_all()
 
-    def _tell_all(self) -> None:
-        if not self.link:
-            return
-        self.link.send(b"S")
+    def _report_all(self) -> None:
+        """Give the supervisor a copy of everything that must outlive this process."""
+        self._send(Serves())
         if self.clients.listener:
-            self.link.send(b"L", self.clients.listener.fileno())
-        for client, (number, *_) in self.bases.items():
+            self._send(ListenerCopy(), self.clients.listener.fileno())
+        for client, recorded in self.recorded.items():
             if client.transport:
-                self.link.send(b"C%d" % number, client.transport.get_extra_info("socket").fileno())
+                self._send(ConnectionCopy(recorded.opened.number), _descriptor(client))
 
     # ---- Connections
 
-    def _opened(self, client: Client) -> None:
-        assert client.transport
-        descriptor = client.transport.get_extra_info("socket").fileno()
-        self.numbers += 1
+    def _on_opened(self, client: Client) -> None:
+        descriptor = _descriptor(client)
+        self.last_number += 1
         try:
-            came = bytes_consumed(descriptor)
-            went = bytes_written(descriptor)
-        except OSError:
+            row = ConnectionRow(
+                self.last_number, bytes_consumed(descriptor), bytes_written(descriptor), client.asked
+            )
+        except OSError:  # it has ended already
             return
-        row = self.record.add_row(ROW.pack(self.numbers, came, went, client.asked))
-        if row < 0:
+        place = self.record.add_row(row.encode())
+        if place < 0:
             return
-        self.bases[client] = (self.numbers, row, came, went)
-        if self.link:
-            self.link.send(b"C%d" % self.numbers, descriptor)
-
-    def _rest(self, client: Client) -> None:
-        """All that was read is answered, and all answers are on their way into the kernel."""
-        base = self.bases.get(client)
-        if base:
-            number, row, came, went = base
-            self.record.replace_row(
-                row, ROW.pack(number, came + client.read_bytes, went + client.written_bytes, client.asked)
-            )
+        self.recorded[client] = RecordedConnection(place, row)
+        self._send(ConnectionCopy(row.number), descriptor)
 
-    def _closed(self, client: Client) -> None:
-        base = self.bases.pop(client, None)
-        if base:
-            self.record.free_row(base[1])
-            if self.link:
-                self.link.send(b"D%d" % base[0])
+    def _on_rest(self, client: Client) -> None:
+        """Record that everything read is answered, and all answers are on their way into the kernel."""
+        recorded = self.recorded.get(client)
+        if recorded is None:
+            return
+        opened = recorded.opened
+        row = replace(
+            opened,
+            read_bytes=opened.read_bytes + client.read_bytes,
+            written_bytes=opened.written_bytes + client.written_bytes,
+            has_requested=client.asked,
+        )
+        self.record.replace_row(recorded.place, row.encode())
+
+    def _on_closed(self, client: Client) -> None:
+        recorded = self.recorded.pop(client, None)
+        if recorded:
+            self.record.free_row(recorded.place)
+            self._send(ConnectionEnded(recorded.opened.number))
 
     def close(self) -> None:
-        """At the end of the process."""
+        """End the link, at the end of the process."""
         self.task.cancel()
         if self.link:
             self.link.end("this process ends")
+
+
+def _descriptor(client: Client) -> int:
+    assert client.transport
+    return int(client.transport.get_extra_info("socket").fileno())
--- /dev/null
+++ b/quota_gateway/failover/inherited_connections.py
@@ -0,0 +1,51 @@
+"""What a process that died has left, as the supervisor passes it on to the next one."""
+
+from __future__ import annotations
+
+import logging
+import socket
+from contextlib import suppress
+
+from quota_gateway.failover.connection_record import ConnectionRecord, ConnectionRecordError
+from quota_gateway.failover.connection_row import ConnectionRow
+from quota_gateway.net.tcp_info import bytes_consumed, bytes_written
+
+log = logging.getLogger(__name__)
+
+MAX_READS = 3  # of the kernel's counts, which an acknowledgement may change between the two
+
+
+class InheritedConnections:
+    """Descriptors and rows of a dead process; owned until the connections are adopted or closed."""
+
+    def __init__(self) -> None:
+        self.rows: dict[int, ConnectionRow] = {}  # by number
+        self.descriptors: dict[int, int] = {}  # by number
+        self.listener: socket.socket | None = None
+
+    def read_record(self, descriptor: int) -> None:
+        """Take over the rows of a record; without a valid one no connection can go on."""
+        try:
+            record = ConnectionRecord.open(descriptor)
+        except (ConnectionRecordError, OSError, ValueError) as error:
+            log.error("the record that was left can't be read: %r", error)
+            return
+        if not record.claim():
+            log.error("the record that was left is another's")
+            return
+        rows = map(ConnectionRow.decode, record.read_rows().values())
+        self.rows = {row.number: row for row in rows}
+        record.close()
+
+    def is_at_rest(self, number: int) -> bool:
+        """Whether nothing has been read or written on a connection since it was last at rest."""
+        row = self.rows.get(number)
+        if row is None:
+            return False
+        descriptor = self.descriptors[number]
+        for _ in range(MAX_READS):
+            with suppress(OSError):
+                counts = (bytes_consumed(descriptor), bytes_written(descriptor))
+                if counts == (row.read_bytes, row.written_bytes):
+                    return True
+        return False
--- a/quota_gateway/failover/supervisor.py
+++ b/quota_gateway/failover/supervisor.py
@@ -1,12 +1,8 @@
-"""The keeper: starts gateways, holds a second descriptor of what must not end with them, knows their ends.
+"""The supervisor: starts gateways, holds copies of what must not end with them, and knows when they end.
 
 It decides nothing and parses nothing. One process serves, the others stand by; when the one that serves has
-ended, as the kernel says, the next one is given the listener, the connections and the record it left. A
-keeper that dies takes nobody along: gateways serve on and bring it all to the next keeper.
-
-  gateway to keeper   H0, H1 here I am, standing by or serving (its record)   S I serve now   B a sign of life
-                      L the listener   Cn, Dn a connection, and its end
-  keeper to gateway   R, L, Cn what was left   T it is your turn
+ended, as the kernel says, the next one is given the listener, the connections and the record that it left. A
+supervisor that dies takes nobody along: gateways serve on and report everything to the next supervisor.
 """
 
 from __future__ import annotations
@@ -20,25 +16,43 @@
 import socket
 import time
 from collections import deque
-from contextlib import suppress
+from collections.abc import Iterator
+from contextlib import contextmanager, suppress
 from pathlib import Path
+from typing import Any
 
 from msgspec import Struct
 
 from quota_gateway.errors import PeerProcessError
+from quota_gateway.failover.messages import (
+    Arrived,
+    ConnectionCopy,
+    ConnectionEnded,
+    LeftRecord,
+    ListenerCopy,
+    Message,
+    Serves,
+    TakeTurn,
+    decode,
+    encode,
+)
+from quota_gateway.failover.supervised_process import MAX_COPIES, SupervisedProcess
 from quota_gateway.net.heartbeat import Heartbeat
-from quota_gateway.net.hot_restart.link import Link, close_descriptors, decode_number
+from quota_gateway.net.hot_restart.link import NO_DESCRIPTOR, Link, close_descriptors
 
 log = logging.getLogger("quota_gateway.failover")
 
-# so many deaths in such a time are no accident
-OFTEN = 5
-OFTEN_S = 60.0
-BACKOFF_S = 5.0  # before another start then
-LEFT_S = 2.0  # for a next process to take what was left: it starts in a fraction, and clients wait no longer
-COME_S = 1.5  # for gateways to come to a keeper that follows another
-END_S = 5.0  # from SIGTERM to SIGKILL
-MOST_DESCRIPTORS = 16_384  # of one process
+# So many deaths in such a time are no accident: another process is started only after a pause.
+CRASH_LOOP_DEATHS = 5
+CRASH_LOOP_S = 60.0
+CRASH_LOOP_BACKOFF_S = 5.0
+
+TAKEOVER_TIMEOUT_S = 2.0  # for a next process to take what was left: clients wait no longer
+ARRIVAL_WAIT_S = 1.5  # for gateways to come to a supervisor that follows another
+TERMINATION_GRACE_S = 5.0  # from SIGTERM to SIGKILL
+CHECK_INTERVAL_S = 0.5
+EXIT_POLL_INTERVAL_S = 0.02
+LISTEN_BACKLOG = 16
 
 
 class Job(Struct, forbid_unknown_fields=True, frozen=True):
@@ -53,94 +67,71 @@
     standbys: int = 1
 
 
-class Peer:
-    """A gateway's process, and copies of what it has."""
-
-    def __init__(self, link: Link, record: int, serving: bool) -> None:
-        self.link = link
-        self.record = record
-        self.serving = serving
-        self.listener = -1
-        self.connections: dict[int, int] = {}
-        self.beats: Heartbeat | None = None
-
-    def drop(self, number: int) -> None:
-        """Close one copy, if there is one."""
-        descriptor = self.connections.pop(number, -1)
-        if descriptor >= 0:
-            os.close(descriptor)
-
-    def let_go(self) -> None:
-        """Close all copies."""
-        close_descriptors(descriptor for descriptor in (self.record, self.listener) if descriptor >= 0)
-        self.record = self.listener = -1
-        self.drop_all()
-
-    def drop_all(self) -> None:
-        """Close the copies of all connections."""
-        close_descriptors(self.connections.values())
-        self.connections.clear()
-
-
-class Keeper:
-    """Runs until SIGTERM."""
+class Supervisor:
+    """Keeps one process serving and some standing by until SIGTERM."""
 
     def __init__(self, job: Job) -> None:
         self.job = job
         self.socket = os.path.expandvars(job.socket)
         self.loop = asyncio.get_running_loop()
-        self.peers: dict[Link, Peer] = {}
-        self.left: Peer | None = None  # of the one that served and died, until another has it
+        self.processes: dict[Link, SupervisedProcess] = {}  # the longest standing by first
+        self.left: SupervisedProcess | None = None  # that served and died, until another has what it left
         self.children: dict[int, asyncio.subprocess.Process] = {}  # that have not come yet, or are here
-        self.deaths: deque[float] = deque(maxlen=OFTEN)
+        self.deaths: deque[float] = deque(maxlen=CRASH_LOOP_DEATHS)
         self.ending = asyncio.Event()
-        self.news = asyncio.Event()
+        self.changed = asyncio.Event()  # something that may want another process
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Raises OSError where another keeper has the socket."""
+        """Supervise until SIGTERM. Raises OSError where another supervisor has the socket."""
         path = Path(self.socket)
-        lock = os.open(path.with_name(path.name + ".lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        try:
-            fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except BlockingIOError:
-            os.close(lock)
-            raise FileExistsError(f"another keeper has {path}") from None
-        followed = path.exists()
-        path.unlink(missing_ok=True)
-        door = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        door.setblocking(False)
-        door.bind(str(path))
-        door.listen(16)
-        self.loop.add_reader(door.fileno(), self._accept, door)
+        with _exclusive(path):
+            is_replacement = path.exists()
+            path.unlink(missing_ok=True)
+            listener = self._listen(path)
+            self._handle_signals()
+            if is_replacement:
+                await asyncio.sleep(ARRIVAL_WAIT_S)
+            while not self.ending.is_set():
+                await self._start_missing()
+                self.changed.clear()
+                with suppress(TimeoutError):
+                    await asyncio.wait_for(self.changed.wait(), CHECK_INTERVAL_S)
+            self.loop.remove_reader(listener.fileno())
+            await self._shut_down()
+            path.unlink(missing_ok=True)
+
+    def _listen(self, path: Path) -> socket.socket:
+        listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        listener.setblocking(False)
+        listener.bind(str(path))
+        listener.listen(LISTEN_BACKLOG)
+        self.loop.add_reader(listener.fileno(), self._accept, listener)
+        return listener
+
+    def _handle_signals(self) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(number, self._end)
-        self.loop.add_signal_handler(signal.SIGHUP, self._pass_on, signal.SIGHUP)
-        if followed:
-            await asyncio.sleep(COME_S)
-        while not self.ending.is_set():
-            await self._fill()
-            self.news.clear()
-            with suppress(TimeoutError):
-                await asyncio.wait_for(self.news.wait(), 0.5)
-        self.loop.remove_reader(door.fileno())
-        await self._close()
-        path.unlink(missing_ok=True)
-        os.close(lock)
+            self.loop.add_signal_handler(number, self._stop)
+        self.loop.add_signal_handler(signal.SIGHUP, self._signal_all, signal.SIGHUP)
 
     # ---- Processes
 
-    async def _fill(self) -> None:
-        """One that serves, and so many that stand by."""
-        self._next()
-        coming = len(self.children.keys() - {peer.link.peer_process.pid for peer in self.peers.values()})
-        wanted = 1 + self.job.standbys - len(self.peers) - coming
-        often = len(self.deaths) == OFTEN and time.monotonic() - self.deaths[0] < OFTEN_S
-        if wanted > 0 and not (often and time.monotonic() - self.deaths[-1] < BACKOFF_S):
-            await self._start()
-            self.news.set()
-
-    async def _start(self) -> None:
+    async def _start_missing(self) -> None:
+        """Start a process if one is missing of those that serve and stand by."""
+        self._give_turn()
+        arrived = {process.pid for process in self.processes.values()}
+        starting = len(self.children.keys() - arrived)
+        missing = 1 + self.job.standbys - len(self.processes) - starting
+        if missing > 0 and not self._must_back_off():
+            await self._start_process()
+            self.changed.set()
+
+    def _must_back_off(self) -> bool:
+        now = time.monotonic()
+        is_crash_loop = len(self.deaths) == CRASH_LOOP_DEATHS and now - self.deaths[0] < CRASH_LOOP_S
+        return is_crash_loop and now - self.deaths[-1] < CRASH_LOOP_BACKOFF_S
+
+    async def _start_process(self) -> None:
         child = await asyncio.create_subprocess_exec(
             "/bin/sh",
             "-c",
@@ -158,138 +149,152 @@
         code = await child.wait()
         del self.children[child.pid]
         self.deaths.append(time.monotonic())
-        log.info("%s", json.dumps({"event": "ended", "pid": child.pid, "code": code}))
-        self.news.set()
+        _log_event("ended", pid=child.pid, code=code)
+        self.changed.set()
 
-    # ---- Links
+    # ---- Messages
 
-    def _accept(self, door: socket.socket) -> None:
+    def _accept(self, listener: socket.socket) -> None:
         with suppress(OSError):
-            sock, _ = door.accept()
-            Link(sock, self._message, self._broken)
-
-    def _message(self, link: Link, data: bytes, descriptors: list[int]) -> None:
-        letter = data[:1]
-        rest = data[1:]
-        peer = self.peers.get(link)
-        if peer and peer.beats:
-            peer.beats.received()
+            sock, _ = listener.accept()
+            Link(sock, self._on_message, self._on_link_ended)
+
+    def _on_message(self, link: Link, data: bytes, descriptors: list[int]) -> None:
+        process = self.processes.get(link)
+        if process and process.heartbeat:
+            process.heartbeat.received()
         try:
-            if letter == b"H" and peer is None and descriptors:
-                self._come(link, descriptors.pop(), rest == b"1")
-            elif peer is None:
-                raise PeerProcessError("nobody who has come")
-            elif letter == b"S":
-                self._serves(peer)
+            message = decode(data)
+            if isinstance(message, Arrived) and process is None and descriptors:
+                self._on_arrived(link, descriptors.pop(), message.serving)
+            elif process is None:
+                raise PeerProcessError("a message before the process has arrived")
             else:
-                self._copy(peer, letter, rest, descriptors)
+                self._on_report(process, message, descriptors)
         finally:
             close_descriptors(descriptors)
 
-    def _copy(self, peer: Peer, letter: bytes, rest: bytes, descriptors: list[int]) -> None:
-        if letter == b"L" and descriptors:
-            if peer.listener >= 0:
-                os.close(peer.listener)
-            peer.listener = descriptors.pop()
-        elif letter == b"C" and descriptors and len(peer.connections) < MOST_DESCRIPTORS:
-            peer.drop(decode_number(rest))  # told of twice: a copy that is left would keep it from ending
-            peer.connections[decode_number(rest)] = descriptors.pop()
-        elif letter == b"D":
-            peer.drop(decode_number(rest))
-
-    def _come(self, link: Link, record: int, serving: bool) -> None:
-        for old in [old for old in self.peers.values() if old.link.peer_process.pid == link.peer_process.pid]:
-            self._forget(old)  # the same process, over a new link: it tells of all that it has again
-            old.let_go()
-        peer = self.peers[link] = Peer(link, record, serving)
-        peer.beats = Heartbeat(lambda: None, link.peer_process.kill)  # hung: its end tells the rest
-        peer.beats.start()
-        log.info("%s", json.dumps({"event": "here", "pid": link.peer_process.pid, "serving": serving}))
-        self.news.set()
-
-    def _serves(self, peer: Peer) -> None:
-        """It has taken what was left: copies of before go."""
-        peer.serving = True
+    def _on_report(self, process: SupervisedProcess, message: Message | None, descriptors: list[int]) -> None:
+        match message:
+            case Serves():
+                self._on_serving(process)
+            case ListenerCopy() if descriptors:
+                process.keep_listener(descriptors.pop())
+            case ConnectionCopy(number=number) if descriptors and len(process.connections) < MAX_COPIES:
+                process.keep_connection(number, descriptors.pop())
+            case ConnectionEnded(number=number):
+                process.close_connection(number)
+
+    def _on_arrived(self, link: Link, record: int, is_serving: bool) -> None:
+        pid = link.peer_process.pid
+        for earlier in [one for one in self.processes.values() if one.pid == pid]:
+            self._forget(earlier)  # the same process, over a new link: it reports all that it has again
+            earlier.close_all()
+        process = SupervisedProcess(link, record, is_serving)
+        self.processes[link] = process
+        process.heartbeat = Heartbeat(lambda: None, link.peer_process.kill)  # its end tells the rest
+        process.heartbeat.start()
+        _log_event("here", pid=pid, serving=is_serving)
+        self.changed.set()
+
+    def _on_serving(self, process: SupervisedProcess) -> None:
+        """It has taken over what was left: the copies of before are closed."""
+        process.is_serving = True
         if self.left:
-            self.left.let_go()
+            self.left.close_all()
             self.left = None
 
-    def _broken(self, link: Link) -> None:
+    # ---- Deaths
+
+    def _on_link_ended(self, link: Link) -> None:
         """A link that ends is no death: the kernel tells that, and until then nothing is passed on."""
-        peer = self.peers.get(link)
-        if peer is None:
+        process = self.processes.get(link)
+        if process is None:
             link.peer_process.close()
         else:
-            link.peer_process.when_ended(lambda: self._died(peer))
+            link.peer_process.when_ended(lambda: self._on_death(process))
 
-    def _forget(self, peer: Peer) -> None:
-        self.peers.pop(peer.link, None)
-        if peer.beats:
-            peer.beats.stop()
-        peer.link.peer_process.close()
+    def _forget(self, process: SupervisedProcess) -> None:
+        self.processes.pop(process.link, None)
+        if process.heartbeat:
+            process.heartbeat.stop()
+        process.link.peer_process.close()
 
-    def _died(self, peer: Peer) -> None:
-        if peer.link not in self.peers:
+    def _on_death(self, process: SupervisedProcess) -> None:
+        if process.link not in self.processes:
             return
-        self._forget(peer)
-        log.info(
-            "%s",
-            json.dumps(
-                {
-                    "event": "died",
-                    "pid": peer.link.peer_process.pid,
-                    "serving": peer.serving,
-                    "connections": len(peer.connections),
-                }
-            ),
-        )
-        if not peer.serving or self.ending.is_set() or self.left:
-            peer.let_go()
+        self._forget(process)
+        _log_event("died", pid=process.pid, serving=process.is_serving, connections=len(process.connections))
+        if not process.is_serving or self.ending.is_set() or self.left:
+            process.close_all()
         else:
-            self.left = peer
-            self.loop.call_later(LEFT_S, self._nobody_came, peer)
-        self._next()
-        self.news.set()
-
-    def _nobody_came(self, peer: Peer) -> None:
-        """Clients are owed an end; the listener stays for whoever comes."""
-        if self.left is peer:
-            peer.drop_all()
-
-    def _next(self) -> None:
-        """Where nobody serves, it is the turn of the one that has stood by longest."""
-        if not self.ending.is_set() and not any(peer.serving for peer in self.peers.values()):
-            for peer in list(self.peers.values())[:1]:
-                self._turn(peer)
-
-    def _turn(self, peer: Peer) -> None:
-        peer.serving = True
+            self.left = process
+            self.loop.call_later(TAKEOVER_TIMEOUT_S, self._on_nobody_came, process)
+        self._give_turn()
+        self.changed.set()
+
+    def _on_nobody_came(self, process: SupervisedProcess) -> None:
+        """Close the connections: their clients are owed an end. The listener stays for the next process."""
+        if self.left is process:
+            process.close_connections()
+
+    def _give_turn(self) -> None:
+        """Where no process serves, let the one serve that has stood by longest."""
+        if self.ending.is_set() or any(process.is_serving for process in self.processes.values()):
+            return
+        longest = next(iter(self.processes.values()), None)
+        if longest:
+            self._hand_over_to(longest)
+
+    def _hand_over_to(self, process: SupervisedProcess) -> None:
+        process.is_serving = True
+        link = process.link
         if self.left:
-            peer.link.send(b"R", self.left.record)
+            link.send(encode(LeftRecord()), self.left.record)
             for number, descriptor in self.left.connections.items():
-                peer.link.send(b"C%d" % number, descriptor)
-            if self.left.listener >= 0:
-                peer.link.send(b"L", self.left.listener)
-        peer.link.send(b"T")
+                link.send(encode(ConnectionCopy(number)), descriptor)
+            if self.left.listener != NO_DESCRIPTOR:
+                link.send(encode(ListenerCopy()), self.left.listener)
+        link.send(encode(TakeTurn()))
 
     # ---- The end
 
-    def _end(self) -> None:
+    def _stop(self) -> None:
         self.ending.set()
-        self.news.set()
+        self.changed.set()
 
-    def _pass_on(self, number: int) -> None:
-        for peer in self.peers.values():
-            peer.link.peer_process.signal(number)
+    def _signal_all(self, number: int) -> None:
+        for process in self.processes.values():
+            process.link.peer_process.signal(number)
 
-    async def _close(self) -> None:
-        self._pass_on(signal.SIGTERM)
+    async def _shut_down(self) -> None:
+        """End every process, by SIGKILL after a while."""
+        self._signal_all(signal.SIGTERM)
         for child in list(self.children.values()):
             with suppress(ProcessLookupError):
                 child.terminate()
-        end = self.loop.time() + END_S
-        while (self.peers or self.children) and self.loop.time() < end:
-            await asyncio.sleep(0.02)
-        self._pass_on(signal.SIGKILL)
-        while self.peers:
-            await asyncio.sleep(0.02)
+        end = self.loop.time() + TERMINATION_GRACE_S
+        while (self.processes or self.children) and self.loop.time() < end:
+            await asyncio.sleep(EXIT_POLL_INTERVAL_S)
+        self._signal_all(signal.SIGKILL)
+        while self.processes:
+            await asyncio.sleep(EXIT_POLL_INTERVAL_S)
+
+
+@contextmanager
+def _exclusive(path: Path) -> Iterator[None]:
+    """Hold the lock beside the socket. Raises FileExistsError where another supervisor holds it."""
+    lock = os.open(path.with_name(path.name + ".lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+    try:
+        try:
+            fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except BlockingIOError:
+            raise FileExistsError(f"another supervisor has {path}") from None
+        yield
+    finally:
+        os.close(lock)
+
+
+def _log_event(name: str, **fields: Any) -> None:
+    """One line of JSON."""
+    log.info("%s", json.dumps({"event": name, **fields}))
--- a/quota_gateway/process/builder.py
+++ b/quota_gateway/process/builder.py
@@ -21,7 +21,7 @@
 from quota_gateway.policy.gateway import Gateway
 
 if TYPE_CHECKING:
-    from quota_gateway.failover.gateway import Survivor
+    from quota_gateway.failover.gateway import SupervisedGateway
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
     clients: Clients
     discovery: Discovery
     hot_restart: HotRestart
-    standby: Survivor | None  # its end of the supervisor with connection failover, where there is one
+    standby: SupervisedGateway | None  # where a supervisor runs it
     admin_commands: Operators
     admin_endpoint: admin.Door
     reload: ConfigurationReload
@@ -81,17 +81,17 @@
     return Discovery(config.discovery, apply_list, config.seed, settings.gateways, settings.discovery)
 
 
-def _standby(clients: Clients) -> Survivor | None:
+def _standby(clients: Clients) -> SupervisedGateway | None:
     """This process's end of the supervisor, where the environment names one; else its code is not loaded."""
     path = os.environ.get("EDGE_KEEPER")
     if not path:
         return None
-    from quota_gateway.failover.gateway import Survivor
+    from quota_gateway.failover.gateway import SupervisedGateway
 
-    return Survivor(path, clients)
+    return SupervisedGateway(path, clients)
 
 
-def _hot_restart(config: Config, parts: ProcessParts, standby: Survivor | None) -> HotRestart:
+def _hot_restart(config: Config, parts: ProcessParts, standby: SupervisedGateway | None) -> HotRestart:
     """Both ends of a hot restart, off under a supervisor.
 
     There the next process stands by already, and must not take over from one that serves.
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -23,7 +23,7 @@
     DoubleBuffer,
 )
 from quota_gateway.failover.model import FAULTS, HALVES, UNSAFE, Model, World, explore
-from quota_gateway.failover.supervisor import Job, Keeper
+from quota_gateway.failover.supervisor import Job, Supervisor
 from quota_gateway.fault_bench.bench import Rig
 from quota_gateway.fault_bench.processes import Program
 
@@ -339,7 +339,7 @@
             check=False,
         )
         assert second.returncode == 2
-        assert "another keeper has" in second.stderr
+        assert "another supervisor has" in second.stderr
         member.process.signal(signal.SIGKILL)
         await member.process.child.wait()
         assert await rest.ask(call_of(2)) == b"0000000000000002"
@@ -367,17 +367,17 @@
         def close(self) -> None: ...
 
     async def test():
-        keeper = Keeper(Job("true", ".", str(tmp_path / "sock")))
+        keeper = Supervisor(Job("true", ".", str(tmp_path / "sock")))
         before = len(os.listdir("/proc/self/fd"))
         first, second = Fake(), Fake()
         for link in (first, second):
-            keeper._message(link, b"H1", [os.memfd_create("record")])
-            keeper._message(link, b"C1", [os.memfd_create("connection")])
-        assert list(keeper.peers) == [second]
+            keeper._on_message(link, b"H1", [os.memfd_create("record")])
+            keeper._on_message(link, b"C1", [os.memfd_create("connection")])
+        assert list(keeper.processes) == [second]
         assert len(os.listdir("/proc/self/fd")) == before + 2
-        keeper._message(second, b"D1", [])
+        keeper._on_message(second, b"D1", [])
         assert len(os.listdir("/proc/self/fd")) == before + 1  # nothing keeps it from ending
-        keeper.peers[second].let_go()
+        keeper.processes[second].close_all()
 
     run(test())
 
