--- a/quota_gateway/process/lifecycle.py
+++ b/quota_gateway/process/lifecycle.py
@@ -70,7 +70,7 @@
             await parts.admin_endpoint.listen(*self._config.admin)
         passed = parts.standby.listener() if parts.standby else None
         passed = passed or passed_listener(os.environ, self._config.listen)
-        if await parts.hot_restart.take():
+        if await parts.hot_restart.take_over():
             parts.clients.ready = True
         elif parts.standby is None:
             self._use_configured_list()
--- a/quota_gateway/process/shutdown.py
+++ b/quota_gateway/process/shutdown.py
@@ -24,8 +24,8 @@
 class Successor(Protocol):
     """What the shutdown asks of the hot restart."""
 
-    def done(self) -> bool:
-        """Whether the next process has taken over, and has all that was passed on."""
+    def complete(self) -> bool:
+        """Whether this process has handed over, and all messages have gone out."""
 
 
 class GracefulShutdown:
@@ -67,7 +67,7 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     def _is_replaced(self) -> bool:
-        if self._successor is None or not self._successor.done():
+        if self._successor is None or not self._successor.complete():
             return False
         return not self._clients.connections and not self._driver.calls
 
