--- a/quota_gateway/net/admin.py
+++ b/quota_gateway/net/admin.py
@@ -1,4 +1,4 @@
-"""The door for operators: one line in, one line out that begins with YES or NO, then it closes."""
+"""The admin endpoint: one line in, one line out that begins with YES or NO, then the connection closes."""
 
 from __future__ import annotations
 
@@ -7,171 +7,220 @@
 from collections import OrderedDict
 from collections.abc import Awaitable, Callable, Mapping
 from contextlib import suppress
+from dataclasses import dataclass
 from typing import cast
 
 log = logging.getLogger(__name__)
 
-LONGEST_LINE = 256  # bytes: a word and an id
-LINE_S = 3.0  # for a whole line: the answer is owed to who asks, not to who is silent
-ANSWER_S = 0.8  # for a call that waits for something: callers wait 1 s
-MOST_CALLERS = 16  # connected at once: beyond, the longest connected gives way
-DESCRIPTORS = MOST_CALLERS + 2  # of the door: the callers, the listener, a caller before it is counted
+MAX_LINE_BYTES = 256
+LINE_TIMEOUT_S = 3.0  # for a complete line
+ANSWER_TIMEOUT_S = 0.8  # for a command that waits for something: callers wait 1 s
+MAX_CONNECTIONS = 16  # beyond, the longest connected gives way
+DESCRIPTORS = MAX_CONNECTIONS + 2  # with the listener, and a connection before it is counted
+TOKEN_PREFIX = "AS"  # AS TOKEN COMMAND ...
+MAX_TOKEN = (1 << 53) - 1  # the largest that every reader of JSON keeps exactly
 
-LARGEST_TOKEN = 1 << 53
-
-Answer = tuple[bool, str]  # yes or no, and what is to be added
+Answer = tuple[bool, str]  # whether it was done, and what is to be added
 Handler = Callable[[str], Awaitable[Answer]]
-Fence = Callable[[int], Awaitable[int]]  # a token: 0 if its holder may act, else the higher one seen
+FencingCheck = Callable[
+    [int], Awaitable[int]
+]  # of a token: 0 if its holder may act, else the higher one seen
+
+
+@dataclass(frozen=True, slots=True)
+class Arguments:
+    """How many arguments a command takes, also in words for the answer to another number."""
+
+    counts: tuple[int, ...]
+    text: str
+
+
+NO_ARGUMENT = Arguments((0,), "nothing")
+ONE_ID = Arguments((1,), "one id")
+
+
+@dataclass(frozen=True, slots=True)
+class AdminCommand:
+    """A command of operators; its handler gets the arguments as one text, separated by one space."""
 
+    handler: Handler
+    arguments: Arguments = NO_ARGUMENT
 
-class Caller(asyncio.Protocol):
-    """One connection: one call."""
 
-    def __init__(self, door: Door) -> None:
-        self.door = door
-        self.line = b""
-        self.called = False
-        self.transport: asyncio.Transport | None = None
-        self.overdue: asyncio.TimerHandle | None = None
-        self.task: asyncio.Task[None] | None = None
+class AdminConnection(asyncio.Protocol):
+    """One connection of an operator, for one command."""
+
+    def __init__(self, endpoint: AdminEndpoint) -> None:
+        self._endpoint = endpoint
+        self._line = b""
+        self._is_answering = False  # the line is complete, or was rejected: nothing more is read
+        self._transport: asyncio.Transport | None = None
+        self._line_timer: asyncio.TimerHandle | None = None
+        self._task: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Wait for the line."""
         # uvloop's transports are not asyncio.Transport by class: no isinstance here
-        self.transport = cast(asyncio.Transport, transport)
-        self.overdue = self.door.loop.call_later(LINE_S, self.refuse, "no whole line in time")
-        self.door.opened(self)
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = None
-        if self.overdue:
-            self.overdue.cancel()
-        self.door.callers.pop(self, None)
+        self._transport = cast(asyncio.Transport, transport)
+        loop = self._endpoint.loop
+        self._line_timer = loop.call_later(LINE_TIMEOUT_S, self.reject, "no whole line in time")
+        self._endpoint.opened(self)
+
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """The operator or this end has closed it."""
+        self._transport = None
+        if self._line_timer:
+            self._line_timer.cancel()
+        self._endpoint.closed(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.called:
+        """Collect the line; what stands behind it is ignored."""
+        if self._is_answering:
             return
-        line, end, _ = (self.line + data[: LONGEST_LINE + 2]).partition(b"\n")
-        self.line = line
-        if len(line) > LONGEST_LINE:
-            self.refuse("the line is too long")
+        line, end, _ = (self._line + data[: MAX_LINE_BYTES + 2]).partition(b"\n")
+        self._line = line
+        if len(line) > MAX_LINE_BYTES:
+            self.reject("the line is too long")
         elif end:
-            self._call()
+            self._begin_answer()
 
     def eof_received(self) -> bool:
-        """A caller that ends its sending has said all; the connection stays open for the answer."""
-        if not self.called:
-            self._call()
+        """Take what has come as the line; the connection stays open for the answer."""
+        if not self._is_answering:
+            self._begin_answer()
         return True
 
-    def _call(self) -> None:
-        self.called = True
-        self.task = self.door.loop.create_task(self._answer())
+    def _begin_answer(self) -> None:
+        self._is_answering = True
+        self._task = self._endpoint.loop.create_task(self._answer(), name="admin command")
 
     async def _answer(self) -> None:
-        yes, text = await self.door.answer(self.line)
-        self._reply(yes, text)
+        done, text = await self._endpoint.answer(self._line)
+        self._reply(done, text)
+
+    def reject(self, reason: str) -> None:
+        """Answer NO, unless an answer is under way already."""
+        if not self._is_answering:
+            self._is_answering = True
+            self._reply(False, reason)
+
+    def _reply(self, done: bool, text: str) -> None:
+        if self._transport:
+            line = f"{'YES' if done else 'NO'} {text}".strip()
+            self._transport.write(line.encode("ascii", "replace") + b"\n")
+            self._transport.close()
 
-    def refuse(self, why: str) -> None:
-        """Answer no, unless the answer is under way already."""
-        if not self.called:
-            self.called = True
-            self._reply(False, why)
+    def abort(self) -> None:
+        """Close at once."""
+        if self._transport:
+            self._transport.abort()
 
-    def _reply(self, yes: bool, text: str) -> None:
-        if self.transport:
-            line = f"{'YES' if yes else 'NO'} {text}".strip()
-            self.transport.write(line.encode("ascii", "replace") + b"\n")
-            self.transport.close()
 
+class AdminEndpoint:
+    """The listener for operators, and the commands it knows.
 
-class Door:
-    """The listener for operators, and what each call does."""
+    Everything runs in the gateway's own loop: YES means that the decisions have taken the command over.
+    """
 
-    def __init__(self, calls: Mapping[str, Handler], fence: Fence | None = None) -> None:
-        self.calls = dict(calls)
-        self.fence = fence
+    def __init__(self, commands: Mapping[str, AdminCommand], fencing: FencingCheck | None = None) -> None:
+        self.commands = dict(commands)
         self.loop = asyncio.get_running_loop()
-        self.callers: OrderedDict[Caller, None] = OrderedDict()
+        self.connections: OrderedDict[AdminConnection, None] = OrderedDict()  # the oldest first
         self.server: asyncio.Server | None = None
+        self._fencing = fencing
+
+    # ---- The listener
 
     async def listen(self, host: str, port: int) -> None:
-        """Listen; a door that can't be opened is logged and missing, the gateway serves all the same."""
+        """Listen; where that fails it is logged, and the gateway serves without an endpoint."""
         try:
             self.server = await self.bind(host, port)
         except OSError as error:
-            log.error("no door for operators: %r", error)
+            log.error("no admin endpoint: %r", error)
 
     async def bind(self, host: str, port: int) -> asyncio.Server:
-        """A listener at another address, for ``move``; OSError if there can be none."""
-        return await self.loop.create_server(lambda: Caller(self), host, port)
+        """A listener at another address, for ``move``.
+
+        Raises:
+            OSError: There can be none.
+        """
+        return await self.loop.create_server(lambda: AdminConnection(self), host, port)
 
     def move(self, server: asyncio.Server | None) -> None:
-        """Listen there from now on, or nowhere; who is connected stays."""
+        """Listen there from now on, or nowhere; open connections stay."""
         if self.server:
             self.server.close()
         self.server = server
 
-    def opened(self, caller: Caller) -> None:
-        """Guards against callers that connect and say nothing: they never keep another one out."""
-        self.callers[caller] = None
-        if len(self.callers) > MOST_CALLERS:
-            oldest, _ = self.callers.popitem(last=False)
-            oldest.refuse("too many callers")
-            if oldest.transport:
-                oldest.transport.abort()
+    def opened(self, connection: AdminConnection) -> None:
+        """Count a connection.
+
+        Guards against connections that say nothing: beyond the limit the oldest gives way, so that they never
+        keep an operator out.
+        """
+        self.connections[connection] = None
+        if len(self.connections) > MAX_CONNECTIONS:
+            oldest, _ = self.connections.popitem(last=False)
+            oldest.reject("too many callers")
+            oldest.abort()
+
+    def closed(self, connection: AdminConnection) -> None:
+        """Count it no more."""
+        self.connections.pop(connection, None)
+
+    def close(self) -> None:
+        """Close the listener and all connections."""
+        if self.server:
+            self.server.close()
+        for connection in list(self.connections):
+            with suppress(RuntimeError):  # the loop's transport is closing already
+                connection.abort()
+
+    # ---- Commands
 
     async def answer(self, line: bytes) -> Answer:
-        """What a call comes to. Whatever goes wrong with one, it is answered, and the door stays open."""
+        """Carry a line out; whatever goes wrong with it, there is an answer and the endpoint goes on."""
         words = line.decode("latin-1").split()
         if not words:
             return False, "an empty line"
-        why = ""
-        if words[0].upper() == "AS":
-            words, why = await self._as(words)
-        if why:
-            return False, why
-        name = words[0].upper()
-        ids = words[1:]
-        handler = self.calls.get(name)
-        if handler is None:
-            return False, "no such call; there are " + ", ".join(sorted(self.calls))
-        takes = TAKES.get(name, NOTHING)
-        if len(ids) not in takes:
-            return False, f"{name} takes {' or '.join(takes.values())}"
+        if words[0].upper() == TOKEN_PREFIX:
+            refusal = await self._check_token(words)
+            if refusal:
+                return False, refusal
+            words = words[2:]
+        return await self._carry_out(words[0].upper(), words[1:])
+
+    async def _check_token(self, words: list[str]) -> str:
+        """Why ``AS TOKEN COMMAND ...`` may not act; empty if it may.
+
+        Guards against a controller that was replaced: once a higher token has called, a lower one changes
+        nothing any more.
+        """
+        token = words[1] if len(words) > 2 else ""
+        if not (token.isascii() and token.isdecimal() and 0 < int(token) <= MAX_TOKEN):
+            return f"AS takes a token from 1 to {MAX_TOKEN} and a call"
+        if self._fencing is None:
+            return ""
         try:
-            async with asyncio.timeout(ANSWER_S):
-                return await handler(" ".join(ids))
+            async with asyncio.timeout(
+                ANSWER_TIMEOUT_S
+            ):  # a process that starts does not know the tokens yet
+                higher = await self._fencing(int(token))
         except TimeoutError:
-            return False, "not done in time"
-        except Exception:  # a fault of one call must not end the gateway
-            log.exception("the call %s failed", name)
-            return False, "failed"
-
-    async def _as(self, words: list[str]) -> tuple[list[str], str]:
-        """``AS TOKEN CALL ...``: the call, or why not. A caller that another has followed can do nothing."""
-        token = words[1] if len(words) > 2 else ""
-        if not (token.isascii() and token.isdecimal() and 0 < int(token) < LARGEST_TOKEN):
-            return [], f"AS takes a token from 1 to {LARGEST_TOKEN - 1} and a call"
+            return "not done in time"
+        return f"an older token: {higher} has called" if higher else ""
+
+    async def _carry_out(self, name: str, arguments: list[str]) -> Answer:
+        command = self.commands.get(name)
+        if command is None:
+            return False, "no such call; there are " + ", ".join(sorted(self.commands))
+        if len(arguments) not in command.arguments.counts:
+            return False, f"{name} takes {command.arguments.text}"
         try:
-            async with asyncio.timeout(ANSWER_S):  # a process that starts does not know yet who has called
-                higher = await self.fence(int(token)) if self.fence else 0
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+                return await command.handler(" ".join(arguments))
         except TimeoutError:
-            return [], "not done in time"
-        return words[2:], f"an older token: {higher} has called" if higher else ""
-
-    def close(self) -> None:
-        """Close the listener and what is connected."""
-        if self.server:
-            self.server.close()
-        for caller in list(self.callers):
-            with suppress(RuntimeError):
-                if caller.transport:
-                    caller.transport.abort()
-
-
-NOTHING = {0: "nothing"}
-TAKES: Mapping[str, Mapping[int, str]] = {  # words behind a call
-    "OFFLINE": {1: "one id"},
-    "ONLINE": {1: "one id"},
-    "RELOAD": {0: "nothing", 2: "CONFIRM SECONDS"},
-}
+            return False, "not done in time"
+        except Exception:  # a fault of one command must not end the gateway
+            log.exception("the admin command %s failed", name)
+            return False, "failed"
--- a/quota_gateway/net/admin_commands.py
+++ b/quota_gateway/net/admin_commands.py
@@ -1,4 +1,7 @@
-"""What operators may call: each call is an event, and yes once the decisions have taken it over."""
+"""The commands of operators for servers, the drain and the process; those of the configuration are in reload.
+
+Each becomes an event of the decisions, and is answered YES once the decisions have taken it over.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 from collections.abc import Callable
 
 from quota_gateway import api
-from quota_gateway.net.admin import Answer, Handler
+from quota_gateway.net.admin import ONE_ID, AdminCommand, Answer
 from quota_gateway.net.clients import Clients
 from quota_gateway.net.driver import Driver
 from quota_gateway.net.endpoint_registry import EndpointRegistry
@@ -15,110 +18,130 @@
 
 log = logging.getLogger(__name__)
 
-NOBODY = (False, "nobody has this id")
+UNKNOWN_ID: Answer = (False, "nobody has this id")
+
 
+class AdminCommands:
+    """Carries out the commands, in agreement with the peer process of a hot restart.
 
-class Operators:
-    """The calls. They wait until this process serves: what the one before it knows would undo them."""
+    Those that change something wait until this process serves: the state that it takes over would undo them.
+    """
 
     def __init__(
-        self, driver: Driver, clients: Clients, registry: EndpointRegistry, handover: Handover
+        self,
+        driver: Driver,
+        clients: Clients,
+        registry: EndpointRegistry,
+        hot_restart: Handover,
     ) -> None:
-        self.driver = driver
-        self.clients = clients
-        self.registry = registry
-        self.handover = handover
-        self.gateway = driver.gateway
-        self.up = asyncio.Event()
-        self.revision: Callable[[], str] = str  # of the configuration in force, by digest
-
-    def calls(self) -> dict[str, Handler]:
-        """By name."""
+        self.serving = asyncio.Event()  # set once this process serves
+        self.configuration_digest: Callable[[], str] = str  # of the configuration in force
+        self._driver = driver
+        self._gateway = driver.gateway
+        self._clients = clients
+        self._registry = registry
+        self._hot_restart = hot_restart
+
+    def commands(self) -> dict[str, AdminCommand]:
+        """The commands by name."""
         return {
-            "HEALTH": self.health,
-            "OFFLINE": self.offline,
-            "ONLINE": self.online,
-            "LEAVE": self.leave,
-            "JOIN": self.join,
-            "POOLS": self.pools,
-            "FIGURES": self.figures,
-            "RETIRE": self.retire,
+            "HEALTH": AdminCommand(self.health),
+            "OFFLINE": AdminCommand(self.offline, ONE_ID),
+            "ONLINE": AdminCommand(self.online, ONE_ID),
+            "LEAVE": AdminCommand(self.leave),
+            "JOIN": AdminCommand(self.join),
+            "POOLS": AdminCommand(self.pools),
+            "FIGURES": AdminCommand(self.figures),
+            "RETIRE": AdminCommand(self.retire),
         }
 
+    # ---- What the process is doing
+
     async def health(self, _: str) -> Answer:
-        """Whether this process can serve; it can while the gateway is drained, too."""
-        if self.handover.handed:
+        """Whether this process can serve; a drained one can."""
+        if self._hot_restart.handed:
             return False, "the next process has taken over"
-        if not self.up.is_set() or not self.clients.ready:
+        if not self.serving.is_set() or not self._clients.ready:
             return False, "the list of servers is not known yet"
-        drained = "drained" if self.gateway.draining else "serving"
-        return True, f"{drained}, {len(self.gateway.by_hand)} servers out"
-
-    async def fence(self, token: int) -> int:
-        """Take a caller's token: 0 if it may act, else the higher one. Known to the other process, too."""
-        await self.up.wait()
-        before = self.handover.token
-        if not self.handover.fence(token):
-            return before
-        if token > before:
-            await self.handover.share()
-        return 0
+        state = "drained" if self._gateway.draining else "serving"
+        return True, f"{state}, {len(self._gateway.by_hand)} servers out"
 
     async def figures(self, _: str) -> Answer:
-        """What this process has done since its start."""
-        reasons = self.gateway.tally.totals
-        return True, self.driver.figures.look(reasons, len(self.driver.calls), self.revision)
-
-    async def retire(self, _: str) -> Answer:
-        """End the process that was followed, be it this one or the one beside it."""
-        why = self.handover.retire()
-        if not why:
-            log.info("the process that was followed is told to end")
-        return not why, why or "the process that was followed ends once nothing is in hand"
+        """Counters since the start of this process."""
+        return True, self._driver.metrics.to_json(
+            self._gateway.tally.totals, len(self._driver.calls), self.configuration_digest()
+        )
 
     async def pools(self, _: str) -> Answer:
-        """What the connections towards servers are doing."""
-        return True, self.driver.servers.look()
-
-    async def offline(self, name: str) -> Answer:
-        """Take a server out."""
-        await self.up.wait()
-        number = self.registry.number(name)
-        if not number:
-            return NOBODY
-        self.registry.pin(name)
-        self.driver.post(api.ServerAdminDown(number, True))
-        if number not in self.gateway.by_hand:
-            self.registry.unpin(name, number in self.gateway.servers)
+        """Connections to servers."""
+        return True, self._driver.servers.look()
+
+    # ---- Servers that are administratively down
+
+    async def offline(self, instance_id: str) -> Answer:
+        """Take a server out, whatever discovery lists."""
+        await self.serving.wait()
+        server = self._registry.number(instance_id)
+        if not server:
+            return UNKNOWN_ID
+        self._registry.pin(instance_id)
+        self._driver.post(api.ServerAdminDown(server, True))
+        if server not in self._gateway.by_hand:
+            self._registry.unpin(instance_id, listed=self._is_listed(server))
             return False, "too many servers are out"
-        await self.handover.share()
-        log.info("server %s is taken out by hand", name)
+        await self._hot_restart.share()
+        log.info("server %s is administratively down", instance_id)
         return True, "out"
 
-    async def online(self, name: str) -> Answer:
+    async def online(self, instance_id: str) -> Answer:
         """Put a server back."""
-        await self.up.wait()
-        number = self.registry.number(name)
-        if not number:
-            return NOBODY
-        self.driver.post(api.ServerAdminDown(number, False))
-        listed = number in self.gateway.servers
-        self.registry.unpin(name, listed)
-        await self.handover.share()
-        log.info("server %s is put back by hand", name)
-        return True, "back" if listed else "back, once discovery lists it"
+        await self.serving.wait()
+        server = self._registry.number(instance_id)
+        if not server:
+            return UNKNOWN_ID
+        self._driver.post(api.ServerAdminDown(server, False))
+        is_listed = self._is_listed(server)
+        self._registry.unpin(instance_id, is_listed)
+        await self._hot_restart.share()
+        log.info("server %s is no longer administratively down", instance_id)
+        return True, "back" if is_listed else "back, once discovery lists it"
+
+    def _is_listed(self, server: int) -> bool:
+        return server in self._gateway.servers
+
+    # ---- The drain
 
     async def leave(self, _: str) -> Answer:
         """Drain the gateway."""
-        await self._drain(True)
+        await self._set_draining(True)
         return True, "drained"
 
     async def join(self, _: str) -> Answer:
-        """Take clients again."""
-        await self._drain(False)
+        """End the drain."""
+        await self._set_draining(False)
         return True, "taking clients"
 
-    async def _drain(self, active: bool) -> None:
-        await self.up.wait()
-        self.driver.post(api.DrainChanged(active))
-        await self.handover.share()
+    async def _set_draining(self, is_draining: bool) -> None:
+        await self.serving.wait()
+        self._driver.post(api.DrainChanged(is_draining))
+        await self._hot_restart.share()
+
+    # ---- The process and its peer
+
+    async def retire(self, _: str) -> Answer:
+        """End the predecessor of a hot restart, be it this process or its peer."""
+        refusal = self._hot_restart.retire()
+        if refusal:
+            return False, refusal
+        log.info("the predecessor of the hot restart is asked to end")
+        return True, "the process that was followed ends once nothing is in hand"
+
+    async def check_token(self, token: int) -> int:
+        """Accept a fencing token and share it with the peer; 0 if its holder may act, else the higher one."""
+        await self.serving.wait()
+        highest = self._hot_restart.token
+        if not self._hot_restart.fence(token):
+            return highest
+        if token > highest:
+            await self._hot_restart.share()
+        return 0
--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from quota_gateway import api
-from quota_gateway.net.metrics import Figures
+from quota_gateway.net.metrics import GatewayMetrics
 from quota_gateway.net.servers import Attempt, Reply, Servers, Sink, Source
 from quota_gateway.policy.gateway import Gateway
 
@@ -80,7 +80,7 @@
         self.servers = servers
         self.clock = clock
         self.calls: dict[str, Call] = {}
-        self.figures = Figures()
+        self.metrics = GatewayMetrics()
         self.events: deque[api.Event] = deque()
         self.handling = False
         self.timers: list[tuple[float, int, Callable[[Any], None], Any]] = []
@@ -143,7 +143,7 @@
         """Take a client's request; it is answered through ``call.on_answer``, once."""
         call.taken = self.clock()
         call.deadline = call.taken + waits_ms
-        self.figures.asked += 1
+        self.metrics.requests_total += 1
         self.calls[call.request_id] = call
         self.post(request)
 
@@ -151,7 +151,7 @@
         """The client closed its connection: nothing more is owed."""
         call = self.calls.get(request_id)
         if call and (call.passing or not call.answered):
-            self.figures.gone += not call.answered
+            self.metrics.disconnected_total += not call.answered
             call.answered = True
             self.post(api.ClientDisconnected(request_id))
             self._drop_if_done(call)
@@ -166,7 +166,7 @@
         number = call.sends
         now = self.clock()
         call.sends += 1
-        self.figures.attempts += 1
+        self.metrics.attempts_total += 1
         wait = call.deadline - now
         if action.timeout_ms:
             wait = min(wait, action.timeout_ms)
@@ -217,7 +217,7 @@
         if sink:
             call.answered = True
             call.passing = call.out[number]
-            self.figures.good(self.clock() - call.taken, call.latency_objective_ms)
+            self.metrics.count_served(self.clock() - call.taken, call.latency_objective_ms)
             self.post(api.StreamStarted(call.request_id, number, server, self.clock() - sent))
         return sink
 
@@ -255,7 +255,7 @@
 
     def _answer(self, call: Call, answer: bytes) -> None:
         call.answered = True
-        self.figures.answered(answer, self.clock() - call.taken, call.latency_objective_ms)
+        self.metrics.count_answer(answer, self.clock() - call.taken, call.latency_objective_ms)
         call.on_answer(answer)
 
     def _drop_if_done(self, call: Call) -> None:
--- a/quota_gateway/net/metrics.py
+++ b/quota_gateway/net/metrics.py
@@ -1,6 +1,6 @@
-"""What this process has done since it started, in counts that are read in one call at the door.
+"""Counters of this process since its start, as the admin endpoint's FIGURES gives them.
 
-Bounded: as many reasons as the decisions know, as many latencies as the scale has steps.
+Bounded: as many reasons as the decisions know, as many latency buckets as the scale has.
 """
 
 from __future__ import annotations
@@ -10,76 +10,80 @@
 import resource
 import time
 from collections import Counter
-from collections.abc import Callable
 from contextlib import suppress
 from math import log2
 from pathlib import Path
 
-STEPS = 4  # of the scale of latencies in each doubling: a step is 19% wide
-MOST_STEP = 68  # the last step begins at 131 s; the first holds all below 1 ms
+LATENCY_BUCKETS_PER_DOUBLING = 4  # a bucket is 19% wide
+MAX_LATENCY_BUCKET = 68  # begins at 131 s; bucket 0 holds all below 1 ms
 
 PROGRAM = str(Path(__file__).parents[2])  # the folder of the version that runs
 
 
-def step(ms: float) -> int:
-    """The step of the scale that a latency falls into."""
-    return min(MOST_STEP, int(STEPS * log2(ms))) if ms > 1.0 else 0
+def latency_bucket(latency_ms: float) -> int:
+    """The bucket of the logarithmic scale that a latency falls into."""
+    if latency_ms <= 1.0:
+        return 0
+    return min(MAX_LATENCY_BUCKET, int(LATENCY_BUCKETS_PER_DOUBLING * log2(latency_ms)))
 
 
-def peak_kb() -> int:
-    """The most memory that this process has had, in KiB.
+def peak_memory_kib() -> int:
+    """The largest resident set that this process has had, in KiB.
 
-    Guards against ``ru_maxrss``, which begins with what its starter had: below that no growth shows.
+    Guards against ``ru_maxrss``, which begins with the peak of the parent process: below that no growth
+    shows.
     """
-    with suppress(OSError, ValueError, IndexError), open("/proc/self/status", "rb") as file:
+    with suppress(OSError, ValueError, IndexError), open("/proc/self/status", "rb") as file:  # not on Linux
         return int(file.read().split(b"VmHWM:")[1].split()[0])
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
 
 
-class Figures:
-    """Counts of requests and of what became of them."""
+class GatewayMetrics:
+    """Counters of requests and of what became of them."""
 
     def __init__(self) -> None:
-        self.since = time.time()
-        self.asked = self.served = self.refused = self.failed = self.gone = 0
-        self.late = 0  # served after the aim of their class
-        self.attempts = 0
-        self.latency = [0] * (MOST_STEP + 1)  # of what was served, by step
-
-    def answered(self, answer: bytes, ms: float, latency_objective_ms: float) -> None:
-        """A final answer goes out."""
+        self.started_s = time.time()
+        self.requests_total = 0
+        self.served_total = 0
+        self.rejected_total = 0
+        self.failed_total = 0
+        self.disconnected_total = 0  # the client left before its answer
+        self.late_total = 0  # served after the latency objective of their class
+        self.attempts_total = 0
+        self.latency_buckets = [0] * (MAX_LATENCY_BUCKET + 1)  # requests served, by bucket
+
+    def count_answer(self, answer: bytes, latency_ms: float, latency_objective_ms: float) -> None:
+        """Count a final answer by its first bytes on the wire: a value, a rejection or another error."""
         if answer[:1] == b"$":
-            self.good(ms, latency_objective_ms)
+            self.count_served(latency_ms, latency_objective_ms)
         elif answer.startswith(b"-BUSY"):
-            self.refused += 1
+            self.rejected_total += 1
         else:
-            self.failed += 1
-
-    def good(self, ms: float, latency_objective_ms: float) -> None:
-        """A request is served, or its long value begins."""
-        self.served += 1
-        self.late += ms > latency_objective_ms
-        self.latency[step(ms)] += 1
-
-    def look(self, reasons: Counter[str], in_hand: int, revision: Callable[[], str]) -> str:
-        """All of it as a JSON object on one line; memory in KiB, at the most so far."""
-        return json.dumps(
-            {
-                "pid": os.getpid(),
-                "since": round(self.since, 3),
-                "revision": revision(),
-                "program": PROGRAM,
-                "asked": self.asked,
-                "served": self.served,
-                "refused": self.refused,
-                "failed": self.failed,
-                "gone": self.gone,
-                "late": self.late,
-                "attempts": self.attempts,
-                "in_hand": in_hand,
-                "reasons": dict(reasons),
-                "latency": {number: n for number, n in enumerate(self.latency) if n},
-                "memory_kb": peak_kb(),
-            },
-            separators=(",", ":"),
-        )
+            self.failed_total += 1
+
+    def count_served(self, latency_ms: float, latency_objective_ms: float) -> None:
+        """Count a request as served; one with a long value as the value begins."""
+        self.served_total += 1
+        self.late_total += latency_ms > latency_objective_ms
+        self.latency_buckets[latency_bucket(latency_ms)] += 1
+
+    def to_json(self, reasons: Counter[str], in_flight: int, configuration_digest: str) -> str:
+        """All counters as a JSON object on one line, by the keys that operators' tools read."""
+        document = {
+            "pid": os.getpid(),
+            "since": round(self.started_s, 3),
+            "revision": configuration_digest,
+            "program": PROGRAM,
+            "asked": self.requests_total,
+            "served": self.served_total,
+            "refused": self.rejected_total,
+            "failed": self.failed_total,
+            "gone": self.disconnected_total,
+            "late": self.late_total,
+            "attempts": self.attempts_total,
+            "in_hand": in_flight,
+            "reasons": dict(reasons),
+            "latency": {bucket: total for bucket, total in enumerate(self.latency_buckets) if total},
+            "memory_kb": peak_memory_kib(),
+        }
+        return json.dumps(document, separators=(",", ":"))
--- a/quota_gateway/net/reload.py
+++ b/quota_gateway/net/reload.py
@@ -21,7 +21,7 @@
 from quota_gateway.config import Config, read, read_file, told
 from quota_gateway.config_reader import ConfigError
 from quota_gateway.net import admin
-from quota_gateway.net.admin import Answer, Handler
+from quota_gateway.net.admin import AdminCommand, Answer, Arguments
 from quota_gateway.net.clients import MAX_LINGERING, Clients
 from quota_gateway.net.discovery import Discovery
 from quota_gateway.net.driver import Driver
@@ -37,6 +37,7 @@
 READINGS_ASKED = 4  # after RELOAD: whoever asks waits 1 s
 LONGEST_TRIAL_S = 3600
 LONGEST_WHY = 400  # characters of a refusal, at the door and in the log
+RELOAD_ARGUMENTS = Arguments((0, 2), "nothing or CONFIRM SECONDS")
 LATER_S = 1.0  # before a way back that can't be taken now is tried again
 
 
@@ -65,7 +66,7 @@
         servers: Servers,
         clients: Clients,
         discovery: Discovery,
-        door: admin.Door,
+        door: admin.AdminEndpoint,
         handover: Handover,
     ) -> None:
         self.environment = environment
@@ -89,13 +90,13 @@
         self.up = asyncio.Event()  # this process serves: before, what it takes over would be undone
         self.stopping = False
 
-    def calls(self) -> dict[str, Handler]:
-        """For the door, by name."""
+    def commands(self) -> dict[str, AdminCommand]:
+        """The admin commands of the configuration, by name."""
         return {
-            "CONFIG": self.show,
-            "RELOAD": self.reload,
-            "CONFIRM": self.confirm,
-            "ROLLBACK": self.rollback,
+            "CONFIG": AdminCommand(self.show),
+            "RELOAD": AdminCommand(self.reload, RELOAD_ARGUMENTS),
+            "CONFIRM": AdminCommand(self.confirm),
+            "ROLLBACK": AdminCommand(self.rollback),
         }
 
     # ---- Signals
--- a/quota_gateway/process/builder.py
+++ b/quota_gateway/process/builder.py
@@ -8,8 +8,8 @@
 
 from quota_gateway import api
 from quota_gateway.config import Config
-from quota_gateway.net import admin
-from quota_gateway.net.admin_commands import Operators
+from quota_gateway.net.admin import AdminEndpoint
+from quota_gateway.net.admin_commands import AdminCommands
 from quota_gateway.net.clients import Clients
 from quota_gateway.net.discovery import Discovery
 from quota_gateway.net.driver import Clock, Driver
@@ -32,8 +32,8 @@
     discovery: Discovery
     hot_restart: Handover
     standby: Survivor | None  # its end of the supervisor with connection failover, where there is one
-    admin_commands: Operators
-    admin_endpoint: admin.Door
+    admin_commands: AdminCommands
+    admin_endpoint: AdminEndpoint
     reload: Reload
 
 
@@ -47,11 +47,11 @@
     discovery = _discovery(config, driver, servers, clients)
     standby = _standby(clients)
     hot_restart = _hot_restart(config, driver, servers, clients, discovery, standby)
-    admin_commands = Operators(driver, clients, discovery.registry, hot_restart)
-    admin_endpoint = admin.Door(admin_commands.calls(), admin_commands.fence)
+    admin_commands = AdminCommands(driver, clients, discovery.registry, hot_restart)
+    admin_endpoint = AdminEndpoint(admin_commands.commands(), admin_commands.check_token)
     reload = Reload(config, os.environ, driver, servers, clients, discovery, admin_endpoint, hot_restart)
-    admin_endpoint.calls.update(reload.calls())
-    admin_commands.revision = lambda: reload.config.digest
+    admin_endpoint.commands.update(reload.commands())
+    admin_commands.configuration_digest = lambda: reload.config.digest
     return GatewayParts(
         driver,
         servers,
--- a/quota_gateway/process/lifecycle.py
+++ b/quota_gateway/process/lifecycle.py
@@ -85,7 +85,7 @@
         if parts.standby:
             await parts.standby.serve()
         parts.hot_restart.offer()
-        parts.admin_commands.up.set()
+        parts.admin_commands.serving.set()
         parts.reload.up.set()
         log.info("listening")
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -12,7 +12,7 @@
 class Caller:
     """One connection to the door."""
 
-    async def open(self, door: admin.Door) -> "Caller":
+    async def open(self, door: admin.AdminEndpoint) -> "Caller":
         assert door.server
         port = door.server.sockets[0].getsockname()[1]
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", port)
@@ -30,7 +30,7 @@
             return b""
 
 
-async def a_door(**more) -> admin.Door:
+async def a_door(**more) -> admin.AdminEndpoint:
     asked = []
 
     async def health(_: str) -> admin.Answer:
@@ -43,7 +43,14 @@
     async def broken(_: str) -> admin.Answer:
         raise ZeroDivisionError
 
-    made = admin.Door({"HEALTH": health, "OFFLINE": offline, "LEAVE": broken, **more})
+    made = admin.AdminEndpoint(
+        {
+            "HEALTH": admin.AdminCommand(health),
+            "OFFLINE": admin.AdminCommand(offline, admin.ONE_ID),
+            "LEAVE": admin.AdminCommand(broken),
+            **more,
+        }
+    )
     await made.listen("127.0.0.1", 0)
     return made
 
@@ -95,30 +102,30 @@
 
 
 def test_silent_callers_are_told_no_after_a_while_and_give_way_to_new_ones(monkeypatch):
-    monkeypatch.setattr(admin, "LINE_S", 0.2)
+    monkeypatch.setattr(admin, "LINE_TIMEOUT_S", 0.2)
 
     async def test():
         door = await a_door()
-        silent = [await Caller().open(door) for _ in range(3 * admin.MOST_CALLERS)]
+        silent = [await Caller().open(door) for _ in range(3 * admin.MAX_CONNECTIONS)]
         assert (await (await Caller().open(door)).ask(b"HEALTH\n")).startswith(b"YES")
-        assert len(door.callers) <= admin.MOST_CALLERS
+        assert len(door.connections) <= admin.MAX_CONNECTIONS
         answers = [await caller.answer() for caller in silent]
         assert answers[-1].startswith(b"NO no whole line")
-        assert not door.callers
+        assert not door.connections
         door.close()
 
     run(test())
 
 
 def test_call_that_takes_too_long_is_answered_no(monkeypatch):
-    monkeypatch.setattr(admin, "ANSWER_S", 0.05)
+    monkeypatch.setattr(admin, "ANSWER_TIMEOUT_S", 0.05)
 
     async def test():
         async def never(_: str) -> admin.Answer:
             await asyncio.get_running_loop().create_future()
             return True, ""
 
-        door = await a_door(JOIN=never)
+        door = await a_door(JOIN=admin.AdminCommand(never))
         assert (await (await Caller().open(door)).ask(b"JOIN\n")).startswith(b"NO not done in time")
         door.close()
 
@@ -128,7 +135,7 @@
 def test_door_that_can_not_be_opened_is_missing_and_no_crash():
     async def test():
         with socket.create_server(("127.0.0.1", 0)) as taken:
-            door = admin.Door({})
+            door = admin.AdminEndpoint({})
             await door.listen(*taken.getsockname())
             assert door.server is None
             door.close()
--- a/tests/test_connection_news.py
+++ b/tests/test_connection_news.py
@@ -8,7 +8,7 @@
 
 from quota_gateway import CloseIdle, IdleConnectionChanged, ServerAdminDown, Status
 from quota_gateway.net import servers as module
-from quota_gateway.net.admin_commands import Operators
+from quota_gateway.net.admin_commands import AdminCommands
 from quota_gateway.net.endpoint_registry import EndpointRegistry
 
 
@@ -109,11 +109,11 @@
     async def test():
         server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(b"v"))
         async with node(server, most_connections=2) as gateway:
-            calls = Operators(gateway.driver, gateway.clients, EndpointRegistry(), None).calls()
+            commands = AdminCommands(gateway.driver, gateway.clients, EndpointRegistry(), None).commands()
             peer, other = await gateway.peer(), await gateway.peer()
             for number in (2, 3, 4):
                 assert await peer.ask(call(number)) == b"v"
-            assert await calls["POOLS"]("") == (
+            assert await commands["POOLS"].handler("") == (
                 True,
                 (
                     "1 open (1 idle, 0 opening) of 2 to 1 servers; 1 handshakes, 2 reuses, 0 evicted, "
@@ -123,10 +123,12 @@
             peer.send(call(1), call(17))
             await server.until(lambda: len(server.commands) == 5)
             assert "-BUSY" in await other.ask(call(5))  # no room for a third
-            text = (await calls["POOLS"](""))[1]
+            text = (await commands["POOLS"].handler(""))[1]
             assert text.startswith("2 open (0 idle, 0 opening) of 2 to 1 servers; 1 handshakes, 1 reuses")
             assert " 0 turned" not in text
-            assert "0 handshakes, 0 reuses, 0 evicted, 0 turned away" in (await calls["POOLS"](""))[1]
+            assert (
+                "0 handshakes, 0 reuses, 0 evicted, 0 turned away" in (await commands["POOLS"].handler(""))[1]
+            )
 
     run(test())
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -198,7 +198,7 @@
         async with node(FakeServer(lambda words: array(value))) as gateway:
             raw = Raw(port(gateway), room=2048)
             raw.send(call(1))
-            await until(lambda: gateway.driver.figures.asked and not gateway.driver.calls)
+            await until(lambda: gateway.driver.metrics.requests_total and not gateway.driver.calls)
             raw.send(behind)
             gateway.clients.stop_listening()
             data, end = await raw.rest()
@@ -290,7 +290,7 @@
             raw.sock.close()
             await until(lambda: not gateway.clients.connections)
             assert not gateway.driver.calls
-            assert gateway.driver.figures.gone == MAX_PIPELINED
+            assert gateway.driver.metrics.disconnected_total == MAX_PIPELINED
             assert len(fake.commands) == MAX_PIPELINED
 
     run(test())
@@ -318,7 +318,7 @@
             raw.sock.close()
             await until(lambda: not gateway.clients.connections)
             assert not gateway.driver.calls
-            assert gateway.driver.figures.gone == 1
+            assert gateway.driver.metrics.disconnected_total == 1
 
     run(test())
 
@@ -347,7 +347,7 @@
             for number in (0, 1):
                 at = [int(words[2], 16) for words in fake.commands].index(number)
                 fake.writers[fake.by[at]].write(array(b"v"))
-            await until(lambda: gateway.driver.figures.asked == MAX_PIPELINED + 2)
+            await until(lambda: gateway.driver.metrics.requests_total == MAX_PIPELINED + 2)
             await until(lambda: len(gateway.driver.calls) == MAX_PIPELINED - 2)
             behind = [words for words in fake.commands if int(words[2], 16) not in first]
             assert [int(words[2], 16) for words in behind] == [1000]  # the other one's time is up
@@ -384,7 +384,7 @@
             before = len(fake.commands)
             if leaves:
                 raw.sock.close()
-                await until(lambda: gateway.driver.figures.gone == 1)
+                await until(lambda: gateway.driver.metrics.disconnected_total == 1)
             match waits:  # what it waited for comes
                 case "held":
                     clock = gateway.driver.clock
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -75,7 +75,7 @@
                     gateway.told(fake.entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
                 case "client left":
                     raw.sock.close()
-                    await until(lambda: gateway.driver.figures.gone == 1)
+                    await until(lambda: gateway.driver.metrics.disconnected_total == 1)
                 case "time over":
                     ahead(gateway, 60_000.0)
             gate.open.set()
@@ -84,7 +84,7 @@
             if crossing != "client left":
                 assert (await raw.read(5)) == b"-BUSY"  # it never ran
             assert not fake.commands
-            assert gateway.driver.figures.served == 0
+            assert gateway.driver.metrics.served_total == 0
             await let_go(gate)
 
     run(test())
@@ -206,7 +206,7 @@
             raw.send(call(1))
             await until(lambda: bool(gate.sockets))
             raw.sock.close()
-            await until(lambda: gateway.driver.figures.gone == 1)
+            await until(lambda: gateway.driver.metrics.disconnected_total == 1)
             gate.open.set()
             await until(lambda: not gateway.driver.calls)
             assert not marks(gateway)
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -172,7 +172,7 @@
 
 @pytest.mark.parametrize(("ms", "step"), [(0.0, 0), (1.0, 0), (1.2, 1), (2.0, 4), (1000.0, 39), (1e9, 68)])
 def test_scale_of_latencies_is_bounded_and_a_fifth_wide(ms, step):
-    assert metrics.step(ms) == step
+    assert metrics.latency_bucket(ms) == step
 
 
 def test_token_that_was_followed_by_a_higher_one_can_do_nothing_whoever_serves(tmp_path):
@@ -201,6 +201,6 @@
 
 def test_memory_is_the_process_own_and_not_its_starters():
     held = b"x" * 300_000_000
-    code = "from quota_gateway.net.metrics import peak_kb; print(peak_kb())"
+    code = "from quota_gateway.net.metrics import peak_memory_kib; print(peak_memory_kib())"
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert 1_000 < int(done.stdout) < len(held) // 2048
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -37,7 +37,7 @@
         config = read(read_file(str(path)), environment)
         self.discovery = Discovery(config.discovery, lambda *_: None)
         self.handover = SimpleNamespace(handed=False)
-        self.door = admin.Door({})
+        self.door = admin.AdminEndpoint({})
         self.reload = Reload(
             config,
             environment,
@@ -48,7 +48,7 @@
             self.door,
             self.handover,
         )
-        self.door.calls.update(self.reload.calls())
+        self.door.commands.update(self.reload.commands())
         self.reload.up.set()
 
     def write(self, **changes):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -481,8 +481,8 @@
         kept.append(b"x" * 400_000)
     if fault == "refuses" and served % 2:
         call.aim_ms = 0.0
-        self.figures.asked += 1
-        self.figures.answered(b"-BUSY", 0.0, 0.0)
+        self.metrics.requests_total += 1
+        self.metrics.count_answer(b"-BUSY", 0.0, 0.0)
         call.on_answer(b"-BUSY\\r\\n")
         return
     request(self, call, asked, waits_ms)
@@ -493,7 +493,7 @@
 if fault == "health":
     async def health(self, _):
         return False, "the list of servers is not known yet"
-    admin_commands.Operators.health = health
+    admin_commands.AdminCommands.health = health
 if fault == "alone":
     async def take(self):
         return False
