--- a/quota_gateway/policy/hot_restart.py
+++ b/quota_gateway/policy/hot_restart.py
@@ -14,9 +14,9 @@
     the next process answers for; without reports each process would grant the whole share once.
     """
 
-    def __init__(self, context: Context, hand: InFlightRequests, customers: Customers) -> None:
+    def __init__(self, context: Context, in_flight: InFlightRequests, customers: Customers) -> None:
         self.context = context
-        self.hand = hand
+        self.in_flight = in_flight
         self.customers = customers
         self.peer_has_taken_over = False
 
@@ -26,7 +26,7 @@
         """Report units charged here, a reading of the meter and the places in flight, once handed over."""
         if self.peer_has_taken_over:
             plan_name, customer_name = customer.key
-            in_flight = self.hand.places(customer)
+            in_flight = self.in_flight.occupied_places(customer)
             self.context.actions.append(
                 PeerUsage(plan_name, customer_name, in_flight, charged_units, metered_use_percent)
             )
--- a/quota_gateway/policy/settings_change.py
+++ b/quota_gateway/policy/settings_change.py
@@ -10,9 +10,9 @@
 from dataclasses import replace
 
 from quota_gateway.api import HotRestartBegun, Plan, SettingsChanged
-from quota_gateway.policy.endpoint_list import Lists
+from quota_gateway.policy.endpoint_list import EndpointList
 from quota_gateway.policy.hot_restart import PeerUsageExchange
-from quota_gateway.policy.outlier_detection import Health
+from quota_gateway.policy.outlier_detection import OutlierDetection
 from quota_gateway.state import CustomerKey
 
 FLEET_UPDATE_MS = 4000.0  # the platform's bound on a configuration change: until then others may use the old
@@ -51,19 +51,19 @@
     def __init__(
         self,
         peer_usage: PeerUsageExchange,
-        health: Health,
-        lists: Lists,
-        retry_parked: Callable[[], None],
+        outlier_detection: OutlierDetection,
+        endpoint_list: EndpointList,
+        release_queued: Callable[[], None],
     ) -> None:
         self.context = peer_usage.context
         self.peer_usage = peer_usage
-        self.hand = peer_usage.hand
+        self.in_flight = peer_usage.in_flight
         self.customers = peer_usage.customers
         self.epochs = peer_usage.customers.epochs
-        self.health = health
-        self.lists = lists
-        self.pressure = lists.pressure
-        self.retry_parked = retry_parked
+        self.outlier_detection = outlier_detection
+        self.endpoint_list = endpoint_list
+        self.concurrency_limit = endpoint_list.concurrency_limit
+        self.release_queued = release_queued
 
     def apply(self, event: SettingsChanged) -> bool:
         """Put new settings in force.
@@ -73,18 +73,20 @@
         """
         settings = event.settings
         plans = {plan.name: plan for plan in settings.plans}
-        pending_classes = (pending.request_class for pending in self.hand.pending_requests.values())
-        latency = self.pressure.means([*settings.classes, *pending_classes])
+        pending_classes = (pending.request_class for pending in self.in_flight.pending_requests.values())
+        latency = self.concurrency_limit.mean_latencies_ms([*settings.classes, *pending_classes])
         gateways = max(self.epochs.gateways, settings.gateways)
         transition_plans = self._transition_plans(plans)
 
         # Whatever can fail has been computed by now: from here on the change is complete.
         self._begin_epoch(plans, gateways)
         self.context.configure(settings)
-        self.pressure.latencies.keep(latency)
-        self.health.shares.keep(self.context.classes, plans, self.lists.fleet.servers.values())
+        self.concurrency_limit.latencies.keep(latency)
+        self.outlier_detection.rates.keep_only(
+            self.context.classes, plans, self.endpoint_list.endpoints.servers.values()
+        )
         self._begin_transitions(transition_plans)
-        self.lists.relist()
+        self.endpoint_list.refresh()
         if settings.gateways < gateways:
             self.context.arm(FLEET_UPDATE_MS, self._on_fleet_updated, self.epochs.epoch)
         return True
@@ -95,19 +97,19 @@
         self._begin_epoch(self.epochs.plans, self.epochs.gateways)
         self._begin_transitions({})
         self.customers.catch_up_last(len(self.epochs.lagging_customers))
-        self.context.log(f"handed over with {len(self.hand.pending_requests)} requests in hand")
+        self.context.log(f"handed over with {len(self.in_flight.pending_requests)} requests in hand")
 
     def _on_fleet_updated(self, epoch: int) -> None:
         """Let the smaller number of gateways hold, unless another change came in between."""
         if epoch == self.epochs.epoch:
             self._begin_epoch(self.epochs.plans, self.context.settings.gateways)
             self._begin_transitions({})
-            self.retry_parked()
+            self.release_queued()
 
     # ---- Rows catch up in steps
 
     def _begin_epoch(self, plans: dict[str, Plan], gateways: int) -> None:
-        self.pressure.rescale(self.epochs.gateways, gateways)
+        self.concurrency_limit.rescale(self.epochs.gateways, gateways)
         self.customers.begin_epoch(plans, gateways)
         self._arm_catch_up(self.epochs.epoch)
 
@@ -126,7 +128,7 @@
     def _transition_plans(self, new_plans: dict[str, Plan]) -> dict[CustomerKey, Plan]:
         """Stricter plans for customers with pending requests whose limits change, or changed before."""
         transition_plans: dict[CustomerKey, Plan] = {}
-        for pending in self.hand.pending_requests.values():
+        for pending in self.in_flight.pending_requests.values():
             key = pending.customer.key
             old_plan = pending.plan
             new_plan = new_plans.get(old_plan.name, old_plan)
@@ -141,7 +143,7 @@
 
     def _begin_transitions(self, transition_plans: dict[CustomerKey, Plan]) -> None:
         """Bring customers with pending requests up to date; stricter plans hold until those are over."""
-        pending_requests = self.hand.pending_requests.values()
+        pending_requests = self.in_flight.pending_requests.values()
         for pending in pending_requests:
             self.customers.catch_up(pending.customer)
             if pending.customer.key in transition_plans:
