--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -11,8 +11,8 @@
 
 import uvloop
 
-from quota_gateway.config import Config, read, read_file, told
-from quota_gateway.config_reader import ConfigError
+from quota_gateway.config import Config, read, read_file, summarize
+from quota_gateway.errors import ConfigurationError
 from quota_gateway.net.hot_restart import ABOUT
 from quota_gateway.process.lifecycle import serve
 from quota_gateway.process.log_limiter import RateLimitedLog
@@ -52,8 +52,8 @@
     config = _load(os.environ)
     if config is None:
         return EXIT_CONFIGURATION
-    if config.unknown:
-        log.warning("unknown in the configuration, not read: %s", told(list(config.unknown)))
+    if config.unknown_names:
+        log.warning("unknown in the configuration, not read: %s", summarize(config.unknown_names))
     gc.freeze()  # what start-up has made lives to the end: the collector need not look at it
     uvloop.run(serve(config, hang_up))
     hang_up.ignore()
@@ -65,7 +65,7 @@
     config = _load({**os.environ, "EDGE_CONFIG": path})
     if config is None:
         return EXIT_CONFIGURATION
-    for name in config.unknown:
+    for name in config.unknown_names:
         print(f"warning: {name}: unknown, not read", file=sys.stderr)
     return EXIT_OK
 
@@ -74,7 +74,7 @@
     """The configuration; None when it has faults, which go to standard error."""
     try:
         return read(read_file(environment.get("EDGE_CONFIG", "")), environment)
-    except ConfigError as error:
+    except ConfigurationError as error:
         for fault in error.faults:
             print(fault, file=sys.stderr)
         return None
--- a/quota_gateway/errors.py
+++ b/quota_gateway/errors.py
@@ -6,13 +6,25 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+
+MAX_FAULTS = 100  # of one configuration that are listed
+
 
 class GatewayError(Exception):
     """Base of every error that this package raises."""
 
 
 class ConfigurationError(GatewayError, ValueError):
-    """A configuration that can't be used; the one in force stays."""
+    """A configuration that can't be used, with all its faults; the one in force stays."""
+
+    def __init__(self, faults: Iterable[str], is_transient: bool = False) -> None:
+        all_faults = list(faults)
+        self.faults = all_faults[:MAX_FAULTS]
+        if len(all_faults) > MAX_FAULTS:
+            self.faults.append(f"and {len(all_faults) - MAX_FAULTS} more")
+        self.is_transient = is_transient  # the file may be being written: worth reading again
+        super().__init__("; ".join(self.faults))
 
 
 class ProtocolError(GatewayError, ValueError):
--- a/quota_gateway/fault_bench/bench.py
+++ b/quota_gateway/fault_bench/bench.py
@@ -18,7 +18,6 @@
 
 from quota_gateway import api
 from quota_gateway.fault_bench import history as seen
-from quota_gateway.fault_bench.document import settings_document
 from quota_gateway.fault_bench.load import Clients, Front
 from quota_gateway.fault_bench.platform import Platform
 from quota_gateway.fault_bench.processes import Member, Program, call
@@ -26,6 +25,7 @@
 from quota_gateway.fault_bench.relay import Address, Link
 from quota_gateway.fault_bench.scenario import Scenario
 from quota_gateway.fault_bench.stand_ins import Clock, Discovery, Meters, StandIn
+from quota_gateway.settings_reader import settings_document
 from quota_gateway.simulation.models import Server
 
 READY_S = 30.0  # for all gateways to serve
--- a/quota_gateway/net/admin.py
+++ b/quota_gateway/net/admin.py
@@ -7,8 +7,7 @@
 from collections import OrderedDict
 from collections.abc import Awaitable, Callable, Mapping
 from contextlib import suppress
-from dataclasses import dataclass
-from typing import cast
+from typing import NamedTuple, cast
 
 log = logging.getLogger(__name__)
 
@@ -27,8 +26,7 @@
 ]  # of a token: 0 if its holder may act, else the higher one seen
 
 
-@dataclass(frozen=True, slots=True)
-class Arguments:
+class Arguments(NamedTuple):
     """How many arguments a command takes, also in words for the answer to another number."""
 
     counts: tuple[int, ...]
@@ -39,8 +37,7 @@
 ONE_ID = Arguments((1,), "one id")
 
 
-@dataclass(frozen=True, slots=True)
-class AdminCommand:
+class AdminCommand(NamedTuple):
     """A command of operators; its handler gets the arguments as one text, separated by one space."""
 
     handler: Handler
--- a/quota_gateway/net/endpoint_registry.py
+++ b/quota_gateway/net/endpoint_registry.py
@@ -3,9 +3,8 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass
 from itertools import count
-from typing import Any
+from typing import Any, NamedTuple
 
 from quota_gateway import api
 from quota_gateway.errors import DiscoveryError
@@ -13,8 +12,7 @@
 from quota_gateway.net.servers import Address
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointUpdate:
+class EndpointUpdate(NamedTuple):
     """What one list of discovery changes: servers for the decisions, addresses for the sockets."""
 
     listing: api.ServerList
--- a/quota_gateway/net/endpoint_rows.py
+++ b/quota_gateway/net/endpoint_rows.py
@@ -3,9 +3,8 @@
 from __future__ import annotations
 
 import socket
-from dataclasses import dataclass
 from math import inf
-from typing import Any
+from typing import Any, NamedTuple
 
 from quota_gateway import api
 from quota_gateway.errors import DiscoveryError
@@ -20,8 +19,7 @@
 MAX_PORT = 65535
 
 
-@dataclass(slots=True)
-class EndpointRow:
+class EndpointRow(NamedTuple):
     """A server as discovery lists it."""
 
     instance_id: str
--- a/quota_gateway/net/reload.py
+++ b/quota_gateway/net/reload.py
@@ -18,8 +18,8 @@
 from functools import partial
 
 from quota_gateway import api
-from quota_gateway.config import Config, read, read_file, told
-from quota_gateway.config_reader import ConfigError
+from quota_gateway.config import Config, read, read_file, summarize
+from quota_gateway.errors import ConfigurationError
 from quota_gateway.net import admin
 from quota_gateway.net.admin import AdminCommand, Answer, Arguments
 from quota_gateway.net.clients import MAX_LINGERING, Clients
@@ -176,10 +176,10 @@
             async with self.lock:
                 try:
                     if self._elsewhere():
-                        raise ConfigError([self._elsewhere()])
+                        raise ConfigurationError([self._elsewhere()])
                     return await self._take(trial_s)
-                except ConfigError as error:
-                    if not error.torn or readings <= 0:
+                except ConfigurationError as error:
+                    if not error.is_transient or readings <= 0:
                         return self._refuse(error)
             await asyncio.sleep(AGAIN_S)
 
@@ -188,7 +188,7 @@
         await asyncio.sleep(0)  # others have their turn between reading and taking over
         faults = config.unchangeable(self.config)
         if faults:
-            raise ConfigError(faults)
+            raise ConfigurationError(faults)
         if not config.changes(self.config):
             if self.trial and trial_s:
                 self._end_trial()
@@ -207,13 +207,13 @@
     async def _prepare(self, config: Config) -> asyncio.Server | None:
         """The door's listener, where it moves."""
         if self._elsewhere():
-            raise ConfigError([self._elsewhere()])
+            raise ConfigurationError([self._elsewhere()])
         if config.admin == self.config.admin or config.admin is None:
             return None
         try:
             return await self.door.bind(*config.admin)
         except OSError as error:
-            raise ConfigError([f"admin: no listener there: {error.strerror or error}"]) from None
+            raise ConfigurationError([f"admin: no listener there: {error.strerror or error}"]) from None
 
     def _commit(self, config: Config, server: asyncio.Server | None, how: str) -> Answer:
         """In one step: the decisions, the sockets, the door. Decisions that refuse leave all as it was."""
@@ -224,7 +224,7 @@
         if why:
             if server:
                 server.close()
-            return self._refuse(ConfigError([why]))
+            return self._refuse(ConfigurationError([why]))
         room = budget(config)
         self.servers.retell(config.settings, room)
         self.clients.retell(config.settings, room)
@@ -240,7 +240,7 @@
             config.digest,
             self.revision,
             f" ({how})" if how else "",
-            told(changes),
+            summarize(changes),
         )
         return True, f"revision {self.revision}, {len(changes)} changes{', ' + how if how else ''}"
 
@@ -250,7 +250,7 @@
             self.driver.post(api.SettingsChanged(settings))
         return "" if settings == self.driver.gateway.settings else "the decisions failed"
 
-    def _refuse(self, error: ConfigError) -> Answer:
+    def _refuse(self, error: ConfigurationError) -> Answer:
         """All stays as it was."""
         more = f" ({len(error.faults)} faults)" if len(error.faults) > 1 else ""
         why = f"{error}"[:LONGEST_WHY] + more
@@ -267,7 +267,7 @@
             return False, "there is nothing to go back to"
         try:
             server = await self._prepare(config)
-        except ConfigError as error:
+        except ConfigurationError as error:
             return self._refuse(error)
         answer = self._commit(config, server, how)
         if answer[0]:
--- a/quota_gateway/net/servers/replies.py
+++ b/quota_gateway/net/servers/replies.py
@@ -8,7 +8,7 @@
 from math import inf
 
 from quota_gateway import api
-from quota_gateway.settings_reader import REPORT_FIELD
+from quota_gateway.settings_fields import LOAD_REPORT_NAMES
 
 log = logging.getLogger(__name__)
 
@@ -64,7 +64,7 @@
         fields = _number_fields(text)
         reply.metered_use_percent = fields.get("used", reply.metered_use_percent)
         reply.final_units = fields.get("cost", reply.final_units)
-        load = {REPORT_FIELD.get(name, name): value for name, value in fields.items()}
+        load = {LOAD_REPORT_NAMES.get(name, name): value for name, value in fields.items()}
         if self.load_fields and all(name in load for name in self.load_fields):
             reply.load = tuple(load[name] for name in self.load_fields)
 
--- a/quota_gateway/process/builder.py
+++ b/quota_gateway/process/builder.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 import os
-from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from quota_gateway import api
 from quota_gateway.config import Config
@@ -22,8 +21,7 @@
     from quota_gateway.failover.gateway import Survivor
 
 
-@dataclass(frozen=True, slots=True)
-class GatewayParts:
+class GatewayParts(NamedTuple):
     """The parts of one process, each owned by it for as long as it runs."""
 
     driver: Driver
--- a/quota_gateway/process/lifecycle.py
+++ b/quota_gateway/process/lifecycle.py
@@ -112,7 +112,7 @@
 
     def _use_configured_list(self) -> None:
         """Begin with the configuration's list of servers, and be ready after a while even with no other."""
-        self._parts.discovery.use_cached_list(json.loads(self._config.known))
+        self._parts.discovery.use_cached_list(json.loads(self._config.endpoint_list))
         asyncio.get_running_loop().call_later(FIRST_LIST_WAIT_S, self._become_ready)
 
     def _become_ready(self) -> None:
--- a/quota_gateway/rollout/change_strategy.py
+++ b/quota_gateway/rollout/change_strategy.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from quota_gateway.config import read as read_config
-from quota_gateway.config_reader import ConfigError
+from quota_gateway.errors import ConfigurationError
 from quota_gateway.rollout.admin_clients import AwayError, Doors, put
 from quota_gateway.rollout.journal import Begun, State
 from quota_gateway.rollout.plan import MOST_FILE, Member, Plan, PlanError, digest
@@ -169,7 +169,7 @@
     try:
         one = read_config(old, {})
         other = read_config(new, {})
-    except ConfigError as error:
+    except ConfigurationError as error:
         return "; ".join(error.faults[:3])
     faults = other.unchangeable(one)
     if faults:
--- a/quota_gateway/settings_reader.py
+++ b/quota_gateway/settings_reader.py
@@ -1,6 +1,6 @@
-"""From the settings object of the wire and of a gateway's configuration to ``Settings``.
+"""From the settings object of the wire and of a gateway's configuration to ``Settings``, and back.
 
-Nothing is built before all of it has been read: who hands in a faulty object is told every fault at once.
+Nothing is built before all of it has been read, so that every fault of a settings object is reported at once.
 """
 
 from __future__ import annotations
@@ -8,156 +8,100 @@
 from typing import Any
 
 from quota_gateway import api
-from quota_gateway.config_reader import ConfigError, Found, Node
-
-Fields = dict[str, Any]
-
-DISCOVERY = {"automatic": api.DiscoveryMode.PUSH, "subscribe": api.DiscoveryMode.POLL}
-LOAD_FIELD = {
-    "rif": "in_flight",
-    "q": "queue",
-    "busy": "utilisation",
-    "lat_ms": "service_ms",
-    "rate": "throughput",
-    "fail_rate": "error_rate",
-}
-REPORT_FIELD = LOAD_FIELD | {  # the names in reports on sockets
-    "inflight": "in_flight",
-    "queue": "queue",
-    "util": "utilisation",
-    "latency_ms": "service_ms",
-    "qps": "throughput",
-    "eps": "error_rate",
-}
-EFFECTS = {item.value: item for item in api.Idempotency}
-SCOPES = {item.value: item for item in api.IdempotencyScope}
-MOST_GATEWAYS = 1_000_000
-MOST_ROWS = 256  # classes or plans
-
-
-def _class(row: Node) -> Fields:
+from quota_gateway import settings_fields as fields
+from quota_gateway.config_fields import Values, read_fields, write_fields
+from quota_gateway.config_reader import ConfigReport, TableReader
+from quota_gateway.errors import ConfigurationError
+
+
+def read_settings(table: TableReader) -> Values:
+    """All values, as far as they can be read; the faults are in the reader's report."""
     return {
-        "name": row.text("name"),
-        "latency_objective_ms": row.number("slo_ms", above=True),
-        "deadline_ms": row.number("hard_limit_ms", above=True),
-        "idempotency": row.choice("effect", EFFECTS),
-        "priority_weight": row.number("value"),
-        "late_value_ratio": row.number("late_share"),
-        "idempotency_scope": row.choice("key_scope", SCOPES),
-        "idempotency_window_ms": row.number("memory_span_ms"),
-        "streamed": row.flag("stream"),
-        "objective_stretch": row.number("aim_stretch", default=0.0),
+        "classes": [read_fields(fields.CLASS_FIELDS, row) for row in table.rows("services", fields.MAX_ROWS)],
+        "plans": [_read_plan(row) for row in table.rows("tariffs", fields.MAX_ROWS)],
+        "limits": _read_limits(table.table("limits")),
+        "contract": read_fields(fields.CONTRACT_FIELDS, table.table("contract")),
+        **_read_general(table),
     }
 
 
-def _plan(row: Node) -> Fields:
-    plan: Fields = {
-        "name": row.text("name"),
-        "rate": row.number("refill"),
-        "burst": row.number("most_at_once"),
-        "max_in_flight": row.whole("parallel"),
-        "price": row.number("value_factor"),
-        "overuse_value": row.number("excess_worth"),
-        "overuse_cost": row.number("overrun_cost"),
-        "ceiling_rate": row.number("cap_rate"),
-        "ceiling_burst": row.number("cap_depth"),
-        "ceiling_slack": row.number("hard_slack"),
-    }
-    row.must(not plan["rate"] or plan["burst"] > 0, "most_at_once", "a number above 0, as there is a refill")
+def _read_plan(row: TableReader) -> Values:
+    plan = read_fields(fields.PLAN_FIELDS, row)
+    has_quota = bool(plan["rate"])
+    row.require(not has_quota or plan["burst"] > 0, "most_at_once", "a number above 0, as there is a refill")
     if plan["ceiling_rate"]:
-        row.must(plan["ceiling_burst"] > 0, "cap_depth", "a number above 0, as there is a cap_rate")
-        row.must(plan["ceiling_rate"] >= plan["rate"], "cap_rate", "a ceiling not below the quota (refill)")
-        row.must(
-            not plan["rate"] or plan["ceiling_burst"] >= plan["burst"],
+        row.require(plan["ceiling_burst"] > 0, "cap_depth", "a number above 0, as there is a cap_rate")
+        row.require(
+            plan["ceiling_rate"] >= plan["rate"], "cap_rate", "a ceiling not below the quota (refill)"
+        )
+        row.require(
+            not has_quota or plan["ceiling_burst"] >= plan["burst"],
             "cap_depth",
             "a ceiling not below the quota (most_at_once)",
         )
     return plan
 
 
-def _limits(row: Node) -> Fields:
-    row.knows("cpu_us_per_request", "cpu_us_per_s", "multiplex")
-    return {
-        "max_attempts": row.whole("attempts_cap", low=1),
-        "may_duplicate": row.flag("may_duplicate"),
-        "can_cancel": row.flag("cancelling"),
-        "can_probe": row.flag("probes"),
-        "can_message_peers": row.flag("peers"),
-        "can_advise_retry": row.flag("retry_after"),
-        "max_open": row.whole("open_cap", low=1),
-        "connect_timeout_ms": row.number("connect_timeout_ms"),
-        "max_retry_after_ms": row.number("max_retry_after_ms"),
-        "connection_idle_ms": row.number("conn_idle_ms", default=0.0) or api.DEFAULT_IDLE_MS,
+def _read_limits(table: TableReader) -> Values:
+    table.ignore(*fields.IGNORED_LIMITS)
+    return read_fields(fields.LIMITS_FIELDS, table)
+
+
+def _read_general(table: TableReader) -> Values:
+    family_info = table.table("family_info")
+    load_info = table.table("load_info")
+    deductions = table.table("deductions")
+    family_info.ignore(*fields.IGNORED_FAMILY_INFO)
+    load_info.ignore(*fields.IGNORED_LOAD_INFO)
+    deductions.ignore(*fields.IGNORED_DEDUCTIONS)
+    table.ignore(*fields.IGNORED_GENERAL)
+    general = {
+        **read_fields(fields.GENERAL_FIELDS, table),
+        **read_fields(fields.LOAD_INFO_FIELDS, load_info),
+        **read_fields(fields.FAMILY_INFO_FIELDS, family_info),
+        **read_fields(fields.CLOCK_FIELDS, table),
+        **read_fields(fields.DEDUCTIONS_FIELDS, deductions),
     }
-
-
-def _contract(row: Node) -> Fields:
-    return {
-        "answer_slack_ms": row.number("answer_slack_ms"),
-        "drain_grace_ms": row.number("drain_grace_ms"),
-        "initial_capacity_ratio": row.number("start_capacity", high=1.0),
-        "warm_up_ms": row.number("warm_up_ms"),
-        "overload_multiple": row.number("tip_multiple"),
-        "overload_window_ms": row.number("fall_ms"),
-        "poll_within_ms": row.number("must_ask_in_ms"),
-    }
-
-
-def _general(env: Node) -> Fields:
-    info = env.table("family_info")
-    load = env.table("load_info")
-    prices = env.table("deductions")
-    info.knows("call_price", "inbox_per_s")
-    load.knows("how")
-    prices.knows("connection", "discovery", "fleet", "late_fail", "moves", "origin", "peer", "probe", "waste")
-    env.knows("client_habits", "family", "goal", "kinds", "tier", "tiers", "weight_kind", "zones")
-    general: Fields = {
-        "gateways": env.whole("balancers", low=1, high=MOST_GATEWAYS),
-        "index": env.whole("slot_no"),
-        "zone": env.text("locality", empty=True),
-        "discovery": env.choice("discovery", DISCOVERY),
-        "load_fields": tuple(LOAD_FIELD.get(name, name) for name in load.texts("names")),
-        "meter_period_ms": info.number("meter_ms"),
-        "largest_units": info.number("largest", above=True),
-        "settles": info.flag("settles"),
-        "has_counter": info.flag("has_counter"),
-        "counter_timeout_ms": info.number("count_limit_ms"),
-        "tick_ms": env.number("tick_ms"),
-        "cross_zone_price": prices.number("cross_zone"),
-        "handshake_price": prices.number("handshake", default=0.0),
-    }
-    env.must(general["index"] < general["gateways"], "slot_no", "a number below balancers")
+    table.require(general["index"] < general["gateways"], "slot_no", "a number below balancers")
     return general
 
 
-def read_settings(env: Node) -> Fields:
-    """All fields, as far as they can be read; the faults are in what the node found."""
-    return {
-        "classes": [_class(row) for row in env.rows("services", MOST_ROWS)],
-        "plans": [_plan(row) for row in env.rows("tariffs", MOST_ROWS)],
-        "limits": _limits(env.table("limits")),
-        "contract": _contract(env.table("contract")),
-        **_general(env),
-    }
-
-
-def build_settings(fields: Fields) -> api.Settings:
-    """The settings, from fields without a fault."""
+def build_settings(values: Values) -> api.Settings:
+    """The settings, from values without a fault."""
     return api.Settings(
         **{
-            **fields,
-            "classes": tuple(api.RequestClass(**row) for row in fields["classes"]),
-            "plans": tuple(api.Plan(**row) for row in fields["plans"]),
-            "limits": api.Limits(**fields["limits"]),
-            "contract": api.Contract(**fields["contract"]),
+            **values,
+            "classes": tuple(api.RequestClass(**row) for row in values["classes"]),
+            "plans": tuple(api.Plan(**row) for row in values["plans"]),
+            "limits": api.Limits(**values["limits"]),
+            "contract": api.Contract(**values["contract"]),
         }
     )
 
 
-def settings_from(env: Fields) -> api.Settings:
-    """The settings object that an instance of the simulator is given at its start."""
-    found = Found()
-    fields = read_settings(Node(found, "", "", env))
-    if found.faults:
-        raise ConfigError(found.faults)
-    return build_settings(fields)
+def settings_from(document: dict[str, Any]) -> api.Settings:
+    """The settings of a settings object, as an instance of the simulator gets it at its start.
+
+    Raises:
+        ConfigurationError: There are faults, all of them in the error.
+    """
+    report = ConfigReport()
+    values = read_settings(TableReader(report, "", "", document))
+    if report.faults:
+        raise ConfigurationError(report.faults)
+    return build_settings(values)
+
+
+def settings_document(settings: api.Settings) -> dict[str, Any]:
+    """The settings object that ``settings_from`` reads as these settings."""
+    return {
+        **write_fields(fields.GENERAL_FIELDS, settings),
+        **write_fields(fields.CLOCK_FIELDS, settings),
+        "services": [write_fields(fields.CLASS_FIELDS, item) for item in settings.classes],
+        "tariffs": [write_fields(fields.PLAN_FIELDS, item) for item in settings.plans],
+        "limits": write_fields(fields.LIMITS_FIELDS, settings.limits),
+        "contract": write_fields(fields.CONTRACT_FIELDS, settings.contract),
+        "family_info": write_fields(fields.FAMILY_INFO_FIELDS, settings),
+        "load_info": write_fields(fields.LOAD_INFO_FIELDS, settings),
+        "deductions": write_fields(fields.DEDUCTIONS_FIELDS, settings),
+    }
--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -13,7 +13,9 @@
 
 from quota_gateway import api
 from quota_gateway.policy.gateway import Gateway
-from quota_gateway.settings_reader import Fields, settings_from
+from quota_gateway.settings_reader import settings_from
+
+Fields = dict[str, Any]  # of a message on the simulator's wire
 
 STATUS = {
     200: api.Status.OK,
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -4,6 +4,7 @@
 import json
 import os
 from dataclasses import FrozenInstanceError
+from dataclasses import fields as dataclass_fields
 
 import pytest
 from hypothesis import given, settings
@@ -11,9 +12,12 @@
 from test_simulator_adapter import ENV
 
 from quota_gateway import __main__ as program
+from quota_gateway import api
 from quota_gateway import config as module
+from quota_gateway import settings_fields as fields
 from quota_gateway.config import read, read_file
-from quota_gateway.config_reader import ConfigError, parse
+from quota_gateway.config_reader import parse
+from quota_gateway.errors import ConfigurationError
 from quota_gateway.settings_reader import settings_from
 
 GOOD = {
@@ -46,7 +50,7 @@
 
 
 def faults(document: object, **environment: str) -> list[str]:
-    with pytest.raises(ConfigError) as caught:
+    with pytest.raises(ConfigurationError) as caught:
         read(document if isinstance(document, bytes) else raw(document), environment)
     return caught.value.faults
 
@@ -58,7 +62,7 @@
     assert config.admin is None
     assert config.listen == ("127.0.0.1", 6379)
     assert len(config.digest) == 12
-    assert json.loads(config.known) == GOOD["known"]
+    assert json.loads(config.endpoint_list) == GOOD["known"]
     with pytest.raises(FrozenInstanceError):
         config.seed = 1
     with pytest.raises(TypeError):
@@ -203,7 +207,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told", "torn"),
+    ("text", "told", "transient"),
     [
         (b"", "the file is empty", True),
         (b" \n", "the file is empty", True),
@@ -217,22 +221,24 @@
         (b'{"a":' * 40 + b"1" + b"}" * 40, "a.a.a", False),
     ],
 )
-def test_what_is_no_document_is_told_and_whether_it_may_be_whole_a_little_later(text, told, torn):
-    with pytest.raises(ConfigError) as caught:
+def test_what_is_no_document_is_told_and_whether_it_may_be_whole_a_little_later(text, told, transient):
+    with pytest.raises(ConfigurationError) as caught:
         read(text, {})
     assert caught.value.faults[0].startswith(told)
-    assert caught.value.torn == torn
+    assert caught.value.is_transient == transient
 
 
 def test_a_list_of_servers_that_is_none_stops_nothing():
     for known in (None, 7, {"instances": [{"a": float("nan")}]}):
-        assert json.dumps(json.loads(read(raw(changed(("known",), known)), {}).known)) == json.dumps(known)
+        assert json.dumps(json.loads(read(raw(changed(("known",), known)), {}).endpoint_list)) == json.dumps(
+            known
+        )
 
 
 def test_names_that_nobody_knows_are_told_and_the_platforms_own_are_not():
     document = changed(("settings", "goal"), {"whole": 0.4})
     document = changed(("counter",), "127.0.0.1:6400", changed(("settings", "limits", "colour"), 3, document))
-    assert set(read(raw(document), {}).unknown) == {"settings.limits.colour", "settings.a_new_key"}
+    assert set(read(raw(document), {}).unknown_names) == {"settings.limits.colour", "settings.a_new_key"}
 
 
 def test_environment_fills_gaps_and_comes_first_but_for_discovery_on_a_reload():
@@ -293,7 +299,7 @@
     faults = None
     try:
         config = read(json.dumps(document).encode(), {})
-    except ConfigError as error:
+    except ConfigurationError as error:
         faults = error.faults
     if faults is None:
         assert config.settings.gateways > config.settings.index
@@ -301,6 +307,37 @@
         assert faults
 
 
+# ---- The fields of the settings
+
+GENERAL = (
+    *fields.GENERAL_FIELDS,
+    *fields.CLOCK_FIELDS,
+    *fields.LOAD_INFO_FIELDS,
+    *fields.FAMILY_INFO_FIELDS,
+    *fields.DEDUCTIONS_FIELDS,
+)
+
+
+@pytest.mark.parametrize(
+    ("owner", "table"),
+    [
+        (api.RequestClass, fields.CLASS_FIELDS),
+        (api.Plan, fields.PLAN_FIELDS),
+        (api.Limits, fields.LIMITS_FIELDS),
+        (api.Contract, fields.CONTRACT_FIELDS),
+        (api.Settings, GENERAL),
+    ],
+)
+def test_every_attribute_of_the_settings_has_one_field_with_its_unit_and_help(owner, table):
+    """A setting without a field would keep its default, whatever the configuration says."""
+    read_as_tables = {"classes", "plans", "limits", "contract"} if owner is api.Settings else set()
+    assert sorted(item.attribute for item in table) == sorted(
+        attribute.name for attribute in dataclass_fields(owner) if attribute.name not in read_as_tables
+    )
+    assert all(item.help for item in table)
+    assert all((item.unit == "ms") == item.attribute.endswith("_ms") for item in table)
+
+
 # ---- Files
 
 
@@ -309,10 +346,10 @@
     (tmp_path / "large").write_bytes(b" " * 10 * 1024 * 1024)
     told = {}
     for path in (tmp_path, tmp_path / "pipe", tmp_path / "large", tmp_path / "none", "/proc/self/mem"):
-        with pytest.raises(ConfigError) as caught:
+        with pytest.raises(ConfigurationError) as caught:
             read_file(str(path))
         told[os.path.basename(path)] = caught.value.faults[0]
-    assert told.pop("large") == f"the file is larger than {module.LARGEST} bytes"
+    assert told.pop("large") == f"the file is larger than {module.MAX_FILE_BYTES} bytes"
     assert len(told) == 4
     assert all(fault.startswith("the file can't be read") for fault in told.values())
 
@@ -341,7 +378,7 @@
 
 
 def test_a_million_faults_are_not_all_told():
-    with pytest.raises(ConfigError) as caught:
+    with pytest.raises(ConfigurationError) as caught:
         read(json.dumps({"x": [float("nan")] * 5000}).encode(), {})
     assert len(caught.value.faults) == 101
     assert caught.value.faults[-1].startswith("and ")
--- a/tests/test_fault_bench.py
+++ b/tests/test_fault_bench.py
@@ -27,13 +27,12 @@
 )
 from quota_gateway.fault_bench import history as seen
 from quota_gateway.fault_bench.bench import Rig, own_host
-from quota_gateway.fault_bench.document import settings_document
 from quota_gateway.fault_bench.processes import Program
 from quota_gateway.fault_bench.referee import judge
 from quota_gateway.fault_bench.relay import Link, pair_of
 from quota_gateway.fault_bench.scenario import Scenario, Step, load
 from quota_gateway.fault_bench.timeline import Timeline
-from quota_gateway.settings_reader import settings_from
+from quota_gateway.settings_reader import settings_document, settings_from
 from quota_gateway.simulation.world import Kind, Machines, Tariff, World, WorldError
 
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -17,7 +17,6 @@
 from test_fault_bench import ROOT, SCENARIO, run
 
 from quota_gateway.fault_bench.bench import Rig, own_host
-from quota_gateway.fault_bench.document import settings_document
 from quota_gateway.fault_bench.processes import Program, call
 from quota_gateway.fault_bench.rollouts import CONTROLLER, Rollouts
 from quota_gateway.rollout import journal as told
@@ -26,6 +25,7 @@
 from quota_gateway.rollout.canary_analysis import Figures, Judge, Word, Worse, measure_before
 from quota_gateway.rollout.canary_trial import HARMS, Rollout, play
 from quota_gateway.rollout.plan import Member, Plan, PlanError, digest, load
+from quota_gateway.settings_reader import settings_document
 
 # ---- The judge
 
