--- a/quota_gateway/config.py
+++ b/quota_gateway/config.py
@@ -29,7 +29,7 @@
 MAX_FILE_BYTES = 1024 * 1024  # a list of some five thousand servers
 MAX_DESCRIPTORS = 1_000_000
 MAX_SUMMARIZED = 12  # changes, or unknown names, in a line of the log
-DIGEST_CHARACTERS = 12
+DIGEST_DIGITS = 12
 FIXED_NAMES = ("name", "listen", "seed")  # what a running process can't change
 ENVIRONMENT_DEFAULTS = {"EDGE_NAME": "name", "EDGE_LISTEN": "listen", "EDGE_DISCOVERY": "discovery"}
 SEED = re.compile("[0-9a-fA-F]{1,64}")
@@ -47,7 +47,7 @@
     descriptors: int
     endpoint_list: str  # the list of servers, in JSON, as it stood in the file; it may be old
     settings: api.Settings
-    digest: str  # of the file's bytes: the first digits that sha256sum shows
+    digest: str  # of the file's bytes, see file_digest
     fixed_values: Mapping[str, str]  # as the file states them, whatever the environment says
     values: Mapping[str, Any]  # by path: changes are listed by these
     unknown_names: tuple[str, ...]
@@ -74,6 +74,11 @@
         return show(self.values[path]) if path in self.values else "none"
 
 
+def file_digest(raw: bytes) -> str:
+    """Digest of a configuration file, as ``CONFIG`` shows it: the first digits that sha256sum shows."""
+    return hashlib.sha256(raw).hexdigest()[:DIGEST_DIGITS]
+
+
 def summarize(items: Sequence[str]) -> str:
     """The first items in a line, and how many more there are."""
     more = f" and {len(items) - MAX_SUMMARIZED} more" if len(items) > MAX_SUMMARIZED else ""
@@ -137,7 +142,7 @@
         descriptors=file.descriptors,
         endpoint_list="null" if reload else json.dumps(listed),
         settings=build_settings(file.settings),
-        digest=hashlib.sha256(raw).hexdigest()[:DIGEST_CHARACTERS],
+        digest=file_digest(raw),
         fixed_values=MappingProxyType(
             {"name": file.name, "listen": _text(file.addresses.listen), "seed": file.seed}
         ),
--- a/quota_gateway/net/admin_commands.py
+++ b/quota_gateway/net/admin_commands.py
@@ -14,7 +14,7 @@
 from quota_gateway.net.clients import Clients
 from quota_gateway.net.driver import Driver
 from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.hot_restart import Handover
+from quota_gateway.net.hot_restart import HotRestart
 
 log = logging.getLogger(__name__)
 
@@ -32,7 +32,7 @@
         driver: Driver,
         clients: Clients,
         registry: EndpointRegistry,
-        hot_restart: Handover,
+        hot_restart: HotRestart,
     ) -> None:
         self.serving = asyncio.Event()  # set once this process serves
         self.configuration_digest: Callable[[], str] = str  # of the configuration in force
@@ -59,17 +59,19 @@
 
     async def health(self, _: str) -> Answer:
         """Whether this process can serve; a drained one can."""
-        if self._hot_restart.handed:
+        if self._hot_restart.handed_over:
             return False, "the next process has taken over"
         if not self.serving.is_set() or not self._clients.ready:
             return False, "the list of servers is not known yet"
-        state = "drained" if self._gateway.draining else "serving"
-        return True, f"{state}, {len(self._gateway.by_hand)} servers out"
+        state = "drained" if self._gateway.graceful_shutdown.is_draining else "serving"
+        return True, f"{state}, {len(self._gateway.endpoints.admin_down)} servers out"
 
     async def figures(self, _: str) -> Answer:
         """Counters since the start of this process."""
         return True, self._driver.metrics.to_json(
-            self._gateway.tally.totals, len(self._driver.calls), self.configuration_digest()
+            self._gateway.responses.outcome_counters.totals,
+            len(self._driver.calls),
+            self.configuration_digest(),
         )
 
     async def pools(self, _: str) -> Answer:
@@ -86,10 +88,10 @@
             return UNKNOWN_ID
         self._registry.pin(instance_id)
         self._driver.post(api.ServerAdminDown(server, True))
-        if server not in self._gateway.by_hand:
+        if server not in self._gateway.endpoints.admin_down:
             self._registry.unpin(instance_id, listed=self._is_listed(server))
             return False, "too many servers are out"
-        await self._hot_restart.share()
+        await self._hot_restart.share_wishes()
         log.info("server %s is administratively down", instance_id)
         return True, "out"
 
@@ -102,12 +104,12 @@
         self._driver.post(api.ServerAdminDown(server, False))
         is_listed = self._is_listed(server)
         self._registry.unpin(instance_id, is_listed)
-        await self._hot_restart.share()
+        await self._hot_restart.share_wishes()
         log.info("server %s is no longer administratively down", instance_id)
         return True, "back" if is_listed else "back, once discovery lists it"
 
     def _is_listed(self, server: int) -> bool:
-        return server in self._gateway.servers
+        return server in self._gateway.endpoints.servers
 
     # ---- The drain
 
@@ -124,7 +126,7 @@
     async def _set_draining(self, is_draining: bool) -> None:
         await self.serving.wait()
         self._driver.post(api.DrainChanged(is_draining))
-        await self._hot_restart.share()
+        await self._hot_restart.share_wishes()
 
     # ---- The process and its peer
 
@@ -139,9 +141,9 @@
     async def check_token(self, token: int) -> int:
         """Accept a fencing token and share it with the peer; 0 if its holder may act, else the higher one."""
         await self.serving.wait()
-        highest = self._hot_restart.token
+        highest = self._hot_restart.highest_token
         if not self._hot_restart.fence(token):
             return highest
         if token > highest:
-            await self._hot_restart.share()
+            await self._hot_restart.share_wishes()
         return 0
--- a/quota_gateway/net/clients/connection.py
+++ b/quota_gateway/net/clients/connection.py
@@ -57,7 +57,7 @@
         self.made = clients.loop.time()
         self.idle_since = self.made
         self.asked = False  # a request has come: clients keep such connections between their requests
-        self.kept_as = 0  # the number under which the process before this one keeps a copy of it
+        self.retained_id = 0  # the number under which the process before this one keeps a copy of it
 
         # Commands in
         self.stream = CommandStream()
@@ -379,8 +379,8 @@
             return
         if self.is_ending or (self.clients.leaving and self._may_leave()):
             self.close()
-        elif self.clients.pass_on:
-            self.clients.try_to_pass(self)
+        elif self.clients.transfer:
+            self.clients.try_to_transfer(self)
         elif self.asked and not self.stream.is_within_command() and self.clients.is_unwanted():
             self.close_idle()
 
