--- a/quota_gateway/failover/__main__.py
+++ b/quota_gateway/failover/__main__.py
@@ -60,7 +60,7 @@
 @main.command()
 @click.argument("file", type=click.Path(path_type=Path))
 def run(file: Path) -> None:
-    """Supervise gateways as a TOML file says, until SIGTERM. Exit code 2: no such file, or another one runs."""
+    """Supervise gateways as a TOML file says, until SIGTERM. Exit code 2: no such file, or one runs there."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(message)s")
 
     async def supervise(job: Job) -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -38,7 +38,7 @@
         config = read(read_file(str(path)), environment)
         self.discovery = Discovery(config.discovery, lambda *_: None)
         self.hot_restart = SimpleNamespace(handed_over=False)
-        self.door = admin.Door({})
+        self.door = admin.AdminEndpoint({})
         self.reload = ConfigurationReload(
             config,
             environment,
@@ -46,7 +46,7 @@
             self.door,
             self.hot_restart,
         )
-        self.door.calls.update(self.reload.calls())
+        self.door.commands.update(self.reload.commands())
         self.reload.up.set()
 
     def write(self, **changes):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -19,7 +19,6 @@
 
 from quota_gateway.config import file_digest
 from quota_gateway.fault_bench.bench import Rig, own_host
-from quota_gateway.fault_bench.document import settings_document
 from quota_gateway.fault_bench.processes import Program, call
 from quota_gateway.fault_bench.rollouts import CONTROLLER, Rollouts
 from quota_gateway.rollout import journal, journal_records
@@ -32,6 +31,7 @@
 from quota_gateway.rollout.plan import Plan, PlanError, Target
 from quota_gateway.rollout.plan_file import load
 from quota_gateway.rollout.status import target_standings
+from quota_gateway.settings_reader import settings_document
 
 # ---- The canary analysis
 
@@ -557,8 +557,8 @@
         kept.append(b"x" * 400_000)
     if fault == "refuses" and served % 2:
         call.latency_objective_ms = 0.0
-        self.figures.asked += 1
-        self.figures.answered(b"-BUSY", 0.0, 0.0)
+        self.metrics.requests_total += 1
+        self.metrics.count_answer(b"-BUSY", 0.0, 0.0)
         call.on_answer(b"-BUSY\\r\\n")
         return
     request(self, call, asked, waits_ms)
@@ -569,7 +569,7 @@
 if fault == "health":
     async def health(self, _):
         return False, "the list of servers is not known yet"
-    admin_commands.Operators.health = health
+    admin_commands.AdminCommands.health = health
 if fault == "alone":
     async def take_over(self):
         return False
