--- a/quota_gateway/rollout/settings_rollout.py
+++ b/quota_gateway/rollout/settings_rollout.py
@@ -7,7 +7,7 @@
 
 from quota_gateway.config import file_digest
 from quota_gateway.config import read as read_config
-from quota_gateway.config_reader import ConfigError
+from quota_gateway.errors import ConfigurationError
 from quota_gateway.rollout.admin_clients import UnreachableError
 from quota_gateway.rollout.atomic_file import replace_file
 from quota_gateway.rollout.change_strategy import ChangeRejectedError, ChangeStrategy, CheckedTargets
@@ -118,7 +118,7 @@
     try:
         old_config = read_config(old, {})
         new_config = read_config(new, {})
-    except ConfigError as error:
+    except ConfigurationError as error:
         return "; ".join(error.faults[:MAX_FAULTS_SHOWN])
     faults = new_config.unchangeable(old_config)
     if faults:
