--- a/quota_gateway/net/hot_restart/successor.py
+++ b/quota_gateway/net/hot_restart/successor.py
@@ -217,9 +217,8 @@
         discovery.use_cached_list(state.server_list)
         try:
             state_document.load(self._parts.driver.gateway, state.decisions, discovery.registry.numbers)
-        except (RestartError, ValueError, KeyError, TypeError, AttributeError) as error:
-            # the document's own fields are malformed; the decisions are as they were
-            raise PeerProcessError(f"the decisions' state is malformed: {error!r}") from error
+        except RestartError as error:  # the decisions are as they were
+            raise PeerProcessError(str(error)) from error
         self._exchange.in_force.apply(state.wishes)
         self._connections.set_remaining(state.remaining)
         self._enter(SuccessorState.TAKEN_OVER)
--- a/quota_gateway/state_document.py
+++ b/quota_gateway/state_document.py
@@ -17,6 +17,7 @@
 from math import isnan
 from typing import Any
 
+from quota_gateway.errors import RestartError
 from quota_gateway.policy.gateway import Gateway
 from quota_gateway.policy.rate_ceiling import BucketLevel
 from quota_gateway.state.customer import Customer
@@ -136,12 +137,17 @@
 
 
 def load(gateway: Gateway, document: Document, server_numbers: Mapping[str, int]) -> None:
-    """Continue from a document. Raises ValueError, KeyError, TypeError or AttributeError if it is none."""
-    _read(gateway, document, server_numbers).restore(gateway)
+    """Continue from a document. Raises RestartError if it is malformed; the gateway is then as it was."""
+    try:
+        state = _read(gateway, document, server_numbers)
+    except (ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
+        # a key or column that lacks, a value of another type, a count that is infinite
+        raise RestartError(f"the decisions' state is malformed: {error!r}") from error
+    state.restore(gateway)
 
 
 def _read(gateway: Gateway, document: Document, server_numbers: Mapping[str, int]) -> LoadedState:
-    """Read a document without changing the gateway; raises as ``load``."""
+    """Read a document without changing the gateway. Raises the builtin errors that ``load`` maps."""
     latencies = gateway.concurrency_limit.latencies
     return LoadedState(
         customers=_read_customers(gateway, document["customers"]),
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -20,6 +20,7 @@
     Status,
     state_document,
 )
+from quota_gateway.errors import RestartError
 from quota_gateway.net.clients import Client
 from quota_gateway.net.discovery import Discovery
 from quota_gateway.net.hot_restart import GatewayIdentity, HotRestart, limits
@@ -133,6 +134,8 @@
         (("servers",), {"s-1": {}}),
         (("pool",), "x"),
         (("pool",), float("nan")),
+        (("sends",), float("inf")),
+        (("customers",), [["metered", "c", *[float("inf")] * len(state_document.CUSTOMER_COLUMNS)]]),
         (("marks",), {"a": [1]}),
         (("latency",), None),
         (("quick",), []),
@@ -156,7 +159,7 @@
         gateway.context.decay.attempts_started,
         dict(limit.latencies.mean_ms),
     )
-    with pytest.raises((ValueError, KeyError, TypeError, AttributeError)):
+    with pytest.raises(RestartError, match="malformed"):
         state_document.load(new.gateway, document, {"s-1": 1, "s-2": 2})
     assert before == (
         gateway.customers.rows,
--- a/tests/test_state_document.py
+++ b/tests/test_state_document.py
@@ -22,6 +22,7 @@
 from conftest import PLANS, SETTINGS, Rig, entry
 
 from quota_gateway import HotRestartBegun, ServerEntry, ServerState, state_document
+from quota_gateway.errors import RestartError
 from quota_gateway.policy.rate_ceiling import BucketLevel
 
 DATA = Path(__file__).parent / "data" / "state_document"
@@ -172,7 +173,7 @@
     before = as_json(state_document.save(successor.gateway, IDS))
     cut = document()
     del cut[key]
-    with pytest.raises(KeyError):
+    with pytest.raises(RestartError, match=key):
         state_document.load(successor.gateway, cut, NUMBERS)
     assert as_json(state_document.save(successor.gateway, IDS)) == before
 
