--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import ast
 import importlib
 import re
 from pathlib import Path
@@ -77,3 +78,58 @@
 
 def test_the_capacity_page_has_bounds():
     assert len(bounds()) > 25
+
+
+LOG_TABLE_HEAD = "| line | meaning |"
+PLACEHOLDER = re.compile(r"%(?:\.\d+)?[sdr]|\{[^{}]*\}")
+
+
+def quoted_log_lines() -> list[str]:
+    """Log lines that the on-call page quotes: in first columns of its tables, and heads of its list."""
+    text = (ROOT / "docs" / "on-call.md").read_text()
+    lines = []
+    for table in text.split(LOG_TABLE_HEAD)[1:]:
+        rows = table.strip().split("\n\n")[0].splitlines()[1:]
+        lines += [quote for row in rows for quote in CODE.findall(row.split("|")[1])]
+    rest = text.split("## What else the log tells")[1]
+    heads = re.findall(r"^- `([^`]+)`", rest, re.MULTILINE)
+    return [" ".join(line.split()) for line in lines + heads]
+
+
+def literals(path: Path) -> list[str]:
+    """The texts of a module, with {} where a value is formatted in."""
+    found = []
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.Constant) and isinstance(node.value, str):
+            found.append(PLACEHOLDER.sub("{}", node.value))
+        elif isinstance(node, ast.JoinedStr):
+            parts = (part.value if isinstance(part, ast.Constant) else "{}" for part in node.values)
+            found.append("".join(map(str, parts)))
+    return found
+
+
+TEXTS = [text for path in PACKAGE.rglob("*.py") for text in literals(path)]
+
+
+def is_printed(line: str) -> bool:
+    """Whether a text of the code, with values in its places, is the quoted line, or begins with it."""
+    quoted = line.removesuffix("...").rstrip(": ")
+    for text in TEXTS:
+        if text.startswith(quoted):
+            return True
+        pattern = ".+".join(map(re.escape, text.removesuffix(": {}").split("{}")))
+        is_specific = len(text.replace("{}", "")) >= min(20, len(quoted) / 2)
+        if is_specific and re.fullmatch(f"{pattern}(: .*)?", quoted):
+            return True
+    return False
+
+
+@pytest.mark.parametrize("line", quoted_log_lines())
+def test_every_log_line_that_the_on_call_page_quotes_is_printed(line):
+    assert is_printed(line)
+
+
+def test_the_on_call_page_quotes_log_lines():
+    assert len(quoted_log_lines()) > 18
+    assert not is_printed("the moon is in force, revision 2")
+    assert not is_printed("handed over with 4 requests in foot")
