--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -15,14 +15,7 @@
 from quota_gateway.policy.concurrency_cap import ConcurrencyCap
 from quota_gateway.policy.customers import Customers
 from quota_gateway.policy.quota_meter import REJECT_OVER_QUOTA, Admit, Hold, RejectOverQuota
-from quota_gateway.state import Context, Customer, GiveUpReason, PendingRequest, Server
-
-
-@dataclass(frozen=True, slots=True)
-class SendTo:
-    """The first attempt goes to this server now."""
-
-    server: Server
+from quota_gateway.state import Context, Customer, GiveUpReason, PendingRequest, RequestState, Server
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,6 +33,11 @@
 
 
 QUEUE = Queue(0.0)
+GIVE_UP_OVER_RATE_CEILING = GiveUp(GiveUpReason.OVER_RATE_CEILING)
+
+# Looked up once, as these are compared whenever a queued request is tried again.
+HELD = RequestState.HELD
+QUEUED = RequestState.QUEUED
 
 
 class Admission:
@@ -148,31 +146,30 @@
             self._send_or_queue(pending)
 
     def _on_hold_ended(self, pending: PendingRequest) -> None:
-        if pending.is_held:
+        if pending.state is HELD:
             self._send_or_queue(pending)
 
     # Requests that were admitted
 
-    def placement(self, pending: PendingRequest) -> SendTo | Queue | GiveUp:
-        """What becomes of a request that waits for its first attempt; the choice of a server draws."""
+    def placement(self, pending: PendingRequest) -> Server | Queue | GiveUp:
+        """The server for a request's first attempt, or why there is none; the choice of a server draws."""
         now_ms = self.context.now
         wait_ms = self.ceiling.wait_ms(pending, now_ms)
         if wait_ms >= pending.deadline_ms - now_ms:
-            return GiveUp(GiveUpReason.OVER_RATE_CEILING)
+            return GIVE_UP_OVER_RATE_CEILING
         if wait_ms:
             return Queue(wait_ms)
         if self.concurrency_cap.is_reached(pending, now_ms):
             return QUEUE
         if self.concurrency_limit.is_reached(pending.slow_start_draw):
             return QUEUE
-        server = self.server_selection.first(pending)
-        return SendTo(server) if server else QUEUE
+        return self.server_selection.first(pending) or QUEUE
 
     def _send_or_queue(self, pending: PendingRequest) -> None:
         """Carry out where a request goes that waits for its first attempt."""
         decision = self.placement(pending)
-        if isinstance(decision, SendTo):
-            self.attempts.send(pending, decision.server)
+        if isinstance(decision, Server):
+            self.attempts.send(pending, decision)
         elif isinstance(decision, Queue):
             self._queue(pending, decision.rate_ceiling_wait_ms)
         else:
@@ -180,7 +177,7 @@
 
     def _queue(self, pending: PendingRequest, rate_ceiling_wait_ms: float) -> None:
         """Queue a request, or leave it in the queue, and shed one if too many are queued now."""
-        if not pending.is_queued:
+        if pending.state is not QUEUED:
             useful_until_ms = pending.arrived_ms + self.useful_hold_ms(pending.request_class)
             self.context.arm(
                 max(0.0, useful_until_ms - self.context.now), self._on_useful_hold_ended, pending
@@ -190,7 +187,7 @@
         if shed:
             self.responses.reject_or_fail(shed, GiveUpReason.QUEUE_FULL)
         # At most one timer for each request: whenever an attempt ends, all that are queued are tried again.
-        if rate_ceiling_wait_ms and pending.is_queued and not pending.rate_ceiling_timer_armed:
+        if rate_ceiling_wait_ms and pending.state is QUEUED and not pending.rate_ceiling_timer_armed:
             pending.rate_ceiling_timer_armed = True
             delay_ms = rate_ceiling_wait_ms + self.context.settings.tick_ms
             self.context.arm(delay_ms, self._on_rate_ceiling_wait_ended, pending)
@@ -209,12 +206,12 @@
 
     def _on_rate_ceiling_wait_ended(self, pending: PendingRequest) -> None:
         pending.rate_ceiling_timer_armed = False
-        if pending.is_queued:
+        if pending.state is QUEUED:
             self._send_or_queue(pending)
 
     def _on_useful_hold_ended(self, pending: PendingRequest) -> None:
         """A response could no longer be within the objective; without any server it waits on all the same."""
-        if pending.is_queued and self.server_selection.endpoints.ready:
+        if pending.state is QUEUED and self.server_selection.endpoints.ready:
             self.responses.reject_or_fail(pending, self.queued_reason(pending))
 
     def queued_reason(self, pending: PendingRequest) -> GiveUpReason:
@@ -234,5 +231,5 @@
             self.in_flight.queued.values(), key=self.concurrency_limit.queue_priority, reverse=True
         )
         for pending in by_priority:
-            if pending.is_queued:  # it may have been shed meanwhile
+            if pending.state is QUEUED:  # it may have been shed meanwhile
                 self._send_or_queue(pending)
--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -5,8 +5,6 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
-
 from quota_gateway.api import AttemptEnded, Cancel, Send, Status, StreamStarted
 from quota_gateway.policy.concurrency_limit import LATENCY_THRESHOLD_RATIO
 from quota_gateway.policy.hedging import CancelAttempt, Hedging, SendHedge
@@ -18,13 +16,6 @@
 from quota_gateway.state import Attempt, Context, GiveUpReason, PendingRequest, Server
 
 
-class WatchedAttempt(NamedTuple):
-    """An attempt whose latency threshold a timer awaits."""
-
-    pending: PendingRequest
-    number: int
-
-
 class Attempts:
     """Owns the retry budget; moves requests from attempt to attempt to the final answer."""
 
@@ -62,36 +53,35 @@
         begin_within_ms = idempotency_window_left_ms(pending, now_ms)
         self.context.actions.append(Send(request_id, server.id, begin_within_ms=begin_within_ms))
         threshold_ms = LATENCY_THRESHOLD_RATIO * pending.request_class.latency_objective_ms
-        self.context.arm(threshold_ms, self._on_latency_threshold, WatchedAttempt(pending, number))
+        self.context.arm(threshold_ms, self._on_latency_threshold, (pending, number))
 
     def on_attempt_ended(self, event: AttemptEnded) -> bool:
         """Judge an attempt that has ended, then retry or answer; whether the attempt is known."""
-        ended = self.in_flight.end_attempt(event)
-        if ended is None:
+        pending = self.in_flight.pending_with(event)
+        if pending is None:
             return False
-        pending = ended.pending
-        server = ended.attempt.server
+        attempt = self.in_flight.end_attempt(pending, event.attempt)
+        server = attempt.server
         succeeded = event.status is Status.OK
         self.concurrency_limit.remove(event.request_id, event.attempt)
         self.outlier_detection.on_attempt_ended(pending, server, event.status)
         self.server_selection.load_reports.record(server, event.load)
-        self._record_metered_use(pending, event.metered_use_percent)
-        if succeeded and not pending.is_streaming:
+        if event.metered_use_percent is not None:
+            self._record_metered_use(pending, event.metered_use_percent)
+        if succeeded and not pending.state.is_streaming:
             self.concurrency_limit.on_response(server, pending.request_class, event.latency_ms)
-        if succeeded and event.final_units is not None and not pending.is_answered:
+        if succeeded and event.final_units is not None and not pending.state.is_answered:
             self.responses.settle_units(pending.customer, pending.request.units, event.final_units)
-        if not pending.is_answered:
+        if not pending.state.is_answered:
             if succeeded or event.closed:
                 self.in_flight.answer(pending)
             else:
-                self._retry_or_answer(pending, event.status, ended.attempt)
+                self._retry_or_answer(pending, event.status, attempt)
         self.responses.finish_if_idle(pending)
         return True
 
-    def _record_metered_use(self, pending: PendingRequest, metered_use_percent: float | None) -> None:
-        """Take over the late reading of the customer's use by all gateways, if the response had one."""
-        if metered_use_percent is None:
-            return
+    def _record_metered_use(self, pending: PendingRequest, metered_use_percent: float) -> None:
+        """Take over the late reading of the customer's use by all gateways."""
         self.responses.meter.record_reading(pending.customer, metered_use_percent, self.context.now)
         self.responses.peer_usage.report(pending.customer, 0.0, metered_use_percent)
 
@@ -102,7 +92,7 @@
         """
         if may_have_run(status) and pending.first_possible_run is None:
             pending.first_possible_run = failed
-        if pending.attempts_in_flight or pending.is_streaming:
+        if pending.attempts_in_flight or pending.state.is_streaming:
             return
         server = self._retry_server(pending, status)
         if server:
@@ -125,8 +115,8 @@
 
         The latency is measured here: what the rest of the response takes depends on the client's pace.
         """
-        pending = self.in_flight.pending_requests.get(event.request_id)
-        if pending is None or pending.is_streaming or event.attempt not in pending.attempts_in_flight:
+        pending = self.in_flight.pending_with(event)
+        if pending is None or pending.state.is_streaming:
             return False
         self.in_flight.begin_stream(pending)
         server = pending.attempts_in_flight[event.attempt].server
@@ -134,12 +124,12 @@
         self.concurrency_limit.on_response(server, pending.request_class, event.latency_ms)
         return True
 
-    def _on_latency_threshold(self, watched: WatchedAttempt) -> None:
+    def _on_latency_threshold(self, pending_and_number: tuple[PendingRequest, int]) -> None:
         """An attempt still without a response counts as a failure of its server, and may be hedged."""
-        pending = watched.pending
-        self.concurrency_limit.remove(pending.request.request_id, watched.number)
-        attempt = pending.attempts_in_flight.get(watched.number)
-        if attempt is None or pending.is_streaming:
+        pending, number = pending_and_number
+        self.concurrency_limit.remove(pending.request.request_id, number)
+        attempt = pending.attempts_in_flight.get(number)
+        if attempt is None or pending.state.is_streaming:
             return
         self.outlier_detection.record_failure(attempt.server, pending.failure_keys.request_class, "silent")
         if not self.hedging.is_candidate(pending, attempt.server):
@@ -150,4 +140,4 @@
         if isinstance(decision, SendHedge):
             self.send(pending, decision.server)
         elif isinstance(decision, CancelAttempt):
-            self.context.actions.append(Cancel(pending.request.request_id, watched.number))
+            self.context.actions.append(Cancel(pending.request.request_id, number))
--- a/quota_gateway/policy/hedging.py
+++ b/quota_gateway/policy/hedging.py
@@ -60,7 +60,7 @@
         """
         if pending.request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             return False
-        if pending.is_answered or len(pending.attempts_in_flight) > 1:
+        if pending.state.is_answered or len(pending.attempts_in_flight) > 1:
             return False
         return self.outlier_detection.is_suspected(server, pending.failure_keys.request_class)
 
--- a/quota_gateway/policy/outlier_detection.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -6,20 +6,16 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
-
 from quota_gateway.api import Status
 from quota_gateway.state import Context, FailureRates, PendingRequest, Server
 
+# The key of a server as a whole is empty; the failures of all servers as a whole are recorded by zone.
 PRIOR_WEIGHT = 1.0  # outcomes: weight of the failures of all servers beside a server's own
 SUSPECTED_RATIO = 0.5  # failure rate from which a server is logged and its silent attempts are hedged
 
 
-class FailurePriors(NamedTuple):
-    """Failures at all servers that count beside a server's own, for a request's class and for its plan."""
-
-    request_class: float
-    plan: float
+# Failures at all servers that count beside a server's own: for a request's class, for the class of its plan.
+FailurePriors = tuple[float, float]
 
 
 class OutlierDetection:
@@ -33,7 +29,7 @@
         """Record how an attempt ended; a timeout was recorded when the latency threshold passed."""
         if status is Status.OK:
             for key in pending.failure_keys:
-                self._record(server, key, failed=False)
+                self.rates.record(server, key, key or server.zone, failed=False)
             return
         failed_key = self.failed_key(pending, status)
         if failed_key is not None:
@@ -56,26 +52,19 @@
 
     def record_failure(self, server: Server, key: str, cause: str) -> None:
         """Record a failure under a key, and log the server if it is suspected now."""
-        self._record(server, key, failed=True)
+        self.rates.record(server, key, key or server.zone, failed=True)
         if self.is_suspected(server, key):
             self.context.log_once(f"server {server.id} doubted{' for ' if key else ''}{key}: {cause}")
 
-    def _record(self, server: Server, key: str, *, failed: bool) -> None:
-        self.rates.record(server, key, self._fleet_key(server, key), failed)
-
-    def _fleet_key(self, server: Server, key: str) -> str:
-        """The key for all servers together: the failures of servers as a whole are counted by zone."""
-        return key or server.zone
-
     def is_suspected(self, server: Server, key: str) -> bool:
         """Whether a server fails so often under a key that silent attempts there should be hedged."""
-        prior = self.rates.prior(self._fleet_key(server, key))
+        prior = self.rates.prior(key or server.zone)
         return self.rates.highest(server, (key,), (prior,)) >= SUSPECTED_RATIO
 
     def priors(self, pending: PendingRequest) -> FailurePriors:
         """The priors of a request: the same for all servers that are compared for it."""
         keys = pending.failure_keys
-        return FailurePriors(self.rates.prior(keys.request_class), self.rates.prior(keys.class_of_plan))
+        return self.rates.prior(keys.request_class), self.rates.prior(keys.class_of_plan)
 
     def failure_probability(self, pending: PendingRequest, server: Server, priors: FailurePriors) -> float:
         """How likely the request fails at a server, 0 to 1.
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -43,7 +43,7 @@
         self.context.arm(max(0.0, remaining_ms), self._on_deadline, pending)
 
     def _on_deadline(self, pending: PendingRequest) -> None:
-        if not pending.is_streaming:
+        if not pending.state.is_streaming:
             self.reject_or_fail(pending, GiveUpReason.DEADLINE_EXCEEDED)
 
     def on_shutdown_begun(self, event: ShutdownBegun) -> None:
@@ -53,7 +53,7 @@
         """
         self.shutdown_at_ms = self.context.now + event.within_ms
         for pending in list(self.in_flight.pending_requests.values()):
-            if not pending.is_answered and pending.deadline_ms > self.shutdown_at_ms:
+            if not pending.state.is_answered and pending.deadline_ms > self.shutdown_at_ms:
                 self.arm_deadline(pending)
 
     def count_given_up(self, reason: GiveUpReason, plan: Plan) -> None:
@@ -68,7 +68,7 @@
 
     def reject_or_fail(self, pending: PendingRequest, reason: GiveUpReason) -> None:
         """Give the final answer, unless there is one: reject if a client's retry is harmless, else fail."""
-        if pending.is_answered:
+        if pending.state.is_answered:
             return
         self.count_given_up(reason, pending.plan)
         if is_client_retry_harmless(pending):
@@ -87,7 +87,7 @@
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
         """The client has left: no answer is owed any more."""
         pending = self.in_flight.pending_requests.get(event.request_id)
-        if pending and not pending.is_answered:
+        if pending and not pending.state.is_answered:
             self.in_flight.answer(pending)
             self._abandon(pending)
 
@@ -111,7 +111,7 @@
 
     def finish_if_idle(self, pending: PendingRequest) -> None:
         """Forget an answered request that has no attempt in flight, and notify the next process."""
-        if not pending.is_answered:
+        if not pending.state.is_answered:
             return
         if self.in_flight.finish(pending):
             self.customers.request_ended(pending)
--- a/quota_gateway/state/in_flight.py
+++ b/quota_gateway/state/in_flight.py
@@ -3,21 +3,20 @@
 from __future__ import annotations
 
 from math import inf
-from typing import NamedTuple
 
-from quota_gateway.api import AttemptEnded
+from quota_gateway.api.enums import AttemptMessage
 from quota_gateway.state.customer import Customer
 from quota_gateway.state.pending_request import Attempt, PendingRequest
 from quota_gateway.state.records import CustomerKey
 from quota_gateway.state.request_state import RequestState
 from quota_gateway.state.server import Server
 
-
-class EndedAttempt(NamedTuple):
-    """An attempt that has ended, with its request."""
-
-    pending: PendingRequest
-    attempt: Attempt
+# Looked up once: reading an enum's member takes as long as the rest of a step.
+IN_FLIGHT = RequestState.IN_FLIGHT
+STREAMING = RequestState.STREAMING
+ANSWERED = RequestState.ANSWERED
+ANSWERED_STREAMING = RequestState.ANSWERED_STREAMING
+FINISHED = RequestState.FINISHED
 
 
 class InFlightRequests:
@@ -47,9 +46,9 @@
     def start_attempt(self, pending: PendingRequest, server: Server, now_ms: float) -> int:
         """Record an attempt that is sent now; returns its number, from 0."""
         request_id = pending.request.request_id
-        if pending.state is not RequestState.IN_FLIGHT:
+        if pending.state is not IN_FLIGHT:
             self.queued.pop(request_id, None)
-            pending.move_to(RequestState.IN_FLIGHT)
+            pending.move_to(IN_FLIGHT)
         number = pending.attempts_started
         pending.attempts_started += 1
         pending.tried_servers.add(server.id)
@@ -59,32 +58,34 @@
         server.must_be_used_by_ms = inf
         return number
 
-    def end_attempt(self, event: AttemptEnded) -> EndedAttempt | None:
-        """Record that an attempt is over; None if it is not known."""
-        pending = self.pending_requests.get(event.request_id)
-        if pending is None or event.attempt not in pending.attempts_in_flight:
+    def pending_with(self, attempt: AttemptMessage) -> PendingRequest | None:
+        """The request with this attempt in flight; None if there is none."""
+        pending = self.pending_requests.get(attempt.request_id)
+        if pending is None or attempt.attempt not in pending.attempts_in_flight:
             return None
-        attempt = pending.attempts_in_flight.pop(event.attempt)
-        attempt.server.attempts_in_flight.discard((event.request_id, event.attempt))
+        return pending
+
+    def end_attempt(self, pending: PendingRequest, number: int) -> Attempt:
+        """Record that an attempt in flight is over; returns it."""
+        attempt = pending.attempts_in_flight.pop(number)
+        attempt.server.attempts_in_flight.discard((pending.request.request_id, number))
         pending.customer.attempts_in_flight -= 1
-        return EndedAttempt(pending, attempt)
+        return attempt
 
     def begin_stream(self, pending: PendingRequest) -> None:
         """Record that a server's response has begun to stream to the client."""
-        answered = pending.state is RequestState.ANSWERED
-        pending.move_to(RequestState.ANSWERED_STREAMING if answered else RequestState.STREAMING)
+        pending.move_to(ANSWERED_STREAMING if pending.state is ANSWERED else STREAMING)
 
     def answer(self, pending: PendingRequest) -> None:
         """Record that a request has its final answer, or that its client has left."""
         self.queued.pop(pending.request.request_id, None)
-        streaming = pending.state is RequestState.STREAMING
-        pending.move_to(RequestState.ANSWERED_STREAMING if streaming else RequestState.ANSWERED)
+        pending.move_to(ANSWERED_STREAMING if pending.state is STREAMING else ANSWERED)
 
     def finish(self, pending: PendingRequest) -> bool:
         """Forget an answered request once no attempt is in flight; whether it was forgotten now."""
-        if pending.attempts_in_flight or pending.state is RequestState.FINISHED:
+        if pending.attempts_in_flight or pending.state is FINISHED:
             return False
-        pending.move_to(RequestState.FINISHED)
+        pending.move_to(FINISHED)
         del self.pending_requests[pending.request.request_id]
         pending.customer.pending_count -= 1
         return True
@@ -94,14 +95,14 @@
         places = 0
         for pending in self.pending_requests.values():
             if pending.customer is customer:
-                places += max(len(pending.attempts_in_flight), 0 if pending.is_answered else 1)
+                places += max(len(pending.attempts_in_flight), 0 if pending.state.is_answered else 1)
         return places
 
     def reserved_units(self) -> dict[CustomerKey, float]:
         """Units that waiting requests will still take from rate ceilings, by customer."""
         units: dict[CustomerKey, float] = {}
         for pending in self.pending_requests.values():
-            if pending.is_waiting:
+            if pending.state.is_waiting:
                 key = pending.customer.key
                 units[key] = units.get(key, 0.0) + pending.request.units
         return units
--- a/quota_gateway/state/pending_request.py
+++ b/quota_gateway/state/pending_request.py
@@ -2,28 +2,20 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from dataclasses import dataclass
 
 from quota_gateway.api import Plan, Request, RequestClass
 from quota_gateway.state.customer import Customer
 from quota_gateway.state.records import failure_keys
-from quota_gateway.state.request_state import (
-    ANSWERED_STATES,
-    STREAMING_STATES,
-    TRANSITIONS,
-    WAITING_STATES,
-    RequestState,
-)
+from quota_gateway.state.request_state import TRANSITIONS, RequestState
 from quota_gateway.state.server import Server
-from quota_gateway.state_machine import transition
+from quota_gateway.state_machine import illegal_transitions
 
-# Looked up once: to read an enum's member takes longer than all else in the methods below.
-ADMITTED = RequestState.ADMITTED
-HELD = RequestState.HELD
-QUEUED = RequestState.QUEUED
+NEW_REQUEST = RequestState.ADMITTED
 
 
-class Attempt(NamedTuple):
+@dataclass(slots=True)
+class Attempt:
     """One attempt of a request: the server it was sent to, and when."""
 
     server: Server
@@ -71,38 +63,15 @@
         self.failure_keys = failure_keys(request_class.name, plan.name)
         # Drawn once: which servers in slow start the request may go to, and its rank at a full limit.
         self.slow_start_draw = slow_start_draw
-        self.state = ADMITTED
+        self.state = NEW_REQUEST
         self.rate_ceiling_timer_armed = False  # while queued: a timer ends the wait for the rate ceiling
         self.attempts_started = 0
         self.attempts_in_flight: dict[int, Attempt] = {}  # by number
         self.tried_servers: set[int] = set()
         self.first_possible_run: Attempt | None = None  # the first attempt that may have had an effect
 
-    @property
-    def is_answered(self) -> bool:
-        """Whether the client has its final answer, or has left."""
-        return self.state in ANSWERED_STATES
-
-    @property
-    def is_streaming(self) -> bool:
-        """Whether a server's response has begun to stream to the client."""
-        return self.state in STREAMING_STATES
-
-    @property
-    def is_held(self) -> bool:
-        """Whether it waits for the end of its hold."""
-        return self.state is HELD
-
-    @property
-    def is_queued(self) -> bool:
-        """Whether it waits in the queue."""
-        return self.state is QUEUED
-
-    @property
-    def is_waiting(self) -> bool:
-        """Whether it waits for its first attempt."""
-        return self.state in WAITING_STATES
-
     def move_to(self, state: RequestState) -> None:
         """Change the state. Raises IllegalTransitionError in tests if the table has no such transition."""
-        self.state = transition("request", TRANSITIONS, self.state, state)
+        if state not in TRANSITIONS[self.state]:
+            illegal_transitions.report("request", self.state, state)
+        self.state = state
--- a/quota_gateway/state/records.py
+++ b/quota_gateway/state/records.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from functools import lru_cache
 from math import inf
 from typing import NamedTuple
 
@@ -16,6 +17,9 @@
 CustomerKey = tuple[str, str]
 
 
+MAX_CACHED_KEYS = 1024  # a pair of class and plan each
+
+
 class FailureKeys(NamedTuple):
     """Keys of a request's failure records at a server."""
 
@@ -24,6 +28,7 @@
     class_of_plan: str
 
 
+@lru_cache(MAX_CACHED_KEYS)
 def failure_keys(class_name: str, plan_name: str) -> FailureKeys:
     """The keys of requests of a class and plan."""
     return FailureKeys("", f"class {class_name}", f"class {class_name} of plan {plan_name}")
--- a/quota_gateway/state/request_state.py
+++ b/quota_gateway/state/request_state.py
@@ -10,25 +10,33 @@
 
 
 class RequestState(Enum):
-    """Where a request stands."""
-
-    ADMITTED = "admitted"  # taken, and not yet placed
-    HELD = "held"  # delayed until its customer's quota share has room for it
-    QUEUED = "queued"  # waits for a server, the concurrency cap or limit, or the rate ceiling
-    IN_FLIGHT = "in flight"  # attempts were started; between two of them there may be none
-    STREAMING = "streaming"  # a server's response is being passed on as it comes: no deadline, no retry
-    ANSWERED = "answered"  # the final answer was given, or the client left; attempts may be in flight
-    ANSWERED_STREAMING = "answered, streaming"  # as ANSWERED, after a response had begun to stream
-    FINISHED = "finished"  # answered, with no attempt in flight: no longer among the pending requests
+    """Where a request stands, and what that means for it."""
+
+    # label, is_waiting, is_streaming, is_answered
+    ADMITTED = ("admitted", True, False, False)  # taken, and not yet placed
+    HELD = ("held", True, False, False)  # delayed until its customer's quota share has room for it
+    QUEUED = ("queued", True, False, False)  # waits for a server, a cap, a ceiling or the concurrency limit
+    IN_FLIGHT = ("in flight", False, False, False)  # attempts were started; between two there may be none
+    STREAMING = (
+        "streaming",
+        False,
+        True,
+        False,
+    )  # a response is passed on as it comes: no deadline
+    ANSWERED = ("answered", False, False, True)  # or its client has left; attempts may be in flight
+    ANSWERED_STREAMING = ("answered, streaming", False, True, True)  # the same after a response had begun
+    FINISHED = ("finished", False, False, True)  # no attempt is in flight: it is pending no longer
+
+    def __init__(self, label: str, is_waiting: bool, is_streaming: bool, is_answered: bool) -> None:
+        self.label = label
+        self.is_waiting = is_waiting  # for its first attempt
+        self.is_streaming = is_streaming  # a server's response has begun to stream to the client
+        self.is_answered = is_answered  # the client has its final answer, or has left
 
     # Members are singletons: the hash of the object, not of the name, is several times faster.
     __hash__ = object.__hash__
 
 
-ANSWERED_STATES = (RequestState.ANSWERED, RequestState.ANSWERED_STREAMING, RequestState.FINISHED)
-STREAMING_STATES = (RequestState.STREAMING, RequestState.ANSWERED_STREAMING)
-WAITING_STATES = (RequestState.ADMITTED, RequestState.HELD, RequestState.QUEUED)  # no attempt was started
-
 TRANSITIONS: dict[RequestState, frozenset[RequestState]] = {
     RequestState.ADMITTED: frozenset(
         {RequestState.HELD, RequestState.QUEUED, RequestState.IN_FLIGHT, RequestState.ANSWERED}
