--- a/quota_gateway/net/clients/registry.py
+++ b/quota_gateway/net/clients/registry.py
@@ -54,8 +54,8 @@
         self.late = False  # the shutdown waits no longer for what is on its way
 
         # Hot restart and failover
-        self.elsewhere = 0  # connections that the process before this one still holds
-        self.pass_on: Callable[[Client, int], bool] | None = None  # passes a connection to the next process
+        self.peer_connections = 0  # connections that the process before this one still holds
+        self.transfer: Callable[[Client, int], bool] | None = None  # passes a connection to the next process
         self.on_opened: Callable[[Client], None] | None = None
         self.on_closed: Callable[[Client], None] | None = None
         self.on_rest: Callable[[Client], None] | None = None  # everything read on it has been answered
@@ -81,17 +81,17 @@
             self.server = None
 
     def adopt(
-        self, sock: socket.socket, asked: bool, waited_s: float, kept_as: int = 0
+        self, sock: socket.socket, asked: bool, waited_s: float, retained_id: int = 0
     ) -> asyncio.Task[None]:
         """Take over a connection that is accepted already.
 
-        ``asked``: whether a request had come on it; ``waited_s``: since when it is open; ``kept_as``: the
+        ``asked``: whether a request had come on it; ``waited_s``: since when it is open; ``retained_id``: the
         number under which the process that it comes from keeps a copy of it, 0 for none.
         """
         client = Client(self)
         client.asked = asked
         client.command_timeout_s = max(0.0, COMMAND_TIMEOUT_S - waited_s)
-        client.kept_as = kept_as
+        client.retained_id = retained_id
         task = self.loop.create_task(self._bring_up(client, sock))
         self.adopting.add(task)
         task.add_done_callback(self.adopting.discard)
@@ -103,11 +103,11 @@
         except OSError:
             sock.close()
 
-    def try_to_pass(self, client: Client) -> None:
+    def try_to_transfer(self, client: Client) -> None:
         """Pass a connection on to the next process, if it is between requests."""
-        if self.pass_on and client.transport and client.is_between_requests():
+        if self.transfer and client.transport and client.is_between_requests():
             sock = client.transport.get_extra_info("socket")
-            if self.pass_on(client, sock.fileno()):
+            if self.transfer(client, sock.fileno()):
                 client.detach()
 
     # ---- Whether clients are wanted
@@ -155,7 +155,7 @@
 
     def is_over_limit(self) -> bool:
         """Whether there are more connections than there may be."""
-        return len(self.connections) + self.elsewhere > self.most_connections
+        return len(self.connections) + self.peer_connections > self.most_connections
 
     # ---- Limits
 
--- a/quota_gateway/net/servers/pool.py
+++ b/quota_gateway/net/servers/pool.py
@@ -50,9 +50,9 @@
         self.buffer = memoryview(bytearray(READ_BYTES))
         self.streams = 0  # values being streamed
         self.counts = PoolCounts()
-        self.elsewhere = 0  # connections that the process before this one still holds
+        self.peer_connections = 0  # connections that the process before this one still holds
         # During a hot restart: passes a connection on to the next process; false if that failed.
-        self.pass_on: Callable[[Connection, int], bool] | None = None
+        self.transfer: Callable[[Connection, int], bool] | None = None
         self.on_linked: Callable[[api.IdleConnectionChanged], None] = lambda _: None  # set by the driver
         self.retell(settings, most_connections)
         self.retire_timer = self.loop.call_later(RETIRE_INTERVAL_S, self._retire_idle)
@@ -166,10 +166,10 @@
     # ---- The pool
 
     def _is_over_limit(self) -> bool:
-        return len(self.connections) + self.elsewhere > self.most_connections
+        return len(self.connections) + self.peer_connections > self.most_connections
 
     def _is_at_limit(self) -> bool:
-        return len(self.connections) + self.elsewhere >= self.most_connections
+        return len(self.connections) + self.peer_connections >= self.most_connections
 
     def read_buffer(self) -> memoryview:
         """Buffer for one read: less for each when slow clients hold many streamed values."""
@@ -181,7 +181,7 @@
         if connection.closed or connection.epoch != connection.host.epoch or self._is_over_limit():
             connection.close(api.Status.RESET)
             return
-        if self.pass_on:
+        if self.transfer:
             self._pass(connection)
             return
         connection.become_idle()
@@ -227,7 +227,7 @@
 
     # ---- Hot restart
 
-    def hand_over(self) -> None:
+    def transfer_idle(self) -> None:
         """Pass every idle connection on to the next process."""
         for host in self.hosts.values():
             for connection in list(host.idle):
@@ -235,7 +235,7 @@
 
     def _pass(self, connection: Connection) -> None:
         assert connection.socket
-        if self.pass_on and connection.is_usable() and self.pass_on(connection, connection.socket.fileno()):
+        if self.transfer and connection.is_usable() and self.transfer(connection, connection.socket.fileno()):
             connection.detach()
         else:
             connection.close(api.Status.RESET)
@@ -260,7 +260,7 @@
         connecting = sum(connection.transport is None for connection in self.connections)
         counts = self.counts.describe()
         self.counts = PoolCounts()
-        peer = f", {self.elsewhere} in the process before" if self.elsewhere else ""
+        peer = f", {self.peer_connections} in the process before" if self.peer_connections else ""
         return (
             f"{open_count} open ({idle} idle, {connecting} opening) of {self.most_connections}{peer} "
             f"to {len(self.hosts)} servers; {counts}"
--- a/quota_gateway/process/lifecycle.py
+++ b/quota_gateway/process/lifecycle.py
@@ -70,7 +70,7 @@
             await parts.admin_endpoint.listen(*self._config.admin)
         passed = parts.standby.listener() if parts.standby else None
         passed = passed or passed_listener(os.environ, self._config.listen)
-        if await parts.hot_restart.take():
+        if await parts.hot_restart.take_over():
             parts.clients.ready = True
         elif parts.standby is None:
             self._use_configured_list()
@@ -92,7 +92,7 @@
     async def _shut_down(self) -> None:
         parts = self._parts
         parts.reload.close()
-        settings = parts.driver.gateway.settings
+        settings = parts.driver.gateway.context.settings
         await GracefulShutdown(settings, parts.driver, parts.clients, parts.hot_restart).run()
 
     def close(self) -> None:
@@ -112,7 +112,7 @@
 
     def _use_configured_list(self) -> None:
         """Begin with the configuration's list of servers, and be ready after a while even with no other."""
-        self._parts.discovery.known(json.loads(self._config.known))
+        self._parts.discovery.use_cached_list(json.loads(self._config.known))
         asyncio.get_running_loop().call_later(FIRST_LIST_WAIT_S, self._become_ready)
 
     def _become_ready(self) -> None:
