--- a/quota_gateway/net/hot_restart/successor.py
+++ b/quota_gateway/net/hot_restart/successor.py
@@ -99,7 +99,7 @@
         wishes = self._exchange.in_force.current()
         log.info(
             "taken over from the predecessor; servers down: %s%s",
-            ", ".join(wishes.servers_down) or "no server",
+            ", ".join(wishes.servers_down) or "none",
             "; drained" if wishes.drained else "",
         )
         return True
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -20,9 +20,10 @@
     Status,
     state_document,
 )
+from quota_gateway.errors import IllegalTransitionError
 from quota_gateway.net.clients import Client
 from quota_gateway.net.discovery import Discovery
-from quota_gateway.net.hot_restart import GatewayIdentity, HotRestart, limits
+from quota_gateway.net.hot_restart import GatewayIdentity, HotRestart, limits, predecessor, successor
 from quota_gateway.net.hot_restart.link import QueuedMessage
 from quota_gateway.net.hot_restart.operator_wishes import FILE_NAME, OperatorWishes
 from quota_gateway.net.hot_restart.predecessor import PredecessorState
@@ -30,6 +31,7 @@
 from quota_gateway.net.hot_restart.successor import SuccessorState
 from quota_gateway.net.hot_restart.takeover_listener import SOCKET_NAME
 from quota_gateway.net.process_parts import ProcessParts
+from quota_gateway.state_machine import transition
 
 WHO = GatewayIdentity("n0", "127.0.0.1:6379")
 NAMES = {1: "s-1", 2: "s-2"}
@@ -154,6 +156,32 @@
     assert before == (new.gateway.customers, new.gateway.pool, new.gateway.sends, new.gateway.latency)
 
 
+# ---- The states of both ends
+
+
+@pytest.mark.parametrize("table", [predecessor.TRANSITIONS, successor.TRANSITIONS])
+def test_every_state_has_its_transitions_and_is_reached_from_the_first(table):
+    """A state without a row would raise as the link ends, and the process would be left half way."""
+    (first, *_), states = table, set(type(next(iter(table))))
+    assert set(table) == states
+    reached, new = set(), {first}
+    while new:
+        reached |= new
+        new = set().union(*(table[state] for state in new)) - reached
+    assert reached == states
+
+
+def test_a_process_takes_over_once_and_hands_over_only_to_one_that_has_greeted():
+    for table, state, requested in (
+        (successor.TRANSITIONS, SuccessorState.ALONE, SuccessorState.GREETING),
+        (successor.TRANSITIONS, SuccessorState.GREETING, SuccessorState.TAKEN_OVER),
+        (predecessor.TRANSITIONS, PredecessorState.CONNECTED, PredecessorState.HANDED_OVER),
+        (predecessor.TRANSITIONS, PredecessorState.HANDED_OVER, PredecessorState.SERVING),
+    ):
+        with pytest.raises(IllegalTransitionError):
+            transition("hot restart", table, state, requested)
+
+
 # ---- Two processes, as two gateways of one test
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,6 +16,7 @@
 
 from quota_gateway import DrainChanged
 from quota_gateway.config import read, read_file
+from quota_gateway.errors import IllegalTransitionError
 from quota_gateway.net import admin, configuration_trial, connection_budget
 from quota_gateway.net import reload as module
 from quota_gateway.net.discovery import Discovery
@@ -336,6 +337,22 @@
     run(test())
 
 
+def test_a_trial_that_is_replaced_ends_first(tmp_path):
+    """Two timers would run: the older one would roll back a configuration that has more time."""
+
+    async def test():
+        async with configured(tmp_path) as made:
+            trial = made.reload.trial
+            trial.end()  # nothing is on trial: nothing happens
+            trial.begin(30.0)
+            with pytest.raises(IllegalTransitionError):
+                trial.begin(60.0)
+            trial.end()
+            assert trial.state is configuration_trial.ReloadState.STEADY
+
+    run(test())
+
+
 def test_trial_of_a_second_goes_back_by_itself(tmp_path):
     async def test():
         async with configured(tmp_path) as made:
