--- a/quota_gateway/net/hot_restart/operator_wishes.py
+++ b/quota_gateway/net/hot_restart/operator_wishes.py
@@ -59,12 +59,12 @@
         """The wishes as they are now."""
         gateway = self._driver.gateway
         numbers = self._discovery.registry.numbers
-        down = [server_id for server_id, number in numbers.items() if number in gateway.by_hand]
-        return OperatorWishes(tuple(sorted(down)), gateway.draining, self.highest_token)
+        down = [server_id for server_id, number in numbers.items() if number in gateway.endpoints.admin_down]
+        return OperatorWishes(tuple(sorted(down)), gateway.graceful_shutdown.is_draining, self.highest_token)
 
     def any_server_down(self) -> bool:
         """Whether an operator's call has taken a server out already."""
-        return bool(self._driver.gateway.by_hand)
+        return bool(self._driver.gateway.endpoints.admin_down)
 
     def apply(self, wishes: OperatorWishes) -> None:
         """Go by these wishes from now on."""
@@ -86,7 +86,7 @@
         registry = self._discovery.registry
         number = registry.number(server_id)
         self._driver.post(api.ServerAdminDown(number, False))
-        registry.unpin(server_id, number in self._driver.gateway.servers)
+        registry.unpin(server_id, number in self._driver.gateway.endpoints.servers)
 
     def raise_token(self, token: int) -> None:
         """Note a caller's token; the highest one counts."""
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -75,7 +75,7 @@
                     gateway.told(fake.entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
                 case "client left":
                     raw.sock.close()
-                    await until(lambda: gateway.driver.figures.gone == 1)
+                    await until(lambda: gateway.driver.metrics.disconnected_total == 1)
                 case "time over":
                     ahead(gateway, 60_000.0)
             gate.open.set()
@@ -84,7 +84,7 @@
             if crossing != "client left":
                 assert (await raw.read(5)) == b"-BUSY"  # it never ran
             assert not fake.commands
-            assert gateway.driver.figures.served == 0
+            assert gateway.driver.metrics.served_total == 0
             await let_go(gate)
 
     run(test())
@@ -206,7 +206,7 @@
             raw.send(call(1))
             await until(lambda: bool(gate.sockets))
             raw.sock.close()
-            await until(lambda: gateway.driver.figures.gone == 1)
+            await until(lambda: gateway.driver.metrics.disconnected_total == 1)
             gate.open.set()
             await until(lambda: not gateway.driver.calls)
             assert not marks(gateway)
@@ -215,9 +215,8 @@
 
 
 def marks(gateway) -> list:
-    return [
-        mark for server in gateway.driver.gateway.servers.values() for mark in server.failure_records.values()
-    ]
+    servers = gateway.driver.gateway.endpoints.servers
+    return [record for server in servers.values() for record in server.failure_records.values()]
 
 
 def test_socket_whose_transport_can_not_be_made_is_closed():
