--- a/quota_gateway/fault_bench/__main__.py
+++ b/quota_gateway/fault_bench/__main__.py
@@ -82,7 +82,7 @@
     end = state.outcome or (f"halted: {state.halt_reason}" if state.halt_reason else "not ended")
     seconds = state.history[-1].at_s - state.started.at_s if state.started else 0.0
     why = f", {state.rollback_reason}" if state.rollback_reason else ""
-    return f"{end}, {len(state.touched_targets)} touched, {seconds:.1f} s{why}"
+    return f"{end}, {len(state.attempted_targets)} touched, {seconds:.1f} s{why}"
 
 
 def table(result: Result, scenario: Scenario) -> Table:
--- a/quota_gateway/rollout/admin_clients.py
+++ b/quota_gateway/rollout/admin_clients.py
@@ -91,6 +91,30 @@
             if writer:
                 writer.close()
 
+    async def health(self, target: str, address: str) -> AdminAnswer:
+        """Whether the process at an address serves. Raises UnreachableError or FencedError."""
+        return await self.call(target, "HEALTH", address)
+
+    async def retire(self, target: str, address: str) -> AdminAnswer:
+        """Ask the process at an address to have the one that was followed end. Raises as `health` does."""
+        return await self.call(target, "RETIRE", address)
+
+    async def reload_on_trial(self, target: str, trial_s: int) -> AdminAnswer:
+        """Load the configuration file, or begin its trial anew. Raises UnreachableError or FencedError."""
+        return await self.call(target, f"RELOAD CONFIRM {trial_s}")
+
+    async def reload(self, target: str) -> AdminAnswer:
+        """Load the configuration file. Raises UnreachableError or FencedError."""
+        return await self.call(target, "RELOAD")
+
+    async def confirm_trial(self, target: str) -> AdminAnswer:
+        """Keep the configuration that is on trial. Raises UnreachableError or FencedError."""
+        return await self.call(target, "CONFIRM")
+
+    async def end_trial(self, target: str) -> AdminAnswer:
+        """Go back to the configuration before the trial. Raises UnreachableError or FencedError."""
+        return await self.call(target, "ROLLBACK")
+
     async def configuration(self, target: str) -> ConfigurationInForce:
         """The configuration in force. Raises UnreachableError or FencedError."""
         answer = await self.call(target, "CONFIG")
--- a/quota_gateway/rollout/process_pair.py
+++ b/quota_gateway/rollout/process_pair.py
@@ -40,7 +40,7 @@
     async def state(self, target: str, address: str) -> ProcessState:
         """State of the process at an address."""
         try:
-            answer = await self.clients.call(target, "HEALTH", address)
+            answer = await self.clients.health(target, address)
         except UnreachableError:
             return ProcessState.SILENT
         if answer.accepted:
@@ -95,6 +95,6 @@
 
     async def _retire_answer(self, target: str, address: str) -> AdminAnswer | None:
         try:
-            return await self.clients.call(target, "RETIRE", address)
+            return await self.clients.retire(target, address)
         except UnreachableError:
             return None
--- a/quota_gateway/rollout/rollback.py
+++ b/quota_gateway/rollout/rollback.py
@@ -4,9 +4,9 @@
 
 from quota_gateway.rollout.admin_clients import UnreachableError
 from quota_gateway.rollout.journal_records import RolloutEnded, TargetChanged, TargetChanging
-from quota_gateway.rollout.pacing import retry_while_unreachable
 from quota_gateway.rollout.rollout_context import RolloutContext
 from quota_gateway.rollout.rollout_log import log_rollback_given_up
+from quota_gateway.rollout.step_runner import retry_while_unreachable
 
 ROLLED_BACK_OUTCOME = "back"  # how the outcome begins; it stands in journals and is printed
 
@@ -21,7 +21,7 @@
     async def run(self) -> None:
         """Roll back what is left, and end the rollout."""
         remaining = [
-            name for name in reversed(self.state.touched_targets) if name not in self.state.rolled_back
+            name for name in reversed(self.state.attempted_targets) if name not in self.state.rolled_back
         ]
         await self.context.steps.run(remaining, self._roll_back_target)
         outcome = ROLLED_BACK_OUTCOME
--- a/quota_gateway/rollout/rollout_context.py
+++ b/quota_gateway/rollout/rollout_context.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
-
 from quota_gateway.rollout.admin_clients import AdminClients
 from quota_gateway.rollout.change_strategy import ChangeStrategy
 from quota_gateway.rollout.concurrency_rule import ConcurrencyRule
@@ -11,33 +9,16 @@
 from quota_gateway.rollout.journal import Journal
 from quota_gateway.rollout.journal_records import JournalRecord, RollbackStarted, RolloutHalted
 from quota_gateway.rollout.operator_commands import OperatorCommand, OperatorCommandFile
-from quota_gateway.rollout.pacing import StepRunner
 from quota_gateway.rollout.plan import Plan
 from quota_gateway.rollout.program_rollout import ProgramRollout
 from quota_gateway.rollout.rollout_log import log_record
 from quota_gateway.rollout.settings_rollout import SettingsRollout
+from quota_gateway.rollout.step_runner import StepRunner
+from quota_gateway.rollout.trial_renewal import TrialRenewal
 
-TRIAL_RENEWALS = 3  # within a trial's time, while its stage is watched
 BY_OPERATOR = "by hand"  # the reason of what an operator asked for
 
 
-class TrialRenewal:
-    """Renews trials now and then, so that none ends while its stage is watched."""
-
-    def __init__(self, strategy: ChangeStrategy, trial_s: float) -> None:
-        self.strategy = strategy
-        self.interval_s = trial_s / TRIAL_RENEWALS
-        self.renewed_at_s = 0.0  # by the event loop's clock
-
-    async def renew(self, targets: list[str]) -> None:
-        """Renew the targets' trials if it is time to."""
-        now_s = asyncio.get_running_loop().time()
-        if now_s - self.renewed_at_s < self.interval_s:
-            return
-        self.renewed_at_s = now_s
-        await self.strategy.renew_trial(targets)
-
-
 class RolloutContext:
     """A plan under way: its journal and state, and the tools to carry it out."""
 
--- a/quota_gateway/rollout/rollout_log.py
+++ b/quota_gateway/rollout/rollout_log.py
@@ -43,7 +43,7 @@
     _log_event(event, **facts)
 
 
-def log_target_went_back(target: str) -> None:
+def log_target_reverted(target: str) -> None:
     """Log that a target did not keep the change."""
     _log_event("went back by itself", member=target)
 
--- a/quota_gateway/rollout/rollout_state.py
+++ b/quota_gateway/rollout/rollout_state.py
@@ -63,7 +63,7 @@
         started: the first record; none before it.
         token: of the controller that holds or held the journal last.
         stage: that is under way.
-        touched_targets: whose change was begun, in order.
+        attempted_targets: whose change was begun, in order.
         rollback_started: targets whose rollback was begun.
         changed_pids: targets that have the change, with their processes.
         rolled_back: targets that are rolled back; false where that was given up.
@@ -79,7 +79,7 @@
         self.started: RolloutStarted | None = None
         self.token = 0
         self.stage = 0
-        self.touched_targets: list[str] = []
+        self.attempted_targets: list[str] = []
         self.rollback_started: set[str] = set()
         self.changed_pids: dict[str, int] = {}
         self.rolled_back: dict[str, bool] = {}
@@ -164,8 +164,8 @@
             return
         self.passed_stage = min(self.passed_stage, self.stage - 1)  # changed again means watched again
         self.changed_pids.pop(record.target, None)
-        if record.target not in self.touched_targets:
-            self.touched_targets.append(record.target)
+        if record.target not in self.attempted_targets:
+            self.attempted_targets.append(record.target)
 
     def _apply_changed(self, record: TargetChanged) -> None:
         if record.rollback:
--- a/quota_gateway/rollout/settings_rollout.py
+++ b/quota_gateway/rollout/settings_rollout.py
@@ -50,7 +50,7 @@
         """Write the new file and have it loaded on trial; see the base."""
         digest = self.started.after[target]
         self._write_new_file(target, digest)
-        answer = await self.clients.call(target, f"RELOAD CONFIRM {self.plan.trial_s}")
+        answer = await self.clients.reload_on_trial(target, self.plan.trial_s)
         if not answer.accepted and not answer.text.startswith("not done"):
             raise ChangeRejectedError(f"{target}: {answer.text}")
         await self._require_in_force(target, digest)
@@ -77,7 +77,7 @@
         for target in targets:
             with suppress(UnreachableError):
                 if (await self.clients.configuration(target)).on_trial:
-                    await self.clients.call(target, f"RELOAD CONFIRM {self.plan.trial_s}")
+                    await self.clients.reload_on_trial(target, self.plan.trial_s)
 
     async def failure_of(self, target: str) -> str:  # noqa: ARG002 - of the base class
         """None: a gateway that can't be reached may be well."""
@@ -89,7 +89,7 @@
         if in_force.digest != self.started.after[target]:
             return False
         if in_force.on_trial:
-            answer = await self.clients.call(target, "CONFIRM")
+            answer = await self.clients.confirm_trial(target)
             if not answer.accepted:
                 raise UnreachableError(f"{target}: {answer.text}")
         return True
@@ -100,7 +100,10 @@
         self._restore_file(target)
         in_force = await self.clients.configuration(target)
         if in_force.digest != digest:
-            await self.clients.call(target, "ROLLBACK" if in_force.on_trial else "RELOAD")
+            if in_force.on_trial:
+                await self.clients.end_trial(target)
+            else:
+                await self.clients.reload(target)
             await self._require_in_force(target, digest)
 
     def _restore_file(self, target: str) -> None:
--- a/quota_gateway/rollout/stage_runner.py
+++ b/quota_gateway/rollout/stage_runner.py
@@ -22,9 +22,9 @@
     TargetChanged,
     TargetChanging,
 )
-from quota_gateway.rollout.pacing import retry_while_unreachable
 from quota_gateway.rollout.rollout_context import RolloutContext
-from quota_gateway.rollout.rollout_log import log_result, log_target_went_back
+from quota_gateway.rollout.rollout_log import log_result, log_target_reverted
+from quota_gateway.rollout.step_runner import retry_while_unreachable
 from quota_gateway.rollout.target_checks import TargetChecks
 
 
@@ -98,7 +98,7 @@
             self.context.halt(f"can't be changed: {error}")
 
     async def _change_target(self, name: str) -> None:
-        if name not in self.state.touched_targets:
+        if name not in self.state.attempted_targets:
             self.context.record(TargetChanging(self.context.now_s(), name))
 
         async def apply() -> None:
@@ -145,12 +145,12 @@
     async def confirm(self) -> None:
         """Make every target keep the change; one that went back by itself is changed and watched again."""
         stage = self.state.stage
-        went_back: list[str] = []
+        reverted_targets: list[str] = []
 
         async def confirm_target(name: str) -> None:
             async def keep() -> None:
                 if not await self.context.strategy.keep(name):
-                    went_back.append(name)
+                    reverted_targets.append(name)
 
             await retry_while_unreachable(keep, self.plan.target_timeout_s)
 
@@ -162,11 +162,11 @@
         except UnreachableError as error:
             self.context.halt(f"can't be told to keep it: {error}")
             return
-        for name in went_back:
-            self._record_went_back(name)
-        if not went_back:
+        for name in reverted_targets:
+            self._record_reverted(name)
+        if not reverted_targets:
             self.context.record(StageConfirmed(self.context.now_s(), stage))
 
-    def _record_went_back(self, name: str) -> None:
-        log_target_went_back(name)
+    def _record_reverted(self, name: str) -> None:
+        log_target_reverted(name)
         self.context.record(TargetChanging(self.context.now_s(), name))
--- a/quota_gateway/rollout/status.py
+++ b/quota_gateway/rollout/status.py
@@ -12,7 +12,7 @@
 def target_standings(plan: Plan, state: RolloutState) -> dict[str, str]:
     """Each target's standing, by name."""
     standings = dict.fromkeys(plan.target_names(), "as before")
-    standings |= dict.fromkeys(state.touched_targets, "being changed")
+    standings |= dict.fromkeys(state.attempted_targets, "being changed")
     standings |= dict.fromkeys(state.changed_pids, "changed")
     confirmed_stages = state.started.stages[: state.stage] if state.started else []
     for targets in confirmed_stages:
--- a/quota_gateway/rollout/window_counts.py
+++ b/quota_gateway/rollout/window_counts.py
@@ -114,6 +114,8 @@
 
 def merge_blocks(windows: Sequence[EventCount], size: int) -> list[EventCount]:
     """Each ``size`` consecutive windows as one; what is left over at the end is not used."""
+    if size == 1:
+        return list(windows)
     blocks = [windows[start : start + size] for start in range(0, len(windows) - size + 1, size)]
     return [
         EventCount(sum(window.events for window in block), sum(window.answered for window in block))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -209,7 +209,7 @@
         assert len(list(journal.records(flipped))) == whole
     path.write_bytes(raw[:-3])
     again = journal.Journal(path, lambda: 1.0)  # a clock that went back does not lower the token
-    assert again.state.touched_targets == ["g0", "g1"]
+    assert again.state.attempted_targets == ["g0", "g1"]
     assert again.state.token == 5001
     again.write(journal_records.RolloutHalted(1.0, "x"))
     again.close()
@@ -346,7 +346,7 @@
         assert await made.to_end(bad) == 1, made.log()
         state = journal.read(bad.with_suffix(".journal"))
         assert state.outcome == "back"
-        assert state.touched_targets == ["g0"]
+        assert state.attempted_targets == ["g0"]
         assert "refused" in state.rollback_reason
         assert await made.goes_by(made.old)
         assert made.rig.members["g0"].config.read_bytes() == made.old["g0"]
@@ -667,7 +667,7 @@
         assert await made.to_end(plan) == 1, made.log()
         state = journal.read(plan.with_suffix(".journal"))
         assert state.outcome == "back", state.rollback_reason
-        assert state.touched_targets == ["g0"], state.rollback_reason
+        assert state.attempted_targets == ["g0"], state.rollback_reason
         assert why in state.rollback_reason, state.rollback_reason
         assert await run_by(made, ROOT)
 
@@ -778,7 +778,7 @@
         assert await running.wait() == 1, made.log()
         state = journal.read(plan.with_suffix(".journal"))
         assert state.outcome == "back", state.rollback_reason
-        assert state.touched_targets == ["g0"]
+        assert state.attempted_targets == ["g0"]
         assert ENDED in state.rollback_reason
         assert await run_by(made, earlier_version.folder)
         assert "1 servers out" in await made.rig.door("g0", "HEALTH")
--- a/tests/test_rollout_journal.py
+++ b/tests/test_rollout_journal.py
@@ -51,7 +51,7 @@
         "begun": state.started,
         "token": state.token,
         "stage": state.stage,
-        "touched": state.touched_targets,
+        "touched": state.attempted_targets,
         "returning": sorted(state.rollback_started),
         "changed": state.changed_pids,
         "back": state.rolled_back,
