--- a/quota_gateway/api/__init__.py
+++ b/quota_gateway/api/__init__.py
@@ -1,7 +1,8 @@
-"""The types that go in and out of the decisions: words, settings, events, actions.
+"""The types that go in and out of the decisions: enums, settings, events and actions.
 
-All times are milliseconds. Whoever drives a gateway owes it one ``Outcome`` for each ``Send`` and one
-``TimerFired`` for each ``SetTimer``; the gateway owes each ``Request`` exactly one final answer.
+All times are milliseconds. A driver passes events to a gateway and carries out the actions that it returns,
+in order. It must pass one ``AttemptEnded`` for each ``Send`` and one ``TimerFired`` for each ``SetTimer``.
+The gateway gives each ``Request`` exactly one final answer: a response of a server, ``Reject`` or ``Fail``.
 """
 
 from quota_gateway.api.actions import (
--- a/quota_gateway/api/actions.py
+++ b/quota_gateway/api/actions.py
@@ -1,4 +1,4 @@
-"""What the decisions want done; carried out in order."""
+"""Actions: what the driver carries out for the decisions, in order."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Send(RequestMessage):
-    """Start an attempt. ``timeout_ms`` of 0: as long as the client waits. Attempts count from 0.
+    """Start an attempt at a server. Attempts of a request count from 0.
 
-    ``begin_within_ms`` above 0: an earlier attempt may have run, and a repeat is harmless only if it has
-    arrived within this time; it is given up if it has not been written by then.
+    A ``timeout_ms`` of 0 means as long as the client waits. With ``begin_within_ms`` above 0 an earlier
+    attempt may have been executed, and the server recognises the repeat only if it arrives within this time:
+    an attempt that has not been written by then is given up.
     """
 
     server: int
@@ -23,24 +24,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject(RequestMessage):
-    """Final answer: nothing was done, a retry is harmless; not before ``retry_after_ms`` if above 0."""
+    """Final answer: nothing was executed, and a retry is safe, after ``retry_after_ms`` if above 0."""
 
     retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Fail(RequestMessage):
-    """Final answer: failed, and nothing is promised about the effect."""
+    """Final answer: the request failed, and it may have been executed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel(AttemptMessage):
-    """Stop waiting for an attempt; its outcome is still owed."""
+    """Stop an attempt; its ``AttemptEnded`` must still follow."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Deliver ``TimerFired(token)`` after this time; timers are not taken back."""
+    """Deliver ``TimerFired(token)`` after a delay; timers are never cancelled."""
 
     token: int
     delay_ms: float
@@ -48,45 +49,46 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the people on call."""
+    """Write a line to the log."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for changes from now on, or for none."""
+    """Subscribe to discovery's changes, or end the subscription."""
 
     active: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    """Ask discovery for the whole list once."""
+    """Ask discovery for the complete endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheck(ServerMessage):
-    """Ask a server how it is; costs it work."""
+    """Check a server's health, which costs it work."""
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdle(ServerMessage):
-    """Close this gateway's idle connections to a server."""
+    """Close the idle connections to a server."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetServerUsable(ServerMessage):
-    """Whether connections to a server may be used, on top of what its list says."""
+    """Allow or forbid the use of connections to a server, whatever the endpoint list says."""
 
     usable: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SetServing:
-    """Whether the front is told to send clients, and how long their connections are kept without a request.
+    """Tell the load balancer in front whether to send clients here, and when to close their connections.
 
-    ``linger_ms`` of inf keeps them; else each is closed as its last answer goes out, or after so long.
+    A ``linger_ms`` of inf keeps connections open. Otherwise each is closed with its last response, or after
+    it was idle for this time.
     """
 
     serving: bool
@@ -95,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
-    """Send bytes to one gateway, or to all with -1."""
+    """Send bytes to one gateway, or to all if ``peer`` is -1."""
 
     peer: int
     data: bytes
@@ -103,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncrementCounter:
-    """Add to a shared count; a new name is forgotten after ``lifetime_ms``."""
+    """Add to a shared counter; one that is new is dropped after ``lifetime_ms``."""
 
     name: int
     amount: float
--- a/quota_gateway/api/enums.py
+++ b/quota_gateway/api/enums.py
@@ -1,4 +1,7 @@
-"""The words of the interface: kinds, states and outcomes; what most events and actions concern."""
+"""Enums of events, actions and settings, and the base classes of messages about one request or server.
+
+The enums' values are written in configurations and recordings: members may be renamed, values may not.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a request may be repeated: freely, within a group that knows its key, or never."""
+    """Whether a request may be repeated: always, where servers know its idempotency key, or never."""
 
     IDEMPOTENT = "safe"
     WITH_KEY = "keyed"
@@ -15,7 +18,7 @@
 
 
 class IdempotencyScope(Enum):
-    """Which servers drop repeats of a keyed request."""
+    """Which servers recognise the repeat of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -23,14 +26,14 @@
 
 
 class DiscoveryMode(Enum):
-    """How server lists come: unasked, or only after ``Subscribe`` or ``FetchList``."""
+    """How endpoint lists come: pushed by discovery, or only after ``Subscribe`` or ``FetchList``."""
 
     PUSH = "push"
     POLL = "ask"
 
 
 class ServerState(Enum):
-    """What discovery says of a server's process."""
+    """State of a server's process by the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -38,7 +41,7 @@
 
 
 class ListKind(Enum):
-    """What a server list holds: changes, everything, everything as last known, or a failed call."""
+    """What an endpoint list holds: changes, all servers, all as last known, or nothing as the call failed."""
 
     CHANGES = "changes"
     COMPLETE = "full"
@@ -47,7 +50,10 @@
 
 
 class Status(Enum):
-    """How an attempt, a probe or a counter call ended. OVERLOADED, CONNECT_FAILED and NOT_SENT never ran."""
+    """How an attempt, a health check or a counter call ended.
+
+    Of OVERLOADED, CONNECT_FAILED and NOT_SENT it is certain that nothing was executed.
+    """
 
     OK = "ok"
     ERROR = "error"
@@ -61,20 +67,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMessage:
-    """What concerns one request in hand, by the id that its client gave it."""
+    """Base of messages about one pending request, by the id that its client gave it."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptMessage(RequestMessage):
-    """What concerns one attempt of a request; attempts count from 0."""
+    """Base of messages about one attempt of a request; attempts count from 0."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class ServerMessage:
-    """What concerns one server, by its number in the lists."""
+    """Base of messages about one server, by its number in the endpoint lists."""
 
     server: int
--- a/quota_gateway/api/events.py
+++ b/quota_gateway/api/events.py
@@ -1,4 +1,4 @@
-"""What the decisions are told. Event times come from the caller's clock, given to ``Gateway.handle``."""
+"""Events: what has happened, for the decisions. Their time is passed to ``Gateway.handle`` beside them."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
     ServerState,
     Status,
 )
-from quota_gateway.api.settings import Settings, check
+from quota_gateway.api.settings import Settings, require_numbers
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """A server in a list. ``started_ms`` is the clock time of its last start, 0 if long past."""
+    """A server of an endpoint list. ``started_ms`` is the time of its last start, 0 if long past."""
 
     server: int
     zone: str
@@ -30,7 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """Discovery's news. CHANGES alter the list held; FULL and CACHED replace it; FAILED has no entries."""
+    """An endpoint list from discovery.
+
+    CHANGES alter the list in use, COMPLETE and CACHED replace it, FAILED has no entries.
+    """
 
     kind: ListKind
     entries: tuple[ServerEntry, ...] = ()
@@ -39,7 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Request(RequestMessage):
-    """A client's request; it may come through ``gateway_span`` gateways from number ``first_gateway`` on."""
+    """A client's request.
+
+    Its customer's requests may come through ``gateway_span`` gateways, counted from ``first_gateway``.
+    """
 
     class_name: str
     plan: str
@@ -52,16 +58,17 @@
     is_write: bool = False
 
     def __post_init__(self) -> None:
-        check(self, 0.0, "units", "client_timeout_ms")
-        check(self, 1, "gateway_span")
+        require_numbers(self, 0.0, units=self.units, client_timeout_ms=self.client_timeout_ms)
+        require_numbers(self, 1, gateway_span=self.gateway_span)
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded(AttemptMessage):
-    """How an attempt ended; one for each Send. ``closed``: the request has had its final answer.
+    """How an attempt ended; one for each ``Send``. If ``closed``, the request has had its final answer.
 
-    ``used_percent`` is the customer's late metered use by all gateways, in percent of its rate;
-    ``final_units`` replaces a guess; ``load`` has a value for each of ``Settings.load_fields``.
+    ``metered_use_percent`` is a late reading of the customer's use over all gateways, in percent of its rate.
+    ``final_units`` replaces the estimate of the request. ``load`` has a value for each of
+    ``Settings.load_fields``.
     """
 
     server: int
@@ -75,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted(AttemptMessage):
-    """A streamed answer has begun: the attempt is the client's now and has no deadline."""
+    """A streamed response has begun: the client sets its pace from now on, and no deadline applies."""
 
     server: int
     latency_ms: float
@@ -83,19 +90,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected(RequestMessage):
-    """The client has left; nothing more is owed for this request."""
+    """The client has disconnected; the request needs no answer any more."""
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set with ``SetTimer`` has fallen due."""
+    """A timer of ``SetTimer`` is due."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult(ServerMessage):
-    """The answer to one ``Probe``."""
+    """The result of one ``HealthCheck``."""
 
     status: Status
     latency_ms: float
@@ -104,47 +111,50 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownBegun:
-    """The gateway will be ended: every request in hand, and any that still comes, is answered within this."""
+    """The gateway shuts down: what is pending, and what still comes, must be answered within this time."""
 
     within_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class ServerAdminDown(ServerMessage):
-    """An operator takes a server out, or says that it may serve again, whatever discovery lists."""
+    """An operator takes a server out of service or back, whatever the endpoint list says."""
 
     admin_down: bool
 
 
 @dataclass(frozen=True, slots=True)
 class DrainChanged:
-    """An operator wants no clients here any more, or wants them back; the gateway lives on."""
+    """An operator drains the gateway of clients or ends the drain; its process lives on."""
 
     active: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """The settings are these from now on; what is in hand keeps its class and its plan."""
+    """New settings are in force; pending requests keep their class and plan."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class IdleConnectionChanged(ServerMessage):
-    """Whether a connection to a server stands idle: an attempt there costs no handshake."""
+    """Whether a connection to a server is idle, so that an attempt there costs no handshake."""
 
     has_idle: bool
 
 
 @dataclass(frozen=True, slots=True)
 class HotRestartBegun:
-    """The next process takes over: what is in hand here is reserved there, and its ends are told."""
+    """The next process takes over. It reserves what is pending here, and hears as it ends."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerUsage:
-    """What the process before this one still holds of a customer, and has charged since it handed over."""
+    """What the process before this one has in flight for a customer, and has charged since it handed over.
+
+    Also the action by which that process reports it.
+    """
 
     plan: str
     customer: str
@@ -155,7 +165,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerExited:
-    """The other process of this gateway has ended: it holds nothing, and takes nothing."""
+    """The other process of this gateway has ended, and has nothing in flight any more."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -168,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterResult:
-    """The answer to one ``CounterAdd``; ``total`` counts with OK only."""
+    """The result of one ``IncrementCounter``; ``total`` is valid with ``Status.OK`` only."""
 
     name: int
     status: Status
--- a/quota_gateway/api/settings.py
+++ b/quota_gateway/api/settings.py
@@ -1,31 +1,45 @@
-"""The settings of the decisions, checked as they are made. All times are milliseconds."""
+"""Settings of the decisions, validated as they are made. All times are milliseconds."""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass
+from math import inf
 
 from quota_gateway.api.enums import DiscoveryMode, Idempotency, IdempotencyScope
 
-DEFAULT_IDLE_MS = 30_000.0  # of a connection, where the settings do not tell
+DEFAULT_IDLE_MS = 30_000.0
 
 
-def check(owner: object, low: float, *names: str) -> None:
-    """Raise ValueError for the first named field that is not a number of at least ``low``."""
-    for name in names:
-        value = getattr(owner, name)
-        if isinstance(value, bool) or not isinstance(value, (int, float)) or not low <= value < float("inf"):
-            raise ValueError(f"{type(owner).__name__}.{name}: {value!r} is not a number of at least {low}")
+def require_numbers(owner: object, minimum: float, **fields: float) -> None:
+    """Raise ValueError for the first field that is not a finite number of at least ``minimum``."""
+    for name, value in fields.items():
+        if isinstance(value, bool) or not isinstance(value, (int, float)) or not minimum <= value < inf:
+            raise ValueError(
+                f"{type(owner).__name__}.{name}: {value!r} is not a number of at least {minimum}"
+            )
 
 
-def refuse_if(wrong: bool, owner: object, name: str, reason: str) -> None:
-    """Raise ValueError that names the field and its value."""
-    if wrong:
-        raise ValueError(f"{type(owner).__name__}.{name}: {getattr(owner, name)!r} {reason}")
+def require(condition: bool, owner: object, name: str, value: object, reason: str) -> None:
+    """Raise ValueError that names the field, its value and the reason, unless the condition holds."""
+    if not condition:
+        raise ValueError(f"{type(owner).__name__}.{name}: {value!r} {reason}")
+
+
+def require_unique_names(owner: object, field: str, items: tuple[object, ...], names: Iterable[str]) -> None:
+    """Raise ValueError if a list of named settings is empty or has a name twice."""
+    found = list(names)
+    require(bool(found), owner, field, items, "is empty")
+    require(len(set(found)) == len(found), owner, field, items, "names one twice")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests. ``priority_weight`` is per unit; past the objective ``late_value_ratio`` of it."""
+    """A class of requests: its latency objective, its value and how it may be retried.
+
+    ``priority_weight`` is the value of one unit answered within the objective; later it is worth
+    ``late_value_ratio`` of that.
+    """
 
     name: str
     latency_objective_ms: float
@@ -34,38 +48,42 @@
     priority_weight: float = 1.0
     late_value_ratio: float = 0.0
     idempotency_scope: IdempotencyScope = IdempotencyScope.ALL
-    idempotency_window_ms: float = 0.0
+    idempotency_window_ms: float = 0.0  # how long servers remember an idempotency key
     streamed: bool = False
     objective_stretch: float = 0.0
 
     def __post_init__(self) -> None:
-        refuse_if(not self.name, self, "name", "is empty")
-        check(
+        require(bool(self.name), self, "name", self.name, "is empty")
+        require_numbers(
             self,
             0.0,
-            "latency_objective_ms",
-            "deadline_ms",
-            "priority_weight",
-            "late_value_ratio",
-            "idempotency_window_ms",
-            "objective_stretch",
+            latency_objective_ms=self.latency_objective_ms,
+            deadline_ms=self.deadline_ms,
+            priority_weight=self.priority_weight,
+            late_value_ratio=self.late_value_ratio,
+            idempotency_window_ms=self.idempotency_window_ms,
+            objective_stretch=self.objective_stretch,
         )
-        refuse_if(self.deadline_ms <= 0, self, "deadline_ms", "leaves no time")
-        refuse_if(self.latency_objective_ms <= 0, self, "latency_objective_ms", "leaves no time")
+        leaves_no_time = "leaves no time"
+        require(self.deadline_ms > 0, self, "deadline_ms", self.deadline_ms, leaves_no_time)
+        objective_ms = self.latency_objective_ms
+        require(objective_ms > 0, self, "latency_objective_ms", objective_ms, leaves_no_time)
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan's quota per customer over all gateways: units a second, units at once, attempts out.
+    """A plan: what each of its customers may use over all gateways.
 
-    A rate, an in-flight limit or a ceiling rate of 0 means that the plan has none.
+    Its quota is ``rate`` units a second with a ``burst`` in units; beyond it a gateway may go, at a cost. Its
+    rate ceiling (``ceiling_rate`` units a second, ``ceiling_burst`` units) and its concurrency cap
+    (``max_in_flight`` attempts) are hard. A rate, a ceiling rate or a cap of 0 means that there is none.
     """
 
     name: str
     rate: float = 0.0
     burst: float = 0.0
     max_in_flight: int = 0
-    price: float = 1.0
+    price: float = 1.0  # factor of the classes' priority weights
     overuse_value: float = 0.0
     overuse_cost: float = 0.0
     ceiling_rate: float = 0.0
@@ -73,20 +91,33 @@
     ceiling_slack: float = 0.0
 
     def __post_init__(self) -> None:
-        refuse_if(not self.name, self, "name", "is empty")
-        check(self, 0.0, "rate", "burst", "max_in_flight", "price", "overuse_value", "overuse_cost")
-        check(self, 0.0, "ceiling_rate", "ceiling_burst", "ceiling_slack")
-        refuse_if(self.rate > 0 and self.burst <= 0, self, "burst", "is nothing though there is a rate")
-        nothing = self.ceiling_rate > 0 and self.ceiling_burst <= 0
-        refuse_if(nothing, self, "ceiling_burst", "is nothing though there is a ceiling")
+        require(bool(self.name), self, "name", self.name, "is empty")
+        require_numbers(
+            self,
+            0.0,
+            rate=self.rate,
+            burst=self.burst,
+            max_in_flight=self.max_in_flight,
+            price=self.price,
+            overuse_value=self.overuse_value,
+            overuse_cost=self.overuse_cost,
+            ceiling_rate=self.ceiling_rate,
+            ceiling_burst=self.ceiling_burst,
+            ceiling_slack=self.ceiling_slack,
+        )
+        has_burst = self.burst > 0 or not self.rate
+        require(has_burst, self, "burst", self.burst, "is nothing though there is a rate")
+        has_ceiling_burst = self.ceiling_burst > 0 or not self.ceiling_rate
+        reason = "is nothing though there is a ceiling"
+        require(has_ceiling_burst, self, "ceiling_burst", self.ceiling_burst, reason)
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
     """What the site permits a gateway to do."""
 
-    max_attempts: int = 1
-    may_duplicate: bool = False
+    max_attempts: int = 1  # of one request
+    may_duplicate: bool = False  # whether hedged requests are allowed
     can_cancel: bool = False
     can_probe: bool = False
     can_message_peers: bool = False
@@ -97,66 +128,81 @@
     connection_idle_ms: float = DEFAULT_IDLE_MS
 
     def __post_init__(self) -> None:
-        check(self, 1, "max_attempts", "max_open")
-        check(self, 0.0, "connect_timeout_ms", "max_retry_after_ms", "connection_idle_ms")
+        require_numbers(self, 1, max_attempts=self.max_attempts, max_open=self.max_open)
+        require_numbers(
+            self,
+            0.0,
+            connect_timeout_ms=self.connect_timeout_ms,
+            max_retry_after_ms=self.max_retry_after_ms,
+            connection_idle_ms=self.connection_idle_ms,
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Contract:
-    """The figures of the rules: answers, drains and cold servers."""
+    """Figures of the platform's rules: for answers, draining servers and servers that warm up."""
 
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
-    initial_capacity_ratio: float = 1.0
+    initial_capacity_ratio: float = 1.0  # of a server that has just started
     warm_up_ms: float = 0.0
     overload_multiple: float = 1.0
     overload_window_ms: float = 0.0
-    poll_within_ms: float = 0.0
+    poll_within_ms: float = 0.0  # how soon discovery must be polled
 
     def __post_init__(self) -> None:
-        check(self, 0.0, "answer_slack_ms", "drain_grace_ms", "initial_capacity_ratio", "warm_up_ms")
-        check(self, 0.0, "overload_multiple", "overload_window_ms", "poll_within_ms")
-        refuse_if(self.initial_capacity_ratio > 1, self, "initial_capacity_ratio", "is more than the whole")
+        require_numbers(
+            self,
+            0.0,
+            answer_slack_ms=self.answer_slack_ms,
+            drain_grace_ms=self.drain_grace_ms,
+            initial_capacity_ratio=self.initial_capacity_ratio,
+            warm_up_ms=self.warm_up_ms,
+            overload_multiple=self.overload_multiple,
+            overload_window_ms=self.overload_window_ms,
+            poll_within_ms=self.poll_within_ms,
+        )
+        ratio = self.initial_capacity_ratio
+        require(ratio <= 1, self, "initial_capacity_ratio", ratio, "is more than the whole")
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a gateway is told at its start."""
+    """All settings of a gateway's decisions."""
 
-    gateways: int
-    index: int
+    gateways: int  # how many share the customers' quotas
+    index: int  # of this gateway among them
     zone: str
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     limits: Limits = Limits()
     contract: Contract = Contract()
     discovery: DiscoveryMode = DiscoveryMode.PUSH
-    load_fields: tuple[str, ...] = ()
+    load_fields: tuple[str, ...] = ()  # names of the values in servers' load reports
     meter_period_ms: float = 0.0
-    largest_units: float = 1.0
+    largest_units: float = 1.0  # of one request
     settles: bool = False
     has_counter: bool = False
     counter_timeout_ms: float = 0.0
-    tick_ms: float = 1.0
+    tick_ms: float = 1.0  # resolution of timers
     cross_zone_price: float = 0.0
     handshake_price: float = 0.0
 
     def __post_init__(self) -> None:
-        check(self, 1, "gateways")
-        check(
+        require_numbers(self, 1, gateways=self.gateways)
+        require_numbers(
             self,
             0.0,
-            "index",
-            "meter_period_ms",
-            "counter_timeout_ms",
-            "tick_ms",
-            "cross_zone_price",
-            "handshake_price",
+            index=self.index,
+            meter_period_ms=self.meter_period_ms,
+            counter_timeout_ms=self.counter_timeout_ms,
+            tick_ms=self.tick_ms,
+            cross_zone_price=self.cross_zone_price,
+            handshake_price=self.handshake_price,
         )
-        refuse_if(self.index >= self.gateways, self, "index", "is not below the number of gateways")
-        check(self, 0.0, "largest_units")
-        refuse_if(self.largest_units <= 0, self, "largest_units", "is nothing")
-        for name in ("classes", "plans"):
-            names = [item.name for item in getattr(self, name)]
-            refuse_if(not names, self, name, "is empty")
-            refuse_if(len(set(names)) != len(names), self, name, "names one twice")
+        is_one_of_them = self.index < self.gateways
+        require(is_one_of_them, self, "index", self.index, "is not below the number of gateways")
+        require_numbers(self, 0.0, largest_units=self.largest_units)
+        require(self.largest_units > 0, self, "largest_units", self.largest_units, "is nothing")
+        require_unique_names(self, "classes", self.classes, (item.name for item in self.classes))
+        require_unique_names(self, "plans", self.plans, (item.name for item in self.plans))
