--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -32,6 +32,7 @@
         self._offset = time.time() - time.monotonic()
 
     def __call__(self) -> float:
+        """The time now (ms)."""
         return (time.monotonic() + self._offset) * 1000.0
 
 
@@ -57,7 +58,7 @@
         request_id: str,
         encode: Callable[[float], bytes],
         on_answer: Callable[[bytes], None],
-        on_value: Callable[[int, Source], Sink | None] = lambda length, source: None,
+        on_value: Callable[[int, Source], Sink | None] = lambda _length, _source: None,
     ) -> None:
         self.request_id = request_id
         self.encode = encode
