--- a/quota_gateway/net/metrics.py
+++ b/quota_gateway/net/metrics.py
@@ -14,6 +14,8 @@
 from math import log2
 from pathlib import Path
 
+from quota_gateway.state import GiveUpReason
+
 LATENCY_BUCKETS_PER_DOUBLING = 4  # a bucket is 19% wide
 MAX_LATENCY_BUCKET = 68  # begins at 131 s; bucket 0 holds all below 1 ms
 
@@ -67,7 +69,7 @@
         self.late_total += latency_ms > latency_objective_ms
         self.latency_buckets[latency_bucket(latency_ms)] += 1
 
-    def to_json(self, reasons: Counter[str], in_flight: int, configuration_digest: str) -> str:
+    def to_json(self, reasons: Counter[GiveUpReason], in_flight: int, configuration_digest: str) -> str:
         """All counters as a JSON object on one line, by the keys that operators' tools read."""
         document = {
             "pid": os.getpid(),
--- a/quota_gateway/recording/__main__.py
+++ b/quota_gateway/recording/__main__.py
@@ -38,15 +38,16 @@
     for file in files:
         with open(file, "rb") as source:
             try:
-                played = play(iter(source))
+                comparison = play(iter(source))
             except RecordingError as error:
                 print(f"{file}: {error}", file=sys.stderr)
                 return 2
-        same = same and played.same
-        events = events + played.events
-        actions = actions + played.actions
-        if not played.same:
-            print(f"{file}: {played.difference or f'cut off after {played.events} events, the same so far'}")
+        same = same and comparison.is_same
+        events = events + comparison.events
+        actions = actions + comparison.actions
+        if not comparison.is_same:
+            cut_off = f"cut off after {comparison.events} events, the same so far"
+            print(f"{file}: {comparison.difference or cut_off}")
     print(f"{events} events, {actions} actions compared: {'the same' if same else 'NOT the same'}")
     return 0 if same else 1
 
--- a/quota_gateway/recording/codec.py
+++ b/quota_gateway/recording/codec.py
@@ -1,27 +1,31 @@
-"""Lines of a recording: events, actions and settings as JSON and back (msgspec)."""
+"""Lines of a recording, version 1: events, actions and settings as JSON and back; and their comparison.
+
+The first line is the head. Each further line is a JSON array: ``["open", gateway, seed, settings]``,
+``["event", gateway, now_ms, type, event, actions]`` or, at the end, ``["end", events]``.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterator, Sequence
 from contextlib import contextmanager
 from dataclasses import dataclass
-from typing import Any, BinaryIO, NamedTuple, get_args
+from typing import Any, BinaryIO, get_args
 
 import msgspec
 
 from quota_gateway import Gateway, api
 from quota_gateway.compatibility import RECORDING_HEAD
+from quota_gateway.errors import GatewayError
 from quota_gateway.recording.names import from_recorded, recorded_name, to_recorded
 
-HEAD = RECORDING_HEAD
-EVENTS: dict[str, type] = {recorded_name(item): item for item in get_args(api.Event)}
+EVENT_TYPES: dict[str, type] = {recorded_name(kind): kind for kind in get_args(api.Event)}
 
 
-class RecordingError(Exception):
-    """What is read is no recording; the message names the line, counted from 1."""
+class RecordingError(GatewayError):
+    """A file is no recording, or damaged before its last line; the message names the line, from 1."""
 
 
-def named(actions: Sequence[api.Action]) -> list[list[Any]]:
+def recorded_actions(actions: Sequence[api.Action]) -> list[list[Any]]:
     """Actions as they are written, each with the name of its type."""
     return [[recorded_name(type(action)), to_recorded(action)] for action in actions]
 
@@ -32,30 +36,31 @@
     def __init__(self, sink: BinaryIO) -> None:
         self.sink = sink
         self.events = 0
-        self._line(HEAD)
+        self._write_line(RECORDING_HEAD)
 
-    def open(self, name: str, settings: api.Settings, seed: int) -> Recorded:
-        """A gateway of this name whose events are recorded. One opened again begins anew."""
-        self._line(msgspec.json.encode(["open", name, seed, to_recorded(settings)]))
-        return Recorded(Gateway(settings, seed), name, self)
+    def open(self, name: str, settings: api.Settings, seed: int) -> RecordedGateway:
+        """A new gateway whose events are recorded under this name. A name opened again begins anew."""
+        self._write_line(msgspec.json.encode(["open", name, seed, to_recorded(settings)]))
+        return RecordedGateway(Gateway(settings, seed), name, self)
 
     def event(self, name: str, now_ms: float, event: api.Event, actions: Sequence[api.Action]) -> None:
-        """Write one event with all that it gave rise to."""
+        """Write one event with the actions that it gave rise to."""
         self.events += 1
-        row = ["event", name, now_ms, recorded_name(type(event)), to_recorded(event), named(actions)]
-        self._line(msgspec.json.encode(row))
+        kind = recorded_name(type(event))
+        row = ["event", name, now_ms, kind, to_recorded(event), recorded_actions(actions)]
+        self._write_line(msgspec.json.encode(row))
 
     def close(self) -> None:
         """Write the end. The file stays open."""
-        self._line(msgspec.json.encode(["end", self.events]))
+        self._write_line(msgspec.json.encode(["end", self.events]))
         self.sink.flush()
 
-    def _line(self, line: bytes) -> None:
+    def _write_line(self, line: bytes) -> None:
         self.sink.write(line + b"\n")
 
 
-class Recorded:
-    """A gateway's ``handle``, recorded."""
+class RecordedGateway:
+    """A gateway whose events are recorded."""
 
     def __init__(self, gateway: Gateway, name: str, recorder: Recorder) -> None:
         self.gateway = gateway
@@ -69,97 +74,101 @@
         return actions
 
 
-@dataclass(slots=True)
-class Played:
-    """What a comparison found. ``difference`` names line, event and both lists of actions."""
-
-    events: int = 0
-    actions: int = 0
-    whole: bool = False
-    difference: str = ""
-
-    @property
-    def same(self) -> bool:
-        """Whether every event of a whole recording gave the same actions."""
-        return self.whole and not self.difference
-
-
-class Step(NamedTuple):
-    """One recorded event, with its gateway as it stands, and the actions as they were written."""
+@dataclass(frozen=True, slots=True)
+class Step:
+    """One recorded event, the gateway as it stands before it, and the actions as they were written."""
 
     line: int  # counted from 1
     gateway: Gateway
     now_ms: float
     event: api.Event
-    recorded: list[Any]
+    recorded_actions: list[Any]
 
 
 class Recording:
-    """A recording's events in order. ``whole`` once its end was met: a torn last line leaves it false."""
+    """A recording's events in order; complete once its end was read, which a cut off one lacks."""
 
     def __init__(self, lines: Iterator[bytes]) -> None:
         self.lines = lines
-        self.whole = False
+        self.is_complete = False
         self.events = 0
         self.gateways: dict[str, Gateway] = {}
 
     def steps(self) -> Iterator[Step]:
-        """Each event. Raises RecordingError for what is no recording, or is torn before its last line."""
-        if next(self.lines, b"").rstrip(b"\n") != HEAD:
+        """Each event, up to a last line that is cut off. Raises RecordingError for any other damage."""
+        if next(self.lines, b"").rstrip(b"\n") != RECORDING_HEAD:
             raise RecordingError("line 1: not the head of a recording")
         for number, line in enumerate(self.lines, 2):
             if not line.endswith(b"\n"):
                 return  # cut off in the middle of a line
-            with told(number):
+            with _errors_of_line(number):
                 step = self._read(number, msgspec.json.decode(line))
             if step:
                 yield step
-            if self.whole:
+            if self.is_complete:
                 return
 
     def _read(self, number: int, row: list[Any]) -> Step | None:
+        """The event of a line; None for the other kinds of lines. Raises as ``_errors_of_line`` maps."""
         match row:
             case ["open", name, seed, settings]:
                 self.gateways[name] = Gateway(from_recorded(settings, api.Settings), seed)
-            case ["event", name, now_ms, kind, event, recorded]:
+            case ["event", name, now_ms, kind, recorded_event, actions]:
                 self.events += 1
-                made: api.Event = from_recorded(event, EVENTS[kind])
-                return Step(number, self.gateways[name], now_ms, made, recorded)
+                event: api.Event = from_recorded(recorded_event, EVENT_TYPES[kind])
+                return Step(number, self.gateways[name], now_ms, event, actions)
             case ["end", count]:
                 if count != self.events:
                     raise ValueError(f"{self.events} events, the end says {count}")
-                self.whole = True
+                self.is_complete = True
             case _:
                 raise ValueError(f"{str(row)[:80]} is no line of a recording")
         return None
 
 
 @contextmanager
-def told(number: int) -> Iterator[None]:
-    """Whatever is wrong with a line becomes a RecordingError that names it."""
+def _errors_of_line(number: int) -> Iterator[None]:
+    """Raise RecordingError with the line's number for what is wrong with it."""
     try:
         yield
     except (msgspec.DecodeError, KeyError, TypeError, ValueError) as error:
+        # no JSON; a gateway or type that is not known; a field too many; a value that settings reject
         raise RecordingError(f"line {number}: {type(error).__name__}: {error}") from None
 
 
-def play(lines: Iterator[bytes]) -> Played:
-    """Feed a recording's events to the decisions and compare, up to the first difference.
+@dataclass(slots=True)
+class Comparison:
+    """What playing a recording found. ``difference`` names line, event and both lists of actions."""
+
+    events: int = 0
+    actions: int = 0
+    is_complete: bool = False
+    difference: str = ""
+
+    @property
+    def is_same(self) -> bool:
+        """Whether every event of a complete recording gave the same actions."""
+        return self.is_complete and not self.difference
+
+
+def play(lines: Iterator[bytes]) -> Comparison:
+    """Feed a recording's events to the decisions and compare the actions, up to the first difference.
 
-    What is cut off is compared as far as it goes, and is not ``whole``. Raises RecordingError, as
+    One that is cut off is compared as far as it goes, and is not complete. Raises RecordingError as
     ``Recording.steps``.
     """
-    played = Played()
+    comparison = Comparison()
     recording = Recording(lines)
     for step in recording.steps():
-        with told(step.line):
+        with _errors_of_line(step.line):
             actions = step.gateway.handle(step.now_ms, step.event)
-        found = msgspec.json.decode(msgspec.json.encode(named(actions)))  # as it was written: inf is null
-        played.events = recording.events
-        played.actions = played.actions + len(found)
-        if found != step.recorded:
+        # encoded and decoded as the recording was, in which an infinite number is null
+        found = msgspec.json.decode(msgspec.json.encode(recorded_actions(actions)))
+        comparison.events = recording.events
+        comparison.actions += len(found)
+        if found != step.recorded_actions:
             where = f"line {step.line}: {type(step.event).__name__} at {step.now_ms}"
-            played.difference = f"{where}: recorded {step.recorded}, now {found}"
-            return played
-    played.whole = recording.whole
-    return played
+            comparison.difference = f"{where}: recorded {step.recorded_actions}, now {found}"
+            return comparison
+    comparison.is_complete = recording.is_complete
+    return comparison
--- a/quota_gateway/state/customer.py
+++ b/quota_gateway/state/customer.py
@@ -1,4 +1,4 @@
-"""What this gateway knows of one customer."""
+"""What a gateway knows of one customer."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Customer:
-    """One customer's row.
+    """One customer's row, with the columns of several decisions.
 
-    One row holds the columns of several decisions, as a hundred thousand customers would otherwise be several
-    hundred thousand objects. The decision named above a group of columns writes them; all others only read.
+    The module named above a group of columns writes them; all others only read. An object for each decision
+    would be several hundred thousand objects for a hundred thousand customers.
     """
 
     __slots__ = (
@@ -42,38 +42,32 @@
     ) -> None:
         self.key = key
 
-        # Written by policy/customers.py:
+        # Written by policy/customers.py
         self.requested_gateways = 1  # gateways that the last request named
-        self.serving_gateways = 1  # of them, how many there are: the quota is split evenly over these
-        self.settings_epoch = settings_epoch  # change of settings up to which this row has been brought
+        self.serving_gateways = 1  # of them, those that there are: the quota is split evenly over these
+        self.settings_epoch = settings_epoch  # up to which this row has been brought
         self.largest_request_units = 0.0
 
-        # Written by policy/quota_meter.py:
+        # Written by policy/quota_meter.py
         self.excess_milliunits = 0.0  # level of the leaky bucket at its last update
         self.excess_updated_ms = now_ms
-        self.metered_use_ratio = 0.0  # late reading of its use by all gateways, as a share of the plan's rate
+        self.metered_use_ratio = 0.0  # late reading of the use over all gateways, in rates of the plan
         self.metered_use_at_ms = -inf
         self.demand_units = 0.0  # level of a leaky bucket that counts rejected requests as well
         self.demand_updated_ms = now_ms
 
-        # Written by policy/rate_ceiling.py:
-        self.ceiling_level_units = (
-            ceiling_level_units  # units left in this gateway's share of the token bucket
-        )
+        # Written by policy/rate_ceiling.py
+        self.ceiling_level_units = ceiling_level_units  # of this gateway's share of the token bucket
         self.ceiling_updated_ms = now_ms
 
-        # Written by policy/settings_change.py:
-        self.transition_plan: Plan | None = (
-            None  # stricter limits while requests of older settings are pending
-        )
+        # Written by policy/settings_change.py and, at a transition's end, by policy/customers.py
+        self.transition_plan: Plan | None = None  # stricter limits while earlier requests are pending
         self.transition_epoch = 0
         self.pending_before_transition = 0
 
-        # Written by state/in_flight.py:
+        # Written by state/in_flight.py
         self.attempts_in_flight = 0
-        self.pending_count = 0  # while there are any, the row is not forgotten
+        self.pending_count = 0  # while there are any, the row is not evicted
 
-        # Written by policy/hot_restart.py:
-        self.peer_in_flight = (
-            0  # places under the concurrency cap that the process before this one still holds
-        )
+        # Written by policy/hot_restart.py
+        self.peer_in_flight = 0  # places under the concurrency cap that the process before this one holds
--- a/quota_gateway/state/outcome_counters.py
+++ b/quota_gateway/state/outcome_counters.py
@@ -5,6 +5,8 @@
 from collections import Counter
 from math import inf
 
+from quota_gateway.state.give_up_reason import GiveUpReason
+
 
 class OutcomeCounters:
     """Counts by reason and plan, written to the log in one line every few seconds.
@@ -15,10 +17,10 @@
     def __init__(self, log_interval_ms: float) -> None:
         self.log_interval_ms = log_interval_ms
         self.last_logged_ms = -inf
-        self.counts: dict[tuple[str, str], int] = {}  # by reason and plan, since the last log line
-        self.totals: Counter[str] = Counter()  # by reason, since the start
+        self.counts: dict[tuple[GiveUpReason, str], int] = {}  # by reason and plan, since the last log line
+        self.totals: Counter[GiveUpReason] = Counter()  # by reason, since the start
 
-    def add(self, reason: str, plan_name: str, now_ms: float, started_ms: float) -> str:
+    def add(self, reason: GiveUpReason, plan_name: str, now_ms: float, started_ms: float) -> str:
         """Count one request; returns the text of a log line once the interval has passed, else "".
 
         ``started_ms`` is the time of this gateway's first event: the first interval begins there.
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -6,8 +6,9 @@
 
 import pytest
 
+from quota_gateway.compatibility import RECORDING_HEAD
 from quota_gateway.recording import __main__ as command
-from quota_gateway.recording.codec import HEAD, Recorder, RecordingError, play
+from quota_gateway.recording.codec import Recorder, RecordingError, play
 from quota_gateway.recording.random_driver import drive
 
 SMALL = Path(__file__).parent / "recordings" / "small.jsonl"  # made by README's command
@@ -25,20 +26,20 @@
     with open(SMALL, "rb") as source:
         played = play(iter(source))
     assert played.difference == ""
-    assert played.same
+    assert played.is_same
     assert played.events >= 300
 
 
 def test_one_changed_action_among_a_hundred_thousand_is_found():
     lines = recorded(seed=7, gateways=16, steps=5000)
     played = play(iter(lines))
-    assert played.same
+    assert played.is_same
     assert played.actions >= 100_000
     number = max(n for n, line in enumerate(lines) if b'"Send",{' in line and n < 0.9 * len(lines))
     head, sent = lines[number].rsplit(b'"server":', 1)
     lines[number] = head + b'"server":9' + sent
     played = play(iter(lines))
-    assert not played.same
+    assert not played.is_same
     assert played.difference.startswith(f"line {number + 1}: ")
 
 
@@ -49,8 +50,8 @@
     played = play(iter([*lines[:31], last[: int(len(last) * kept)]]))
     assert played.events == events
     assert not played.difference
-    assert not played.whole
-    assert not played.same
+    assert not played.is_complete
+    assert not played.is_same
 
 
 @pytest.mark.parametrize(
@@ -58,11 +59,11 @@
     [
         ([], "line 1: not the head"),
         ([b"{}\n"], "line 1: not the head"),
-        ([HEAD + b"\n", b'["event"\n', b"[]\n"], "line 2: DecodeError"),
-        ([HEAD + b"\n", b'["event","g",1,"Drain",{"active":true},[]]\n'], "line 2: KeyError: 'g'"),
-        ([HEAD + b"\n", b'["open","g",1,{"gateways":0}]\n'], "line 2: ValidationError"),
-        ([HEAD + b"\n", b'["end",3]\n'], "line 2: ValueError: 0 events, the end says 3"),
-        ([HEAD + b"\n", b"7\n"], "line 2: ValueError: 7 is no line"),
+        ([RECORDING_HEAD + b"\n", b'["event"\n', b"[]\n"], "line 2: DecodeError"),
+        ([RECORDING_HEAD + b"\n", b'["event","g",1,"Drain",{"active":true},[]]\n'], "line 2: KeyError: 'g'"),
+        ([RECORDING_HEAD + b"\n", b'["open","g",1,{"gateways":0}]\n'], "line 2: ValidationError"),
+        ([RECORDING_HEAD + b"\n", b'["end",3]\n'], "line 2: ValueError: 0 events, the end says 3"),
+        ([RECORDING_HEAD + b"\n", b"7\n"], "line 2: ValueError: 7 is no line"),
     ],
 )
 def test_what_is_no_recording_is_told_by_its_line(lines, error):
