--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -48,7 +48,7 @@
         else:
             self.retry_budget.on_retry()
         number = self.in_flight.start_attempt(pending, server, now_ms)
-        self.context.decay.sends += 1
+        self.context.decay.attempts_started += 1
         self.concurrency_limit.add(request_id, number)
         begin_within_ms = idempotency_window_left_ms(pending, now_ms)
         self.context.actions.append(Send(request_id, server.id, begin_within_ms=begin_within_ms))
--- a/quota_gateway/policy/endpoint_list.py
+++ b/quota_gateway/policy/endpoint_list.py
@@ -56,4 +56,4 @@
     def refresh(self) -> None:
         """Note which servers are ready and which of them are warming up."""
         self.endpoints.refresh(self.slow_start.is_warming_up)
-        self.context.decay.servers = max(1, len(self.endpoints.servers))
+        self.context.decay.listed_servers = max(1, len(self.endpoints.servers))
--- a/quota_gateway/policy/server_selection.py
+++ b/quota_gateway/policy/server_selection.py
@@ -46,7 +46,7 @@
         settings = self.context.settings
         load = 1.0 + len(server.attempts_in_flight)
         if server.reported_queue:
-            remaining_ratio = self.decay.left(server.reported_queue_at)
+            remaining_ratio = self.decay.remaining_ratio(server.reported_queue_at)
             load += REPORTED_QUEUE_WEIGHT * server.reported_queue * remaining_ratio
         failure_probability = self.outlier_detection.failure_probability(pending, server, priors)
         latency_ratio = self.latencies.server_ratio(server)
--- a/quota_gateway/state/decay.py
+++ b/quota_gateway/state/decay.py
@@ -1,4 +1,4 @@
-"""What is left of a figure: it fades with time, but not before each server could be met again."""
+"""Decay of estimates: how much of a recorded value still counts."""
 
 from __future__ import annotations
 
@@ -8,20 +8,24 @@
 
 
 class Decay:
-    """Weights of figures by their age, in time and in attempts; bounded by nothing but the clock."""
+    """Weights of recorded values by their age, in time and in attempts.
 
-    def __init__(self, time_ms: float) -> None:
-        self.time_ms = time_ms  # the time constant
-        self.now = -inf
-        self.sends = 0  # attempts sent so far
-        self.servers = 1  # listed: so many attempts are the other time constant
+    A value fades by the slower of both ages: with few requests a server could not be tried again before all
+    that is known of it has faded by time alone.
+    """
+
+    def __init__(self, time_constant_ms: float) -> None:
+        self.time_constant_ms = time_constant_ms
+        self.now = -inf  # ms
+        self.attempts_started = 0
+        self.listed_servers = 1  # the other time constant, in attempts
 
     def moment(self) -> Moment:
-        """Now, for a figure that is noted."""
-        return (self.now, self.sends)
-
-    def left(self, then: Moment) -> float:
-        """The share, 0 to 1, that is left of a figure noted then."""
-        in_time = (self.now - then[0]) / self.time_ms
-        in_sends = (self.sends - then[1]) / self.servers
-        return exp(-in_time if in_time < in_sends else -in_sends)
+        """The present, for a value that is recorded."""
+        return (self.now, self.attempts_started)
+
+    def remaining_ratio(self, recorded_at: Moment) -> float:
+        """The part, 0 to 1, that is left of a value recorded then."""
+        age_in_time = (self.now - recorded_at[0]) / self.time_constant_ms
+        age_in_attempts = (self.attempts_started - recorded_at[1]) / self.listed_servers
+        return exp(-age_in_time if age_in_time < age_in_attempts else -age_in_attempts)
--- a/quota_gateway/state/estimates.py
+++ b/quota_gateway/state/estimates.py
@@ -25,7 +25,7 @@
         moment = self.decay.moment()
         for records, name in ((server.failure_records, key), (self.records, fleet_key)):
             failures, outcomes, recorded_at = records.get(name, (0.0, 0.0, NEVER))
-            remaining_ratio = self.decay.left(recorded_at)
+            remaining_ratio = self.decay.remaining_ratio(recorded_at)
             records[name] = (failures * remaining_ratio + failed, outcomes * remaining_ratio + 1.0, moment)
 
     def prior(self, fleet_key: str) -> float:
@@ -44,7 +44,7 @@
                 rate = prior / prior_weight
             else:
                 failures, outcomes, recorded_at = record
-                remaining_ratio = self.decay.left(recorded_at)
+                remaining_ratio = self.decay.remaining_ratio(recorded_at)
                 rate = (failures * remaining_ratio + prior) / (outcomes * remaining_ratio + prior_weight)
             if rate > highest:
                 highest = rate
@@ -87,7 +87,7 @@
         """A server's latency in mean latencies, as far as it has not faded."""
         if server.latency_ratio == 1.0:
             return 1.0
-        return 1.0 + (server.latency_ratio - 1.0) * self.decay.left(server.latency_ratio_at)
+        return 1.0 + (server.latency_ratio - 1.0) * self.decay.remaining_ratio(server.latency_ratio_at)
 
     def record_quick(self, server: Server, class_name: str, is_quick: bool) -> None:
         """Record whether a server's last response to a class was quick; the oldest entry gives way."""
--- a/quota_gateway/state/pending_request.py
+++ b/quota_gateway/state/pending_request.py
@@ -23,7 +23,7 @@
 
 
 class PendingRequest:
-    """A request and its state; see `RequestState`."""
+    """A request and its state. The comment above a group of columns names the module that writes them."""
 
     __slots__ = (
         "request",
@@ -53,22 +53,31 @@
         slow_start_draw: float,
         settings_epoch: int,
     ) -> None:
+        # The request, and what holds for it until its end, whatever the settings become.
         self.request = request
         self.request_class = request_class
         self.plan = plan
         self.customer = customer
         self.arrived_ms = now_ms
-        self.deadline_ms = now_ms + request.client_timeout_ms
         self.settings_epoch = settings_epoch
         self.failure_keys = failure_keys(request_class.name, plan.name)
-        # Drawn once: which servers in slow start the request may go to, and its rank at a full limit.
+        # Drawn once: which servers in slow start it may go to, and its rank at a reached concurrency limit.
         self.slow_start_draw = slow_start_draw
+
+        # policy/responses.py
+        self.deadline_ms = now_ms + request.client_timeout_ms
+
+        # policy/admission.py: while queued, a timer ends the wait for the rate ceiling.
+        self.rate_ceiling_timer_armed = False
+
+        # state/in_flight.py
         self.state = NEW_REQUEST
-        self.rate_ceiling_timer_armed = False  # while queued: a timer ends the wait for the rate ceiling
         self.attempts_started = 0
         self.attempts_in_flight: dict[int, Attempt] = {}  # by number
         self.tried_servers: set[int] = set()
-        self.first_possible_run: Attempt | None = None  # the first attempt that may have had an effect
+
+        # policy/attempts.py: the first attempt that may have had an effect.
+        self.first_possible_run: Attempt | None = None
 
     def move_to(self, state: RequestState) -> None:
         """Change the state. Raises IllegalTransitionError in tests if the table has no such transition."""
--- a/quota_gateway/state/request_state.py
+++ b/quota_gateway/state/request_state.py
@@ -12,26 +12,23 @@
 class RequestState(Enum):
     """Where a request stands, and what that means for it."""
 
-    # label, is_waiting, is_streaming, is_answered
-    ADMITTED = ("admitted", True, False, False)  # taken, and not yet placed
-    HELD = ("held", True, False, False)  # delayed until its customer's quota share has room for it
-    QUEUED = ("queued", True, False, False)  # waits for a server, a cap, a ceiling or the concurrency limit
-    IN_FLIGHT = ("in flight", False, False, False)  # attempts were started; between two there may be none
-    STREAMING = (
-        "streaming",
-        False,
-        True,
-        False,
-    )  # a response is passed on as it comes: no deadline
-    ANSWERED = ("answered", False, False, True)  # or its client has left; attempts may be in flight
-    ANSWERED_STREAMING = ("answered, streaming", False, True, True)  # the same after a response had begun
-    FINISHED = ("finished", False, False, True)  # no attempt is in flight: it is pending no longer
-
-    def __init__(self, label: str, is_waiting: bool, is_streaming: bool, is_answered: bool) -> None:
-        self.label = label
-        self.is_waiting = is_waiting  # for its first attempt
-        self.is_streaming = is_streaming  # a server's response has begun to stream to the client
-        self.is_answered = is_answered  # the client has its final answer, or has left
+    ADMITTED = "admitted"  # taken, and not yet placed
+    HELD = "held"  # delayed until its customer's quota share has room for it
+    QUEUED = "queued"  # waits for a server, the concurrency cap or limit, or the rate ceiling
+    IN_FLIGHT = "in flight"  # attempts were started; between two of them there may be none
+    STREAMING = "streaming"  # a server's response is passed on as it comes: no deadline, no retry
+    ANSWERED = "answered"  # the final answer was given, or the client left; attempts may be in flight
+    ANSWERED_STREAMING = "answered, streaming"  # as ANSWERED, after a response had begun to stream
+    FINISHED = "finished"  # answered, with no attempt in flight: no longer among the pending requests
+
+    def __init__(self, label: str) -> None:
+        # Plain attributes, as they are read several times for each event; properties cost much more.
+        self.is_waiting = label in ("admitted", "held", "queued")  # for its first attempt
+        self.is_streaming = label in ("streaming", "answered, streaming")  # to the client
+        self.is_answered = label in ("answered", "answered, streaming", "finished")  # or its client has left
+
+    def __str__(self) -> str:
+        return str(self.value)
 
     # Members are singletons: the hash of the object, not of the name, is several times faster.
     __hash__ = object.__hash__
--- a/quota_gateway/state/server.py
+++ b/quota_gateway/state/server.py
@@ -9,15 +9,15 @@
 
 
 class Server:
-    """One server's row. The comment above a group of columns names the decision that writes them."""
+    """One server's row. The comment above a group of columns names the module that writes them."""
 
     __slots__ = (
         "id",
         "zone",
         "cell",
         "started_ms",
-        "is_ready",
         "is_listed_ready",
+        "is_ready",
         "restored_ms",
         "must_be_used_by_ms",
         "slow_start_phase",
@@ -32,28 +32,41 @@
 
     def __init__(self, entry: ServerEntry, slow_start_phase: float) -> None:
         self.id = entry.server
-        # Slow start: where on the circle of requests' draws, 0 to 1, this server's share begins.
+
+        # Drawn once: where on the circle of requests' draws, 0 to 1, its share begins while it warms up.
         self.slow_start_phase = slow_start_phase
-        self.has_idle_connection = False
-        # Administratively down: when it was put back, and until when it must have been used after that.
+
+        # state/endpoints.py: when operators put it back, and by when it must be used after that.
         self.restored_ms = 0.0
         self.must_be_used_by_ms = inf
-        self.attempts_in_flight: set[tuple[str, int]] = set()  # request id and number of the attempt
+
+        # state/in_flight.py: request id and number of each attempt.
+        self.attempts_in_flight: set[tuple[str, int]] = set()
+
+        # state/estimates.py, LoadReports
+        self.has_idle_connection = False
+
         self.reset()
         self.update(entry)
 
     def reset(self) -> None:
-        """Forget what a process that has ended has shown."""
-        self.latency_ratio = 1.0  # its latency in mean latencies of the class
+        """Forget what the server has shown, as its process has ended."""
+        # state/estimates.py, Latencies: its latency, in mean latencies of the class.
+        self.latency_ratio = 1.0
         self.latency_ratio_at = NEVER
-        self.reported_queue = 0.0  # requests, by its last load report
+
+        # state/estimates.py, LoadReports: requests that wait there.
+        self.reported_queue = 0.0
         self.reported_queue_at = NEVER
+
+        # state/estimates.py, FailureRates
         self.failure_records: dict[str, FailureRecord] = {}
 
     def update(self, entry: ServerEntry) -> None:
-        """Take over an entry of the endpoint list."""
+        """Take over an entry of the endpoint list; one that operators put back was started then at least."""
+        # state/endpoints.py
         self.zone = entry.zone
         self.cell = entry.cell
         self.started_ms = max(entry.started_ms, self.restored_ms)
         self.is_listed_ready = entry.state is ServerState.READY
-        self.is_ready = self.is_listed_ready
+        self.is_ready = self.is_listed_ready  # and not administratively down
--- a/quota_gateway/state_document.py
+++ b/quota_gateway/state_document.py
@@ -90,7 +90,7 @@
     def restore(self, gateway: Gateway) -> None:
         """Continue from this state. Nothing here can fail, so that no part is left half restored."""
         gateway.context.since = self.started_at_ms
-        gateway.context.decay.sends = self.attempts_started
+        gateway.context.decay.attempts_started = self.attempts_started
         gateway.customers.rows = self.customers
         gateway.ceiling.unseen_levels = self.unseen_levels
         gateway.outlier_detection.rates.records = self.failure_records
@@ -121,7 +121,7 @@
         "latency": latencies.mean_ms,
         "pool": gateway.concurrency_limit.limit,
         "retries": gateway.attempts.retry_budget.tokens,
-        "sends": gateway.context.decay.sends,
+        "sends": gateway.context.decay.attempts_started,
         "started_at": gateway.context.since,
         "marks": gateway.outlier_detection.rates.records,
         "fresh": {
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -153,7 +153,7 @@
     before = (
         dict(gateway.customers.rows),
         limit.limit,
-        gateway.context.decay.sends,
+        gateway.context.decay.attempts_started,
         dict(limit.latencies.mean_ms),
     )
     with pytest.raises((ValueError, KeyError, TypeError, AttributeError)):
@@ -161,7 +161,7 @@
     assert before == (
         gateway.customers.rows,
         limit.limit,
-        gateway.context.decay.sends,
+        gateway.context.decay.attempts_started,
         limit.latencies.mean_ms,
     )
 
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -59,7 +59,7 @@
     paths = (
         "context.settings context.random context.classes context.timers context.tokens context.now "
         "context.actions context.since context.logged context.highest_priority_weight context.arm "
-        "context.decay.sends epochs.plans epochs.gateways customers.rows customers.epochs "
+        "context.decay.attempts_started epochs.plans epochs.gateways customers.rows customers.epochs "
         "endpoints.servers endpoints.ready endpoints.warming_up endpoints.admin_down endpoint_list.refresh "
         "in_flight.pending_requests in_flight.queued in_flight.occupied_places in_flight.reserved_units "
         "responses.shutdown_at_ms responses.outcome_counters.totals "
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -130,7 +130,7 @@
     assert probabilities[0][0] > 0.7 > 0.2 > probabilities[0][1]
     assert probabilities[1][0] < 0.1
     made.begin(61_000.0)
-    made.decay.sends = 1000
+    made.decay.attempts_started = 1000
     assert health.failure_probability(one, bad, (0.0, 0.0)) < 0.01
 
 
--- a/tests/test_state_document.py
+++ b/tests/test_state_document.py
@@ -149,7 +149,7 @@
     assert {name: list(quick) for name, quick in latencies.quick_servers.items()} == MEANING["quick"]
     assert gateway.concurrency_limit.limit == MEANING["pool"]
     assert gateway.attempts.retry_budget.tokens == MEANING["retries"]
-    assert gateway.context.decay.sends == MEANING["sends"]
+    assert gateway.context.decay.attempts_started == MEANING["sends"]
     assert gateway.context.since == MEANING["started_at"]
     assert as_json(gateway.outlier_detection.rates.records) == MEANING["marks"]
     assert gateway.ceiling.unseen_levels == {
