--- a/quota_gateway/net/configuration_in_force.py
+++ b/quota_gateway/net/configuration_in_force.py
@@ -7,8 +7,8 @@
 import time
 
 from quota_gateway import api
-from quota_gateway.config import Config, told
-from quota_gateway.config_reader import ConfigError
+from quota_gateway.config import Config, summarize
+from quota_gateway.errors import ConfigurationError
 from quota_gateway.net import admin
 from quota_gateway.net.connection_budget import connection_budget
 from quota_gateway.net.process_parts import ProcessParts
@@ -24,7 +24,7 @@
     request is decided by parts of two configurations.
     """
 
-    def __init__(self, config: Config, parts: ProcessParts, admin_endpoint: admin.Door) -> None:
+    def __init__(self, config: Config, parts: ProcessParts, admin_endpoint: admin.AdminEndpoint) -> None:
         self.config = config
         self.revision = 1
         self.since_s = time.time()
@@ -37,18 +37,22 @@
         return f"revision {self.revision}, digest {self.config.digest}, since {utc(self.since_s)}"
 
     async def prepare(self, config: Config) -> asyncio.Server | None:
-        """A new listener of the admin endpoint, where it moves. Raises ConfigError if there can be none."""
+        """A new listener of the admin endpoint, where it moves.
+
+        Raises:
+            ConfigurationError: There can be none.
+        """
         if config.admin is None or config.admin == self.config.admin:
             return None
         try:
             return await self._admin_endpoint.bind(*config.admin)
         except OSError as error:
-            raise ConfigError([f"admin: no listener there: {error.strerror or error}"]) from None
+            raise ConfigurationError([f"admin: no listener there: {error.strerror or error}"]) from None
 
     def apply(self, config: Config, admin_server: asyncio.Server | None, note: str) -> str:
         """Put a prepared configuration into force; returns what has changed, for the caller's answer.
 
-        Raises ConfigError where the decisions fail; all is as it was then.
+        Raises ConfigurationError where the decisions fail; all is as it was then.
         """
         changes = config.changes(self.config)
         self._apply_to_decisions(config.settings)
@@ -61,7 +65,7 @@
             config.digest,
             self.revision,
             f" ({note})" if note else "",
-            told(changes),
+            summarize(changes),
         )
         return f"revision {self.revision}, {len(changes)} changes{f', {note}' if note else ''}"
 
@@ -70,7 +74,7 @@
         if settings != driver.gateway.context.settings:
             driver.post(api.SettingsChanged(settings))
         if settings != driver.gateway.context.settings:
-            raise ConfigError(["the decisions failed"])
+            raise ConfigurationError(["the decisions failed"])
 
     def _apply_to_sockets(self, config: Config, admin_server: asyncio.Server | None) -> None:
         max_connections = connection_budget(config)
--- a/quota_gateway/net/reload.py
+++ b/quota_gateway/net/reload.py
@@ -15,9 +15,9 @@
 from collections.abc import Mapping
 
 from quota_gateway.config import Config, read, read_file
-from quota_gateway.config_reader import ConfigError
+from quota_gateway.errors import ConfigurationError
 from quota_gateway.net import admin
-from quota_gateway.net.admin import Answer, Handler
+from quota_gateway.net.admin import AdminCommand, Answer, Arguments
 from quota_gateway.net.configuration_in_force import ConfigurationInForce, utc
 from quota_gateway.net.configuration_trial import ConfigurationTrial
 from quota_gateway.net.hot_restart import HotRestart
@@ -29,6 +29,7 @@
 MAX_READS_SIGNAL = 20  # half of the time in which the platform wants discovery to have moved
 MAX_READS_CALL = 4  # a caller at the admin endpoint waits 1 s
 MAX_TRIAL_S = 3600
+RELOAD_ARGUMENTS = Arguments((0, 2), "nothing or CONFIRM SECONDS")
 MAX_REASON_CHARS = 400  # of a rejection, in the answer and in the log
 
 
@@ -40,7 +41,7 @@
         config: Config,
         environment: Mapping[str, str],
         parts: ProcessParts,
-        admin_endpoint: admin.Door,
+        admin_endpoint: admin.AdminEndpoint,
         hot_restart: HotRestart,
     ) -> None:
         self.in_force = ConfigurationInForce(config, parts, admin_endpoint)
@@ -55,13 +56,13 @@
         self._lock = asyncio.Lock()
         self._stopping = False
 
-    def calls(self) -> dict[str, Handler]:
-        """Handlers of the admin endpoint, by the call's name."""
+    def commands(self) -> dict[str, AdminCommand]:
+        """The admin commands of the configuration, by name."""
         return {
-            "CONFIG": self.show,
-            "RELOAD": self.reload,
-            "CONFIRM": self.confirm,
-            "ROLLBACK": self.rollback,
+            "CONFIG": AdminCommand(self.show),
+            "RELOAD": AdminCommand(self.reload, RELOAD_ARGUMENTS),
+            "CONFIRM": AdminCommand(self.confirm),
+            "ROLLBACK": AdminCommand(self.rollback),
         }
 
     def close(self) -> None:
@@ -148,10 +149,10 @@
         return "the next process has taken over" if self._hot_restart.handed_over else ""
 
     def _check_changeable(self) -> None:
-        """Raise ConfigError if this process changes nothing any more."""
+        """Raise ConfigurationError if this process changes nothing any more."""
         reason = self._why_fixed()
         if reason:
-            raise ConfigError([reason])
+            raise ConfigurationError([reason])
 
     async def _reload(self, max_reads: int, trial_s: float | None) -> Answer:
         """Read and apply the file; one that is truncated may be being written, and is read again."""
@@ -162,19 +163,19 @@
                 try:
                     self._check_changeable()
                     return True, await self._apply_file(trial_s)
-                except ConfigError as error:
-                    if not error.torn or reads >= max_reads:
+                except ConfigurationError as error:
+                    if not error.is_transient or reads >= max_reads:
                         return self._reject(error)
             await asyncio.sleep(READ_INTERVAL_S)
 
     async def _apply_file(self, trial_s: float | None) -> str:
-        """Put the file's configuration into force; what has changed. Raises ConfigError."""
+        """Put the file's configuration into force; what has changed. Raises ConfigurationError."""
         in_force = self.in_force
         config = read(read_file(self._environment["EDGE_CONFIG"]), self._environment, reload=True)
         await asyncio.sleep(0)  # other tasks have their turn between reading and applying
         faults = config.unchangeable(in_force.config)
         if faults:
-            raise ConfigError(faults)
+            raise ConfigurationError(faults)
         if not config.changes(in_force.config):
             if self.trial.active and trial_s:  # its time begins anew
                 self.trial.end()
@@ -189,20 +190,20 @@
         return text
 
     async def _change_to(self, config: Config, note: str) -> str:
-        """Prepare and apply a configuration; a trial of the one before ends. Raises ConfigError."""
+        """Prepare and apply a configuration; a trial of the one before ends. Raises ConfigurationError."""
         self._check_changeable()
         admin_server = await self.in_force.prepare(config)
         try:
             self._check_changeable()  # the next process may have taken over meanwhile
             text = self.in_force.apply(config, admin_server, note)
-        except ConfigError:
+        except ConfigurationError:
             if admin_server:
                 admin_server.close()
             raise
         self.trial.end()
         return text
 
-    def _reject(self, error: ConfigError) -> Answer:
+    def _reject(self, error: ConfigurationError) -> Answer:
         """The answer to a change that can't be made; everything is as it was."""
         more = f" ({len(error.faults)} faults)" if len(error.faults) > 1 else ""
         reason = f"{error}"[:MAX_REASON_CHARS] + more
@@ -220,7 +221,7 @@
             return False, "there is nothing to go back to"
         try:
             text = await self._change_to(target, note)
-        except ConfigError as error:
+        except ConfigurationError as error:
             return self._reject(error)
         self.in_force.rollback_target = None
         return True, text
--- a/quota_gateway/process/builder.py
+++ b/quota_gateway/process/builder.py
@@ -3,13 +3,12 @@
 from __future__ import annotations
 
 import os
-from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from quota_gateway import api
 from quota_gateway.config import Config
-from quota_gateway.net import admin
-from quota_gateway.net.admin_commands import Operators
+from quota_gateway.net.admin import AdminEndpoint
+from quota_gateway.net.admin_commands import AdminCommands
 from quota_gateway.net.clients import Clients
 from quota_gateway.net.connection_budget import connection_budget
 from quota_gateway.net.discovery import Discovery
@@ -24,8 +23,7 @@
     from quota_gateway.failover.gateway import SupervisedGateway
 
 
-@dataclass(frozen=True, slots=True)
-class GatewayParts:
+class GatewayParts(NamedTuple):
     """The parts of one process, each owned by it for as long as it runs."""
 
     driver: Driver
@@ -34,8 +32,8 @@
     discovery: Discovery
     hot_restart: HotRestart
     standby: SupervisedGateway | None  # where a supervisor runs it
-    admin_commands: Operators
-    admin_endpoint: admin.Door
+    admin_commands: AdminCommands
+    admin_endpoint: AdminEndpoint
     reload: ConfigurationReload
 
 
@@ -50,11 +48,11 @@
     standby = _standby(clients)
     process_parts = ProcessParts(driver, clients, servers, discovery)
     hot_restart = _hot_restart(config, process_parts, standby)
-    admin_commands = Operators(driver, clients, discovery.registry, hot_restart)
-    admin_endpoint = admin.Door(admin_commands.calls(), admin_commands.fence)
+    admin_commands = AdminCommands(driver, clients, discovery.registry, hot_restart)
+    admin_endpoint = AdminEndpoint(admin_commands.commands(), admin_commands.check_token)
     reload = ConfigurationReload(config, os.environ, process_parts, admin_endpoint, hot_restart)
-    admin_endpoint.calls.update(reload.calls())
-    admin_commands.revision = lambda: reload.in_force.config.digest
+    admin_endpoint.commands.update(reload.commands())
+    admin_commands.configuration_digest = lambda: reload.in_force.config.digest
     return GatewayParts(
         driver,
         servers,
--- a/quota_gateway/state_document.py
+++ b/quota_gateway/state_document.py
@@ -89,7 +89,7 @@
 
     def restore(self, gateway: Gateway) -> None:
         """Continue from this state. Nothing here can fail, so that no part is left half restored."""
-        gateway.context.since = self.started_at_ms
+        gateway.context.started_ms = self.started_at_ms
         gateway.context.decay.attempts_started = self.attempts_started
         gateway.customers.rows = self.customers
         gateway.ceiling.unseen_levels = self.unseen_levels
@@ -122,7 +122,7 @@
         "pool": gateway.concurrency_limit.limit,
         "retries": gateway.attempts.retry_budget.tokens,
         "sends": gateway.context.decay.attempts_started,
-        "started_at": gateway.context.since,
+        "started_at": gateway.context.started_ms,
         "marks": gateway.outlier_detection.rates.records,
         "fresh": {
             plan_name: (level.level_units, level.updated_ms)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,6 +16,7 @@
 
 from quota_gateway import DrainChanged
 from quota_gateway.config import read, read_file
+from quota_gateway.errors import IllegalTransitionError
 from quota_gateway.net import admin, configuration_trial, connection_budget
 from quota_gateway.net import reload as module
 from quota_gateway.net.discovery import Discovery
@@ -38,7 +39,7 @@
         config = read(read_file(str(path)), environment)
         self.discovery = Discovery(config.discovery, lambda *_: None)
         self.hot_restart = SimpleNamespace(handed_over=False)
-        self.door = admin.Door({})
+        self.door = admin.AdminEndpoint({})
         self.reload = ConfigurationReload(
             config,
             environment,
@@ -46,7 +47,7 @@
             self.door,
             self.hot_restart,
         )
-        self.door.calls.update(self.reload.calls())
+        self.door.commands.update(self.reload.commands())
         self.reload.up.set()
 
     def write(self, **changes):
@@ -336,6 +337,22 @@
     run(test())
 
 
+def test_a_trial_that_is_replaced_ends_first(tmp_path):
+    """Two timers would run: the older one would roll back a configuration that has more time."""
+
+    async def test():
+        async with configured(tmp_path) as made:
+            trial = made.reload.trial
+            trial.end()  # nothing is on trial: nothing happens
+            trial.begin(30.0)
+            with pytest.raises(IllegalTransitionError):
+                trial.begin(60.0)
+            trial.end()
+            assert trial.state is configuration_trial.ReloadState.STEADY
+
+    run(test())
+
+
 def test_trial_of_a_second_goes_back_by_itself(tmp_path):
     async def test():
         async with configured(tmp_path) as made:
