--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A gateway with a scripted clock: sends events, keeps the answers, fires due timers by hand."""
+"""A gateway with a scripted clock: sends events, keeps the answers, fires due timers itself."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 
 
 class Rig:
-    """One gateway, its clock and what it was told to do."""
+    """One gateway, its clock, and the actions that it gave."""
 
     def __init__(self, settings: Settings = SETTINGS, seed: int = 1) -> None:
         self.gateway, self.now = Gateway(settings, seed), 1000.0
--- a/tests/test_admin_down.py
+++ b/tests/test_admin_down.py
@@ -1,4 +1,4 @@
-"""Operators: servers out and back by hand, and the drain of the gateway; the decisions and the sockets."""
+"""Operators: servers taken out and put back, and the drain of the gateway; decisions and sockets."""
 
 import asyncio
 from math import inf
@@ -33,7 +33,7 @@
     return {server for name in names for server in rig.sent[name]}
 
 
-def test_server_out_by_hand_gets_nothing_whatever_discovery_lists(rig):
+def test_server_that_is_administratively_down_gets_nothing_whatever_discovery_lists(rig):
     actions = rig.do(ServerAdminDown(1, True))
     assert SetServerUsable(1, False) in actions
     assert used(rig) == {2}
@@ -54,7 +54,7 @@
     assert set(rig.sent[name]) == {first}
 
 
-def test_server_put_back_is_cold_and_one_call_undoes_two():
+def test_server_put_back_is_warming_up_and_one_call_undoes_two():
     rig = Rig()
     rig.servers(*(entry(number) for number in range(1, 11)))
     rig.do(ServerAdminDown(1, True))
@@ -108,8 +108,8 @@
     assert used(rig) == {2}
 
 
-def admits(rig: Rig) -> list[SetServing]:
-    """What is told of clients from now on."""
+def recorded_set_serving(rig: Rig) -> list[SetServing]:
+    """The actions about serving clients, from now on."""
     found: list[SetServing] = []
     plain = rig.do
 
@@ -122,28 +122,28 @@
     return found
 
 
-def test_drain_tells_the_front_at_once_serves_on_and_closes_in_time(rig):
-    told = admits(rig)
+def test_drain_notifies_load_balancers_at_once_serves_on_and_closes_in_time(rig):
+    notified = recorded_set_serving(rig)
     rig.do(DrainChanged(True))
-    assert told == [SetServing(False, inf)]
+    assert notified == [SetServing(False, inf)]
     rig.finish(rig.ask())
     rig.run(1999.0)
-    assert [admit.serving for admit in told] == [False] * 3
-    assert told[-1].linger_ms == 0.0
+    assert [admit.serving for admit in notified] == [False] * 3
+    assert notified[-1].linger_ms == 0.0
     assert not rig.do(DrainChanged(True))
 
 
 def test_drain_that_is_over_takes_clients_again_and_its_timers_do_nothing(rig):
-    told = admits(rig)
+    notified = recorded_set_serving(rig)
     rig.do(DrainChanged(True))
     rig.run(100.0)
     rig.do(DrainChanged(False))
     rig.run(5000.0)
-    assert told == [SetServing(False, inf), SetServing(True, inf)]
+    assert notified == [SetServing(False, inf), SetServing(True, inf)]
     assert rig.ask() in rig.sent
 
 
-def test_request_that_comes_late_in_a_drain_is_refused_at_once_with_advice():
+def test_request_that_comes_late_in_a_drain_is_rejected_at_once_with_retry_after():
     rig = rig_with(limits=Limits(can_advise_retry=True, max_retry_after_ms=2000.0))
     rig.servers(entry(1))
     rig.do(DrainChanged(True))
@@ -187,7 +187,7 @@
     run(test())
 
 
-def test_server_held_by_hand_is_not_connected_to_and_idle_connections_to_it_are_closed():
+def test_server_that_is_administratively_down_is_not_connected_to_and_its_idle_connections_close():
     async def test():
         server, other = FakeServer(), FakeServer()
         async with node(server, other) as gateway:
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -40,7 +40,7 @@
 
 
 def test_an_old_report_fades():
-    # server 1 told of 20 waiting; once enough time and attempts have passed it is taken as any other
+    # server 1 reported 20 waiting; once enough time and attempts have passed it is taken as any other
     rig = Rig(replace(SETTINGS, load_fields=("queue",)))
     rig.servers(entry(1), entry(2))
     rig.gateway.load_reports.record(rig.gateway.endpoints.servers[1], (20.0,))
@@ -50,14 +50,14 @@
 
 
 def test_without_a_meter_a_customer_alone_at_its_gateway_may_retry():
-    # a period of nought means no news ever; the whole burst is here, so the slice is not thin
+    # with a period of 0 no reading ever counts; the complete burst is here, so the share is not thin
     rig = Rig(replace(SETTINGS, meter_period_ms=0.0, gateways=300))
     rig.servers(entry(1))
     rig.do(Request("x", "safe", "metered", "c", 4000.0, 1, 1, is_retry=True))
     assert "x" in rig.sent
 
 
-def test_a_whole_list_empty_of_servers_holds_then_refuses():
+def test_a_complete_list_without_servers_queues_then_rejects():
     rig = Rig()
     rig.servers(kind=ListKind.CACHED)
     name = rig.ask(patience=300.0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 
 from quota_gateway import Limits, ListKind, Log, ServerState, Status
 
-RAN_NOT = [Status.OVERLOADED, Status.CONNECT_FAILED]
+NOT_RUN = [Status.OVERLOADED, Status.CONNECT_FAILED]
 MAY_HAVE_RUN = [Status.ERROR, Status.TIMEOUT, Status.RESET]
 
 
@@ -23,7 +23,7 @@
     assert rig.answers[name] == answer
 
 
-def test_without_servers_a_request_is_held_then_refused():
+def test_without_servers_a_request_is_queued_then_rejected():
     rig = Rig()
     name = rig.ask(patience=300.0)
     rig.run(290.0)
@@ -33,7 +33,7 @@
     assert name not in rig.sent
 
 
-def test_held_request_goes_when_a_server_comes():
+def test_queued_request_is_sent_when_a_server_is_listed():
     rig = Rig()
     name = rig.ask()
     rig.run(100.0)
@@ -51,7 +51,7 @@
 # 2. No effect twice
 
 
-@pytest.mark.parametrize("status", RAN_NOT)
+@pytest.mark.parametrize("status", NOT_RUN)
 @pytest.mark.parametrize("class_name", ["safe", "keyed", "unsafe"])
 def test_an_attempt_proven_not_to_have_run_is_sent_elsewhere(rig, class_name, status):
     name = rig.ask(class_name=class_name)
@@ -67,7 +67,7 @@
     assert rig.answers[name] == "Fail"
 
 
-def test_unsafe_is_refused_when_no_attempt_ran():
+def test_unsafe_is_rejected_when_no_attempt_ran():
     rig = Rig()
     rig.servers(entry(1))
     name = rig.ask(class_name="unsafe")
@@ -76,7 +76,7 @@
     assert rig.answers[name] == "Reject"
 
 
-def test_unsafe_after_a_proof_then_a_doubt_is_failed(rig):
+def test_unsafe_whose_last_attempt_may_have_run_is_failed(rig):
     name = rig.ask(class_name="unsafe")
     rig.finish(name, Status.OVERLOADED)
     rig.finish(name, Status.RESET)
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize(
     ("class_name", "group"), [("keyed", {1, 2}), ("keyed-cell", {1, 2}), ("keyed-all", {1, 2, 3, 4})]
 )
-def test_keyed_goes_again_only_in_its_group(class_name, group):
+def test_keyed_is_retried_only_in_its_group(class_name, group):
     for seed in range(10):
         rig = Rig(seed=seed)
         rig.servers(entry(1, cell=1), entry(2, cell=1))
@@ -112,7 +112,7 @@
     assert len(rig.sent[name]) == 1
 
 
-def test_silent_server_gets_a_second_copy_where_allowed():
+def test_silent_attempt_is_hedged_where_allowed():
     rig = Rig(rig_with(limits=Limits(max_attempts=3, may_duplicate=True, can_cancel=True)).settings)
     rig.servers(entry(1), entry(2))
     name = rig.ask()
@@ -143,22 +143,22 @@
     assert rig.sent[names[5]] == [2]
 
 
-# 4. Cold servers
+# 4. Warming servers
 
 
-def test_cold_server_gets_little_work_in_a_burst():
+def test_warming_server_gets_little_work_in_a_burst():
     rig = Rig()
     rig.servers(entry(1), entry(2), entry(3, started_ms=1000.0))
     for _ in range(100):
         rig.finish(rig.ask())
         rig.run(20.0)
     # 50 a second of 50 ms: some 25 a second at each warm server from here; 0.7 x 3 x (0.2 to 0.36) of it
-    cold = sum(1 for sent in rig.sent.values() if sent == [3])
-    assert cold <= 0.7 * 3.0 * 0.36 * 25 * 2
+    at_warming = sum(1 for sent in rig.sent.values() if sent == [3])
+    assert at_warming <= 0.7 * 3.0 * 0.36 * 25 * 2
 
 
 @pytest.mark.parametrize("gateways", [3, 60, 230])
-def test_cold_server_gets_its_share_from_all_gateways_together(gateways):
+def test_warming_server_gets_its_share_from_all_gateways_together(gateways):
     # even share 1/10, least warmth 0.2, 0.33 x 3 of it: 1.98% of 6,000 requests, all at the first instant
     sent = 0
     for index in range(gateways):
@@ -173,7 +173,7 @@
     assert 0 < sent < 0.0198 * 6000 * 1.35
 
 
-def test_asking_again_gives_no_second_turn_at_a_cold_server():
+def test_trying_queued_requests_again_gives_no_second_draw_for_a_warming_server():
     rig = Rig()
     rig.servers(entry(1, started_ms=rig.now))
     names = [rig.ask() for _ in range(40)]
@@ -238,10 +238,10 @@
     assert len(sends) >= 30, "and it is used: 60 refill in six seconds"
 
 
-# Beyond the rules: pressure
+# Beyond the rules: the concurrency limit
 
 
-def test_pool_parks_and_sheds_the_least_worth(rig):
+def test_reached_limit_queues_requests_and_sheds_the_least_priority(rig):
     rig.gateway.concurrency_limit.limit = 6.0
     names = [rig.ask() for _ in range(6)]
     full = [name for name in names if name in rig.sent]
@@ -249,16 +249,16 @@
     assert len(full) >= 5
     assert not any(name in rig.sent for name in waiting[1:])
     shed = len(rig.answers)
-    dear = rig.ask(class_name="unsafe")
-    assert dear not in rig.answers
+    weighty = rig.ask(class_name="unsafe")
+    assert weighty not in rig.answers
     assert len(rig.answers) == shed + 1
-    for name in full[:2]:  # the turn decides over the last of a pool, so two make room for any
+    for name in full[:2]:  # the draw decides over the last place, so two make room for any
         rig.finish(name)
-    assert dear in rig.sent
+    assert weighty in rig.sent
 
 
 def test_slow_answers_do_not_end_all_sending(rig):
-    # mean latency above the aim: nothing may be held any more, yet what needs no hold still goes
+    # mean latency above the objective: nothing may be held any more, yet what needs no hold still goes
     for _ in range(60):
         name = rig.ask("metered")
         if name in rig.sent:
@@ -268,7 +268,7 @@
     assert rig.ask("metered") in rig.sent
 
 
-def test_a_wait_cut_short_by_the_client_does_not_put_its_server_in_doubt(rig):
+def test_a_wait_cut_short_by_the_client_does_not_make_its_server_suspected(rig):
     for _ in range(4):
         name = rig.ask(patience=100.0)
         rig.run(100.0)
@@ -276,7 +276,7 @@
     assert not any(server.failure_records for server in rig.gateway.endpoints.servers.values())
 
 
-def test_an_id_in_hand_is_not_answered_by_its_repeat(rig):
+def test_an_id_that_is_pending_is_not_answered_by_its_repeat(rig):
     name = rig.ask(class_name="unsafe")
     rig.count -= 1
     assert rig.ask(class_name="unsafe") == name
@@ -284,7 +284,7 @@
     assert len(rig.sent[name]) == 1
 
 
-def test_all_draining_holds_then_refuses(rig):
+def test_all_draining_queues_then_rejects(rig):
     rig.servers(entry(1, state=ServerState.DRAINING), entry(2, state=ServerState.DRAINING))
     name = rig.ask(patience=300.0)
     rig.run(299.0)
@@ -292,10 +292,10 @@
     assert name not in rig.sent
 
 
-# Beyond the rules: pressure over all servers, at any number of gateways
+# Beyond the rules: the limit over all servers, at any number of gateways
 
 
-def test_all_gateways_together_keep_few_out_before_anything_is_known():
+def test_all_gateways_together_keep_few_in_flight_before_anything_is_known():
     out = 0
     for index in range(100):  # six a server over all gateways: 0.6 each with ten servers
         rig = Rig(replace(SETTINGS, gateways=100, index=index), seed=index)
@@ -306,17 +306,17 @@
     assert out <= 100
 
 
-def pool_rig() -> Rig:
-    """Thirty servers, two attempts each over ten gateways: six out at once from here."""
+def limited_rig() -> Rig:
+    """Thirty servers, two attempts each over ten gateways: six in flight at once from here."""
     rig = Rig(replace(SETTINGS, gateways=10))
     rig.servers(*(entry(n) for n in range(30)), kind=ListKind.CACHED)
     return rig
 
 
-def test_slow_answers_take_off_the_pool_and_quick_ones_lift_it_when_used_up():
-    rig = pool_rig()
+def test_slow_responses_lower_the_limit_and_quick_ones_raise_it_when_used_up():
+    rig = limited_rig()
     names = [rig.ask() for _ in range(6)]
-    rig.finish(names[0], latency=1001.0)  # half of the aim is 1000 ms
+    rig.finish(names[0], latency=1001.0)  # half of the objective is 1000 ms
     assert rig.gateway.concurrency_limit.limit == pytest.approx(6.0 - 0.3)
     rig.finish(names[1], latency=50.0)  # it was one of five out of 5.7: one more would not have fitted
     assert rig.gateway.concurrency_limit.limit == pytest.approx(5.7 + 0.035)
@@ -324,8 +324,8 @@
     assert rig.gateway.concurrency_limit.limit == pytest.approx(5.7 + 0.035)
 
 
-def test_silent_attempts_leave_the_pool_when_slow():
-    rig = pool_rig()
+def test_attempts_past_the_latency_threshold_do_not_count_for_the_limit():
+    rig = limited_rig()
     for _ in range(12):
         rig.ask()
     assert len(rig.gateway.concurrency_limit.attempts_within_threshold) <= 6
@@ -337,15 +337,15 @@
 # Beyond the rules: servers that fail a part of what they get
 
 
-def fleet(size: int = 4) -> Rig:
+def rig_of(size: int = 4) -> Rig:
     rig = Rig()
     rig.servers(*(entry(n) for n in range(size)))
     return rig
 
 
-def doubted(bad, **ask) -> Rig:
+def suspected(bad, **ask) -> Rig:
     """Three requests met only server 0 and ended badly there; three other servers came and answered."""
-    rig = fleet(1)
+    rig = rig_of(1)
     for _ in range(3):
         bad(rig, rig.ask(**ask))
     for only in (1, 2, 3):
@@ -363,7 +363,7 @@
 
 
 def silent(rig: Rig, name: str) -> None:
-    rig.run(500.0)  # half of the aim
+    rig.run(500.0)  # half of the objective
     rig.finish(name, Status.RESET, latency=500.0)
     rig.gateway.endpoints.servers[0].failure_records.pop(
         "", None
@@ -375,33 +375,33 @@
 
 
 def test_a_server_silent_for_one_class_keeps_the_others():
-    assert at_server_0(doubted(silent, class_name="unsafe"), class_name="unsafe") <= 1
-    assert at_server_0(doubted(silent, class_name="unsafe"), class_name="safe") >= 3
+    assert at_server_0(suspected(silent, class_name="unsafe"), class_name="unsafe") <= 1
+    assert at_server_0(suspected(silent, class_name="unsafe"), class_name="safe") >= 3
 
 
 def test_a_server_full_for_one_plan_keeps_the_others():
-    assert at_server_0(doubted(full, plan="free"), plan="free") <= 1
-    assert at_server_0(doubted(full, plan="free"), plan="capped-wide") >= 3
+    assert at_server_0(suspected(full, plan="free"), plan="free") <= 1
+    assert at_server_0(suspected(full, plan="free"), plan="capped-wide") >= 3
 
 
 def test_a_server_that_drops_connections_is_left_by_all():
     def dropped(rig: Rig, name: str) -> None:
         rig.finish(name, Status.CONNECT_FAILED)
 
-    assert at_server_0(doubted(dropped, class_name="unsafe"), class_name="safe") <= 1
+    assert at_server_0(suspected(dropped, class_name="unsafe"), class_name="safe") <= 1
 
 
-def test_a_silent_attempt_is_taken_elsewhere_while_it_can_be_in_time():
-    rig = fleet()
+def test_a_silent_attempt_is_retried_elsewhere_while_it_can_be_in_time():
+    rig = rig_of()
     name = rig.ask()
-    # half of the aim: cancelled
+    # half of the objective: cancelled
     assert rig.run(1000.0) is None
     assert len(rig.sent[name]) == 1
     rig.finish(name, Status.CANCELLED, latency=1000.0)
     assert len(set(rig.sent[name])) == 2
 
 
-def test_a_server_in_doubt_is_logged_once():
+def test_a_suspected_server_is_logged_once():
     rig = Rig()
     rig.servers(entry(7))
     lines = []
@@ -412,7 +412,7 @@
 
 
 def test_of_a_large_fleet_few_servers_are_compared():
-    rig, compared = fleet(300), []
+    rig, compared = rig_of(300), []
     cost = rig.gateway.server_selection.cost
     rig.gateway.server_selection.cost = lambda pending, server, priors: (
         compared.append(server) or cost(pending, server, priors)
