--- a/quota_gateway/policy/admin_down.py
+++ b/quota_gateway/policy/admin_down.py
@@ -19,10 +19,10 @@
         self.endpoints = endpoint_list.endpoints
 
     def on_server_admin_down(self, event: ServerAdminDown) -> bool:
-        """Take a server out or put it back; whether that changed anything.
+        """Take a server out or put it back.
 
         A server put back counts as just started: operators restart what they take out, and discovery may not
-        tell for seconds.
+        tell for seconds. Returns whether anything changed.
         """
         if not self.is_change(event):
             return False
--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -56,7 +56,10 @@
         self.context.arm(threshold_ms, self._on_latency_threshold, (pending, number))
 
     def on_attempt_ended(self, event: AttemptEnded) -> bool:
-        """Judge an attempt that has ended, then retry or answer; whether the attempt is known."""
+        """Learn from an attempt that has ended, then retry or answer.
+
+        Returns whether the attempt was known: then there may be capacity for queued requests.
+        """
         pending = self.in_flight.pending_with(event)
         if pending is None:
             return False
@@ -102,7 +105,7 @@
 
     def _retry_server(self, pending: PendingRequest, status: Status) -> Server | None:
         """The server for a retry, or None if there is to be none; the choice of a server draws."""
-        if status is Status.NOT_SENT:  # it was too late to send it
+        if status is Status.NOT_SENT:  # the time for it had passed before its first byte
             return None
         if self.context.now_ms >= pending.deadline_ms:
             return None
@@ -111,9 +114,10 @@
         return self.server_selection.for_retry(pending)
 
     def on_stream_started(self, event: StreamStarted) -> bool:
-        """Note that a response has begun to stream; whether it is the first such news of its request.
+        """Record that a response has begun to stream.
 
         The latency is measured here: what the rest of the response takes depends on the client's pace.
+        Returns whether that was news: then there may be capacity for queued requests.
         """
         pending = self.in_flight.pending_with(event)
         if pending is None or pending.state.is_streaming:
--- a/quota_gateway/policy/endpoint_list.py
+++ b/quota_gateway/policy/endpoint_list.py
@@ -27,7 +27,7 @@
         self.epochs = epochs
 
     def on_server_list(self, event: ServerList) -> bool:
-        """Take over a list, or news that there is none; whether servers may have changed."""
+        """Take over a list, or that a call for one failed. Returns whether servers may have changed."""
         delay_ms = self.subscribe_delay_ms(event.kind)
         if delay_ms is not None:
             self.context.arm(delay_ms, self._subscribe, None)
--- a/quota_gateway/state/in_flight.py
+++ b/quota_gateway/state/in_flight.py
@@ -82,7 +82,7 @@
         pending.move_to(ANSWERED_STREAMING if pending.state is STREAMING else ANSWERED)
 
     def finish(self, pending: PendingRequest) -> bool:
-        """Forget an answered request once no attempt is in flight; whether it was forgotten now."""
+        """Forget an answered request once no attempt is in flight. Returns whether it was forgotten now."""
         if pending.attempts_in_flight or pending.state is FINISHED:
             return False
         pending.move_to(FINISHED)
