--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -43,8 +43,7 @@
 class Admission:
     """Decides on new and queued requests, and carries the decisions out.
 
-    The methods that return a decision change nothing, apart from the draws and the quota's account that
-    their docstrings name.
+    The methods that return a decision change nothing but the random numbers that their docstrings name.
     """
 
     def __init__(
@@ -65,7 +64,7 @@
         self.server_selection = attempts.server_selection
         self.in_flight = attempts.in_flight
 
-    # New requests
+    # ---- New requests
 
     def on_request(self, request: Request, request_class: RequestClass, plan: Plan) -> None:
         """Admit, hold or reject a new request."""
@@ -149,7 +148,7 @@
         if pending.state is HELD:
             self._send_or_queue(pending)
 
-    # Requests that were admitted
+    # ---- Requests that were admitted
 
     def placement(self, pending: PendingRequest) -> Server | Queue | GiveUp:
         """The server for a request's first attempt, or why there is none; the choice of a server draws."""
@@ -166,7 +165,7 @@
         return self.server_selection.first(pending) or QUEUE
 
     def _send_or_queue(self, pending: PendingRequest) -> None:
-        """Carry out where a request goes that waits for its first attempt."""
+        """Carry out the placement of a request that waits for its first attempt."""
         decision = self.placement(pending)
         if isinstance(decision, Server):
             self.attempts.send(pending, decision)
@@ -179,9 +178,8 @@
         """Queue a request, or leave it in the queue, and shed one if too many are queued now."""
         if pending.state is not QUEUED:
             useful_until_ms = pending.arrived_ms + self.useful_hold_ms(pending.request_class)
-            self.context.arm(
-                max(0.0, useful_until_ms - self.context.now_ms), self._on_useful_hold_ended, pending
-            )
+            useful_ms = max(0.0, useful_until_ms - self.context.now_ms)
+            self.context.arm(useful_ms, self._on_useful_hold_ended, pending)
             self.in_flight.enqueue(pending)
         shed = self.request_to_shed()
         if shed:
