--- a/quota_gateway/net/hot_restart/hot_restart.py
+++ b/quota_gateway/net/hot_restart/hot_restart.py
@@ -27,7 +27,7 @@
     """A process is the successor of the one before it first, and later the predecessor of the next one.
 
     It may become a predecessor several times: if the next process dies, it takes back what it handed over
-    and offers itself again. Without a folder both ends are off: a plain start, and nobody to hand over to.
+    and offers itself again. Without a folder both ends are off: a plain start, and no successor.
     """
 
     def __init__(self, folder: str | None, identity: GatewayIdentity, parts: ProcessParts) -> None:
@@ -113,7 +113,7 @@
             await self._exchange.announce(session)
 
     def _greeted_session(self) -> PeerSession | None:
-        """The session with the peer process, once both have said who they are."""
+        """The session with the peer process, once both processes have identified themselves."""
         if self.successor.greeted:
             return self.successor.session
         return self.predecessor.session if self.predecessor.greeted else None
--- a/quota_gateway/net/hot_restart/link.py
+++ b/quota_gateway/net/hot_restart/link.py
@@ -134,7 +134,7 @@
 
 
 def close_descriptors(descriptors: Iterable[int]) -> None:
-    """Close descriptors that nobody has taken."""
+    """Close descriptors that no object owns; one that is closed already does no harm."""
     for descriptor in descriptors:
         with suppress(OSError):
             os.close(descriptor)
--- a/quota_gateway/net/hot_restart/messages.py
+++ b/quota_gateway/net/hot_restart/messages.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Both ways, first: who the sender is. The predecessor answers with its own."""
+    """Both ways, first: the sender's identity. The predecessor answers with its own."""
 
     letter: ClassVar[bytes] = b"H"
     identity: GatewayIdentity
--- a/quota_gateway/net/hot_restart/operator_wishes.py
+++ b/quota_gateway/net/hot_restart/operator_wishes.py
@@ -1,4 +1,4 @@
-"""What operators wish of a gateway, kept over its processes: in force, in messages and in a file."""
+"""What operators wish of a gateway, across its processes: in force, in messages and in a file."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorWishes:
-    """Servers that are administratively down, whether the gateway is drained, and who may call."""
+    """Servers that are administratively down, whether the gateway is drained, the highest fencing token."""
 
     servers_down: tuple[str, ...] = ()  # ids of discovery, sorted
     drained: bool = False
-    highest_token: int = NO_TOKEN  # of the callers so far; an older one may do nothing
+    highest_token: int = NO_TOKEN  # seen so far; a call with a lower one is rejected
 
     def to_document(self) -> dict[str, Any]:
         """The wishes by their keys; the token only where there was one, as in earlier versions."""
@@ -137,7 +137,7 @@
                 raise ValueError("out is no list")
             parsed = OperatorWishes.from_document(wishes)
         except (ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
-            # not JSON, a key missing, a value of another type: somebody else wrote it
+            # not JSON, a key missing, a value of another type: not written by a gateway
             raise RestartError(f"{self._path}: not a file of operators' wishes: {error!r}") from error
         if identity != self._identity:
             raise RestartError(f"{self._path}: written by {identity}")
--- a/quota_gateway/net/hot_restart/predecessor.py
+++ b/quota_gateway/net/hot_restart/predecessor.py
@@ -38,8 +38,8 @@
     """How far a process has handed over to the next one."""
 
     SERVING = "serving"  # no next process is connected
-    CONNECTED = "connected"  # a next process is, and has not said who it is
-    GREETED = "greeted"  # it has, and may ask to take over
+    CONNECTED = "connected"  # a next process is connected, and not identified yet
+    GREETED = "greeted"  # it is identified, and may ask to take over
     HANDED_OVER = "handed over"  # the successor serves; this process finishes its requests
     AWAITING_EXIT = "awaiting exit"  # the session has ended, the successor's process has not
 
@@ -142,7 +142,7 @@
 
     @property
     def greeted(self) -> bool:
-        """Whether both processes have said who they are, and the session is open."""
+        """Whether both processes have identified themselves, and the session is open."""
         return self.state in GREETED
 
     @property
@@ -219,7 +219,7 @@
     async def reclaim(self) -> None:
         """Go on with the connections that the successor had not touched, accept and offer again.
 
-        During a shutdown only what has come is served: nobody takes over from this process any more.
+        During a shutdown only what has come is served: this process offers no takeover any more.
         """
         clients = self._parts.clients
         for connection in self.connections.retained.reclaim():
--- a/quota_gateway/net/hot_restart/session.py
+++ b/quota_gateway/net/hot_restart/session.py
@@ -55,7 +55,7 @@
         self.link.end(reason)
 
     def close(self, reason: str) -> None:
-        """End the session as this process ends: nobody is notified."""
+        """End the session as this process ends; ``on_end`` is not called."""
         self._on_end = None
         self.heartbeat.stop()
         self.end(reason)
--- a/quota_gateway/net/hot_restart/state_transfer.py
+++ b/quota_gateway/net/hot_restart/state_transfer.py
@@ -35,7 +35,7 @@
 
     @classmethod
     def from_bytes(cls, raw: bytes) -> TransferredState:
-        """The state in a document; the list and the decisions are checked by who applies them.
+        """The state in a document; the list and the decisions are checked as they are applied.
 
         Raises PeerProcessError.
         """
--- a/quota_gateway/net/hot_restart/successor.py
+++ b/quota_gateway/net/hot_restart/successor.py
@@ -42,7 +42,7 @@
 class SuccessorState(Enum):
     """How far a process has taken over from the one before it."""
 
-    NOT_CONNECTED = "not connected"  # nobody was found yet
+    NOT_CONNECTED = "not connected"  # no predecessor was looked for yet
     GREETING = "greeting"  # connected; the predecessor has not answered
     LOADING = "loading"  # it has answered; its state is requested, or comes
     TAKEN_OVER = "taken over"  # this process serves; the predecessor finishes its requests
@@ -71,9 +71,9 @@
         self._connections = ConnectionReceiver(parts)
         self._assembly = StateAssembly()
         self._listener: socket.socket | None = None
-        # What ``take_over`` waits for; each is set as well when the session ends.
+        # What ``take_over`` waits for: both end as well when the session does.
         self._greeted = asyncio.Event()
-        self._loaded = asyncio.Event()
+        self._loaded: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
 
     # ---- Taking over
 
@@ -117,7 +117,7 @@
         return self.session
 
     def _forget_wishes(self) -> None:
-        """Nobody serves, so the file is of a process that is dead; only its token still holds."""
+        """Drop the wishes in the file: no process serves, so its writer is dead. Its token still holds."""
         wishes = self._exchange.read_file()
         if wishes:
             self._exchange.in_force.raise_token(wishes.highest_token)
@@ -133,15 +133,14 @@
                 raise RestartError("the predecessor broke off")
             session.link.has_received = False
             session.send(TakeOver(heartbeats=True))
-            await self._loaded.wait()
-        if self.state is not SuccessorState.TAKEN_OVER:
-            raise RestartError("the predecessor broke off")
+            if not await self._loaded:
+                raise RestartError("the predecessor broke off")
 
     async def _give_up(self, session: PeerSession, timed_out: bool) -> None:
         """End the session for a plain start.
 
         A predecessor that was silent all the time hangs. It is killed first: waking up later, it would serve
-        beside this process.
+        side by side with this process.
         """
         if timed_out and self.state is SuccessorState.GREETING:
             # So far it has had less time than a process that hangs is given elsewhere.
@@ -164,7 +163,7 @@
 
     @property
     def greeted(self) -> bool:
-        """Whether both processes have said who they are, and the session is open."""
+        """Whether both processes have identified themselves, and the session is open."""
         return self.state in GREETED
 
     def end_predecessor(self) -> bool:
@@ -223,7 +222,7 @@
         self._exchange.in_force.apply(state.wishes)
         self._connections.set_remaining(state.remaining)
         self._enter(SuccessorState.TAKEN_OVER)
-        self._loaded.set()
+        self._finish_loading(True)
         if end.heartbeats:
             self._connections.report_closed_to(session)
             session.heartbeat.start()
@@ -234,10 +233,15 @@
         self._enter(SuccessorState.ALONE)
         self._connections.end()
         self._greeted.set()
-        self._loaded.set()
+        self._finish_loading(False)
         self._parts.driver.post(api.PeerExited())
         session.peer_process.close()
 
+    def _finish_loading(self, loaded: bool) -> None:
+        """Wake ``take_over``, unless it has been woken or has given up. The first outcome counts."""
+        if not self._loaded.done():
+            self._loaded.set_result(loaded)
+
     def _enter(self, state: SuccessorState) -> None:
         self.state = transition("successor", TRANSITIONS, self.state, state)
 
--- a/quota_gateway/net/peer_process.py
+++ b/quota_gateway/net/peer_process.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerCredentials:
-    """Who is at the other end of a Unix socket, as the kernel says."""
+    """Process and user at the other end of a Unix socket, as the kernel reports them."""
 
     pid: int
     user_id: int
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -26,7 +26,7 @@
 from quota_gateway.net.hot_restart import GatewayIdentity, HotRestart, limits, predecessor, successor
 from quota_gateway.net.hot_restart.link import QueuedMessage
 from quota_gateway.net.hot_restart.operator_wishes import FILE_NAME, OperatorWishes
-from quota_gateway.net.hot_restart.predecessor import PredecessorState
+from quota_gateway.net.hot_restart.predecessor import Predecessor, PredecessorState
 from quota_gateway.net.hot_restart.session import PeerSession
 from quota_gateway.net.hot_restart.successor import SuccessorState
 from quota_gateway.net.hot_restart.takeover_listener import SOCKET_NAME
@@ -507,6 +507,27 @@
     run(test())
 
 
+def test_state_of_a_process_that_dies_right_behind_it_is_used(tmp_path, monkeypatch):
+    """Its end comes in the same turn of the loop as the state: what it knew would be lost with it."""
+    send_state = Predecessor._send_state
+
+    def send_state_and_die(self, session, heartbeats):
+        send_state(self, session, heartbeats)
+        session.end("it dies")
+
+    monkeypatch.setattr(Predecessor, "_send_state", send_state_and_die)
+
+    async def test():
+        async with process(tmp_path) as old, process(tmp_path) as new:
+            old.driver.post(DrainChanged(True))
+            old.hot_restart.offer()
+            assert await new.hot_restart.take_over()
+            assert new.hot_restart.operator_wishes().drained
+            assert new.hot_restart.successor.state is SuccessorState.ALONE
+
+    run(test())
+
+
 def test_process_that_comes_beside_the_successor_starts_plainly(tmp_path):
     """Two successors of one process would charge and accept side by side."""
 
