--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -15,14 +15,7 @@
 from quota_gateway.policy.concurrency_cap import ConcurrencyCap
 from quota_gateway.policy.customers import Customers
 from quota_gateway.policy.quota_meter import REJECT_OVER_QUOTA, Admit, Hold, RejectOverQuota
-from quota_gateway.state import Context, Customer, GiveUpReason, PendingRequest, Server
-
-
-@dataclass(frozen=True, slots=True)
-class SendTo:
-    """The first attempt goes to this server now."""
-
-    server: Server
+from quota_gateway.state import Context, Customer, GiveUpReason, PendingRequest, RequestState, Server
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,6 +33,11 @@
 
 
 QUEUE = Queue(0.0)
+GIVE_UP_OVER_RATE_CEILING = GiveUp(GiveUpReason.OVER_RATE_CEILING)
+
+# Looked up once, as these are compared whenever a queued request is tried again.
+HELD = RequestState.HELD
+QUEUED = RequestState.QUEUED
 
 
 class Admission:
@@ -76,7 +74,7 @@
             self._reject(request, customer, plan, reason)
             return
         slow_start_draw = self.context.random.random()
-        now_ms = self.context.now
+        now_ms = self.context.now_ms
         self.meter.record_demand(customer, plan, request.units, now_ms)
         decision = self.quota_decision(request, request_class, customer, plan)
         if isinstance(decision, RejectOverQuota):
@@ -105,14 +103,14 @@
         """
         highest_weight = self.context.highest_priority_weight
         useful_ms = max(0.0, self.useful_hold_ms(request_class)) * request_class.priority_weight
-        remaining_ms = self.responses.shutdown_at_ms - self.context.now
+        remaining_ms = self.responses.shutdown_at_ms - self.context.now_ms
         return min(request.client_timeout_ms, remaining_ms, useful_ms / highest_weight)
 
     def _exceeded_limit(self, request: Request, customer: Customer, plan: Plan) -> GiveUpReason | None:
         """A limit other than the quota for which a new request is rejected; may draw a random number."""
         if request.is_retry and self.meter.has_thin_share(customer, plan):
             return GiveUpReason.THIN_SHARE_RETRY
-        if self.concurrency_cap.rejects_for_overuse(customer, plan, self.context.now):
+        if self.concurrency_cap.rejects_for_overuse(customer, plan, self.context.now_ms):
             return GiveUpReason.OVER_CONCURRENCY_CAP
         return None
 
@@ -120,7 +118,7 @@
         self, request: Request, request_class: RequestClass, customer: Customer, plan: Plan
     ) -> Admit | Hold | RejectOverQuota:
         """The quota meter's decision, but for holds that would last too long: these are rejected."""
-        decision = self.meter.decide(customer, plan, request.units, self.context.now)
+        decision = self.meter.decide(customer, plan, request.units, self.context.now_ms)
         if not isinstance(decision, Hold):
             return decision
         if decision.delay_ms >= self.longest_hold_ms(request, request_class):
@@ -131,7 +129,7 @@
         """Reject a new request, with the time after which its customer's quota share has room for it."""
         self.responses.count_given_up(reason, plan)
         if plan.rate:
-            retry_after_ms = self.meter.retry_after_ms(customer, plan, request.units, self.context.now)
+            retry_after_ms = self.meter.retry_after_ms(customer, plan, request.units, self.context.now_ms)
         else:
             retry_after_ms = self.context.settings.meter_period_ms
         self.responses.reject(request.request_id, retry_after_ms)
@@ -148,31 +146,30 @@
             self._send_or_queue(pending)
 
     def _on_hold_ended(self, pending: PendingRequest) -> None:
-        if pending.is_held:
+        if pending.state is HELD:
             self._send_or_queue(pending)
 
     # Requests that were admitted
 
-    def placement(self, pending: PendingRequest) -> SendTo | Queue | GiveUp:
-        """What becomes of a request that waits for its first attempt; the choice of a server draws."""
-        now_ms = self.context.now
+    def placement(self, pending: PendingRequest) -> Server | Queue | GiveUp:
+        """The server for a request's first attempt, or why there is none; the choice of a server draws."""
+        now_ms = self.context.now_ms
         wait_ms = self.ceiling.wait_ms(pending, now_ms)
         if wait_ms >= pending.deadline_ms - now_ms:
-            return GiveUp(GiveUpReason.OVER_RATE_CEILING)
+            return GIVE_UP_OVER_RATE_CEILING
         if wait_ms:
             return Queue(wait_ms)
         if self.concurrency_cap.is_reached(pending, now_ms):
             return QUEUE
         if self.concurrency_limit.is_reached(pending.slow_start_draw):
             return QUEUE
-        server = self.server_selection.first(pending)
-        return SendTo(server) if server else QUEUE
+        return self.server_selection.first(pending) or QUEUE
 
     def _send_or_queue(self, pending: PendingRequest) -> None:
         """Carry out where a request goes that waits for its first attempt."""
         decision = self.placement(pending)
-        if isinstance(decision, SendTo):
-            self.attempts.send(pending, decision.server)
+        if isinstance(decision, Server):
+            self.attempts.send(pending, decision)
         elif isinstance(decision, Queue):
             self._queue(pending, decision.rate_ceiling_wait_ms)
         else:
@@ -180,17 +177,17 @@
 
     def _queue(self, pending: PendingRequest, rate_ceiling_wait_ms: float) -> None:
         """Queue a request, or leave it in the queue, and shed one if too many are queued now."""
-        if not pending.is_queued:
+        if pending.state is not QUEUED:
             useful_until_ms = pending.arrived_ms + self.useful_hold_ms(pending.request_class)
             self.context.arm(
-                max(0.0, useful_until_ms - self.context.now), self._on_useful_hold_ended, pending
+                max(0.0, useful_until_ms - self.context.now_ms), self._on_useful_hold_ended, pending
             )
             self.in_flight.enqueue(pending)
         shed = self.request_to_shed()
         if shed:
             self.responses.reject_or_fail(shed, GiveUpReason.QUEUE_FULL)
         # At most one timer for each request: whenever an attempt ends, all that are queued are tried again.
-        if rate_ceiling_wait_ms and pending.is_queued and not pending.rate_ceiling_timer_armed:
+        if rate_ceiling_wait_ms and pending.state is QUEUED and not pending.rate_ceiling_timer_armed:
             pending.rate_ceiling_timer_armed = True
             delay_ms = rate_ceiling_wait_ms + self.context.settings.tick_ms
             self.context.arm(delay_ms, self._on_rate_ceiling_wait_ended, pending)
@@ -209,17 +206,17 @@
 
     def _on_rate_ceiling_wait_ended(self, pending: PendingRequest) -> None:
         pending.rate_ceiling_timer_armed = False
-        if pending.is_queued:
+        if pending.state is QUEUED:
             self._send_or_queue(pending)
 
     def _on_useful_hold_ended(self, pending: PendingRequest) -> None:
         """A response could no longer be within the objective; without any server it waits on all the same."""
-        if pending.is_queued and self.server_selection.endpoints.ready:
+        if pending.state is QUEUED and self.server_selection.endpoints.ready:
             self.responses.reject_or_fail(pending, self.queued_reason(pending))
 
     def queued_reason(self, pending: PendingRequest) -> GiveUpReason:
         """What a queued request waits for, as the reason for which it is given up."""
-        now_ms = self.context.now
+        now_ms = self.context.now_ms
         if self.concurrency_cap.is_reached(pending, now_ms):
             return GiveUpReason.QUEUED_FOR_CONCURRENCY_CAP
         if self.ceiling.wait_ms(pending, now_ms) > 0.0:
@@ -234,5 +231,5 @@
             self.in_flight.queued.values(), key=self.concurrency_limit.queue_priority, reverse=True
         )
         for pending in by_priority:
-            if pending.is_queued:  # it may have been shed meanwhile
+            if pending.state is QUEUED:  # it may have been shed meanwhile
                 self._send_or_queue(pending)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -155,7 +155,7 @@
     before = (
         dict(gateway.customers.rows),
         limit.limit,
-        gateway.context.decay.sends,
+        gateway.context.decay.attempts_started,
         dict(limit.latencies.mean_ms),
     )
     with pytest.raises((ValueError, KeyError, TypeError, AttributeError)):
@@ -163,7 +163,7 @@
     assert before == (
         gateway.customers.rows,
         limit.limit,
-        gateway.context.decay.sends,
+        gateway.context.decay.attempts_started,
         limit.latencies.mean_ms,
     )
 
@@ -290,7 +290,8 @@
                     assert predecessor.state is PredecessorState.HANDED_OVER
                     await until(lambda new=new: len(new.clients.connections) == 1)
                     assert len(predecessor.connections.retained) == 1
-                    assert new.driver.gateway.context.decay.sends == old.driver.gateway.context.decay.sends
+                    started = [one.driver.gateway.context.decay.attempts_started for one in (new, old)]
+                    assert started[0] == started[1]
                     new.hot_restart.close()  # it ends, and has read nothing of its client
                     await until(lambda: predecessor.state is PredecessorState.SERVING)
                     await until(lambda: len(old.clients.connections) == 1)
