--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -56,8 +56,8 @@
         self.context = context
         self.customers = customers
         self.attempts = attempts
-        self.meter = customers.meter
-        self.ceiling = customers.ceiling
+        self.quota_meter = customers.quota_meter
+        self.rate_ceiling = customers.rate_ceiling
         self.concurrency_cap = concurrency_cap
         self.responses = attempts.responses
         self.concurrency_limit = attempts.concurrency_limit
@@ -74,12 +74,12 @@
             return
         slow_start_draw = self.context.random.random()
         now_ms = self.context.now_ms
-        self.meter.record_demand(customer, plan, request.units, now_ms)
+        self.quota_meter.record_demand(customer, plan, request.units, now_ms)
         decision = self.quota_decision(request, request_class, customer, plan)
         if isinstance(decision, RejectOverQuota):
             self._reject(request, customer, plan, GiveUpReason.OVER_QUOTA)
             return
-        self.meter.apply(customer, decision, now_ms)
+        self.quota_meter.apply(customer, decision, now_ms)
         epoch = self.customers.epochs.epoch
         pending = PendingRequest(request, request_class, plan, customer, now_ms, slow_start_draw, epoch)
         self._admit(pending, decision)
@@ -107,7 +107,7 @@
 
     def _exceeded_limit(self, request: Request, customer: Customer, plan: Plan) -> GiveUpReason | None:
         """A limit other than the quota for which a new request is rejected; may draw a random number."""
-        if request.is_retry and self.meter.has_thin_share(customer, plan):
+        if request.is_retry and self.quota_meter.has_thin_share(customer, plan):
             return GiveUpReason.THIN_SHARE_RETRY
         if self.concurrency_cap.rejects_for_overuse(customer, plan, self.context.now_ms):
             return GiveUpReason.OVER_CONCURRENCY_CAP
@@ -117,7 +117,7 @@
         self, request: Request, request_class: RequestClass, customer: Customer, plan: Plan
     ) -> Admit | Hold | RejectOverQuota:
         """The quota meter's decision, but for holds that would last too long: these are rejected."""
-        decision = self.meter.decide(customer, plan, request.units, self.context.now_ms)
+        decision = self.quota_meter.decide(customer, plan, request.units, self.context.now_ms)
         if not isinstance(decision, Hold):
             return decision
         if decision.delay_ms >= self.longest_hold_ms(request, request_class):
@@ -128,7 +128,9 @@
         """Reject a new request, with the time after which its customer's quota share has room for it."""
         self.responses.count_given_up(reason, plan)
         if plan.rate:
-            retry_after_ms = self.meter.retry_after_ms(customer, plan, request.units, self.context.now_ms)
+            retry_after_ms = self.quota_meter.retry_after_ms(
+                customer, plan, request.units, self.context.now_ms
+            )
         else:
             retry_after_ms = self.context.settings.meter_period_ms
         self.responses.reject(request.request_id, retry_after_ms)
@@ -153,7 +155,7 @@
     def placement(self, pending: PendingRequest) -> Server | Queue | GiveUp:
         """The server for a request's first attempt, or why there is none; the choice of a server draws."""
         now_ms = self.context.now_ms
-        wait_ms = self.ceiling.wait_ms(pending, now_ms)
+        wait_ms = self.rate_ceiling.wait_ms(pending, now_ms)
         if wait_ms >= pending.deadline_ms - now_ms:
             return GIVE_UP_OVER_RATE_CEILING
         if wait_ms:
@@ -217,7 +219,7 @@
         now_ms = self.context.now_ms
         if self.concurrency_cap.is_reached(pending, now_ms):
             return GiveUpReason.QUEUED_FOR_CONCURRENCY_CAP
-        if self.ceiling.wait_ms(pending, now_ms) > 0.0:
+        if self.rate_ceiling.wait_ms(pending, now_ms) > 0.0:
             return GiveUpReason.QUEUED_FOR_RATE_CEILING
         return GiveUpReason.QUEUED_FOR_CONCURRENCY_LIMIT
 
--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -20,10 +20,14 @@
     """Owns the retry budget; moves requests from attempt to attempt to the final answer."""
 
     def __init__(
-        self, context: Context, ceiling: RateCeiling, server_selection: ServerSelection, responses: Responses
+        self,
+        context: Context,
+        rate_ceiling: RateCeiling,
+        server_selection: ServerSelection,
+        responses: Responses,
     ) -> None:
         self.context = context
-        self.ceiling = ceiling
+        self.rate_ceiling = rate_ceiling
         self.concurrency_limit = responses.concurrency_limit
         self.server_selection = server_selection
         self.outlier_detection = server_selection.outlier_detection
@@ -43,7 +47,7 @@
         request_id = pending.request.request_id
         now_ms = self.context.now_ms
         if pending.attempts_started == 0:
-            self.ceiling.consume(pending, now_ms)
+            self.rate_ceiling.consume(pending, now_ms)
             self.retry_budget.on_first_attempt()
         else:
             self.retry_budget.on_retry()
@@ -85,7 +89,7 @@
 
     def _record_metered_use(self, pending: PendingRequest, metered_use_percent: float) -> None:
         """Take over the late reading of the customer's use by all gateways."""
-        self.responses.meter.record_reading(pending.customer, metered_use_percent, self.context.now_ms)
+        self.responses.quota_meter.record_reading(pending.customer, metered_use_percent, self.context.now_ms)
         self.responses.peer_usage.report(pending.customer, 0.0, metered_use_percent)
 
     def _retry_or_answer(self, pending: PendingRequest, status: Status, failed: Attempt) -> None:
--- a/quota_gateway/policy/concurrency_cap.py
+++ b/quota_gateway/policy/concurrency_cap.py
@@ -15,9 +15,9 @@
 class ConcurrencyCap:
     """Compares a customer's attempts in flight with this gateway's share of its cap. Owns nothing."""
 
-    def __init__(self, context: Context, meter: QuotaMeter) -> None:
+    def __init__(self, context: Context, quota_meter: QuotaMeter) -> None:
         self.context = context
-        self.meter = meter
+        self.quota_meter = quota_meter
 
     def is_reached(self, pending: PendingRequest, now_ms: float) -> bool:
         """Whether this gateway's share of the cap, at least one attempt, is in flight."""
@@ -26,7 +26,7 @@
         if not cap:
             return False
         in_flight = customer.attempts_in_flight + customer.peer_in_flight
-        return in_flight >= max(1, int(cap * self.meter.quota_share(customer, now_ms)))
+        return in_flight >= max(1, int(cap * self.quota_meter.quota_share(customer, now_ms)))
 
     def rejects_for_overuse(self, customer: Customer, plan: Plan, now_ms: float) -> bool:
         """Whether to reject a request by the late reading of the cap's use; draws a random number.
@@ -38,7 +38,7 @@
         is_below_one = 0 < plan.max_in_flight < customer.serving_gateways
         if plan.rate or not plan.overuse_cost or not is_below_one:
             return False
-        lifetime_ms = READING_LIFETIME_FACTOR * self.meter.reading_lifetime_ms
+        lifetime_ms = READING_LIFETIME_FACTOR * self.quota_meter.reading_lifetime_ms
         if now_ms - customer.metered_use_at_ms > lifetime_ms:
             return False
         overuse = float(customer.metered_use_ratio**OVERUSE_EXPONENT)
--- a/quota_gateway/policy/customers.py
+++ b/quota_gateway/policy/customers.py
@@ -22,10 +22,10 @@
 class Customers:
     """Owns customers' rows, least recently used first, and the epochs of settings."""
 
-    def __init__(self, context: Context, meter: QuotaMeter, ceiling: RateCeiling) -> None:
+    def __init__(self, context: Context, quota_meter: QuotaMeter, rate_ceiling: RateCeiling) -> None:
         self.context = context
-        self.meter = meter
-        self.ceiling = ceiling
+        self.quota_meter = quota_meter
+        self.rate_ceiling = rate_ceiling
         self.rows: OrderedDict[CustomerKey, Customer] = OrderedDict()
         self.epochs = SettingsEpochs(context.settings.plans, context.settings.gateways, MAX_RETIRED_PLANS)
 
@@ -35,7 +35,7 @@
         now_ms = self.context.now_ms
         customer = self.rows.get(key)
         if customer is None:
-            level_units = self.ceiling.unseen_level_units(plan, request.gateway_span, now_ms)
+            level_units = self.rate_ceiling.unseen_level_units(plan, request.gateway_span, now_ms)
             customer = Customer(key, now_ms, level_units, self.epochs.epoch)
             self.rows[key] = customer
         else:
@@ -54,7 +54,7 @@
             return
         customer.pending_before_transition -= 1
         if customer.pending_before_transition <= 0:
-            self.ceiling.refill(customer, customer.transition_plan, self.context.now_ms)
+            self.rate_ceiling.refill(customer, customer.transition_plan, self.context.now_ms)
             customer.transition_plan = None
 
     # ---- Eviction
@@ -80,10 +80,10 @@
 
     def _is_as_new(self, customer: Customer, plan: Plan, now_ms: float) -> bool:
         """Whether a row that is added anew would say the same."""
-        unseen_units = self.ceiling.unseen_level_units(plan, customer.serving_gateways, now_ms)
-        if self.ceiling.level_units(customer, plan, now_ms) < unseen_units:
+        unseen_units = self.rate_ceiling.unseen_level_units(plan, customer.serving_gateways, now_ms)
+        if self.rate_ceiling.level_units(customer, plan, now_ms) < unseen_units:
             return False
-        return self.meter.is_as_new(customer, plan, now_ms)
+        return self.quota_meter.is_as_new(customer, plan, now_ms)
 
     # ---- Changes of settings
 
@@ -92,17 +92,17 @@
         if len(self.epochs.past_epochs) >= MAX_PAST_EPOCHS:
             self.catch_up_last(len(self.epochs.lagging_customers))
         now_ms = self.context.now_ms
-        self.epochs.begin(now_ms, plans, gateways, self.meter.reading_lifetime_ms, self.rows)
-        self.ceiling.begin_epoch(self.epochs, now_ms)
+        self.epochs.begin(now_ms, plans, gateways, self.quota_meter.reading_lifetime_ms, self.rows)
+        self.rate_ceiling.begin_epoch(self.epochs, now_ms)
 
     def catch_up(self, customer: Customer) -> None:
         """Bring a row up to the last change of settings, through each that it has missed."""
         plan_name = customer.key[0]
         for past in self.epochs.missed_epochs(customer.settings_epoch):
             if plan := past.plans.get(plan_name):
-                self.meter.drain_until(customer, plan, past.until_ms, past.reading_lifetime_ms)
+                self.quota_meter.drain_until(customer, plan, past.until_ms, past.reading_lifetime_ms)
                 if past.until_ms > customer.ceiling_updated_ms:
-                    self.ceiling.refill(customer, customer.transition_plan or plan, past.until_ms)
+                    self.rate_ceiling.refill(customer, customer.transition_plan or plan, past.until_ms)
             customer.serving_gateways = max(1, min(customer.requested_gateways, past.gateways_after))
         customer.settings_epoch = self.epochs.epoch
         if plan := self.epochs.plan(plan_name):
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -43,13 +43,13 @@
         self.context = context = Context(settings, seed, ESTIMATE_DECAY_MS)
         self.endpoints = Endpoints(context.random)
         self.in_flight = InFlightRequests()
-        self.meter = QuotaMeter(context)
+        self.quota_meter = QuotaMeter(context)
         self.slow_start = SlowStart(context)
         self.outlier_detection = OutlierDetection(context)
         self.concurrency_limit = ConcurrencyLimit(context)
-        self.ceiling = RateCeiling(context)
-        self.concurrency_cap = ConcurrencyCap(context, self.meter)
-        self.customers = Customers(context, self.meter, self.ceiling)
+        self.rate_ceiling = RateCeiling(context)
+        self.concurrency_cap = ConcurrencyCap(context, self.quota_meter)
+        self.customers = Customers(context, self.quota_meter, self.rate_ceiling)
         self.epochs = self.customers.epochs
         self.load_reports = LoadReports(context, self.endpoints)
         self.server_selection = ServerSelection(
@@ -57,7 +57,7 @@
         )
         self.peer_usage = PeerUsageExchange(context, self.in_flight, self.customers)
         self.responses = Responses(context, self.concurrency_limit, self.peer_usage)
-        self.attempts = Attempts(context, self.ceiling, self.server_selection, self.responses)
+        self.attempts = Attempts(context, self.rate_ceiling, self.server_selection, self.responses)
         self.admission = Admission(context, self.customers, self.concurrency_cap, self.attempts)
         self.release_queued = self.admission.release_queued
         self.endpoint_list = EndpointList(
--- a/quota_gateway/policy/hot_restart.py
+++ b/quota_gateway/policy/hot_restart.py
@@ -38,10 +38,10 @@
             return False
         self.customers.catch_up(customer)
         customer.peer_in_flight = event.in_flight
-        meter = self.customers.meter
-        meter.charge(customer, event.charged_units)
+        quota_meter = self.customers.quota_meter
+        quota_meter.charge(customer, event.charged_units)
         if event.metered_use_percent is not None:
-            meter.record_reading(customer, event.metered_use_percent, self.context.now_ms)
+            quota_meter.record_reading(customer, event.metered_use_percent, self.context.now_ms)
         return True
 
     def on_peer_exited(self, _: PeerExited) -> bool:
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -25,7 +25,7 @@
         self.peer_usage = peer_usage
         self.in_flight = peer_usage.in_flight
         self.customers = peer_usage.customers
-        self.meter = peer_usage.customers.meter
+        self.quota_meter = peer_usage.customers.quota_meter
         self.shutdown_at_ms = inf  # when this gateway will be ended
         self.outcome_counters = OutcomeCounters(COUNTERS_LOG_INTERVAL_MS)
 
@@ -81,7 +81,7 @@
     def retry_after_ms(self, pending: PendingRequest) -> float:
         """When the client may retry: the quota share has room then, and the queue of now has been served."""
         queue_ms = self.concurrency_limit.queue_wait_ms(pending.request_class, len(self.in_flight.queued))
-        quota_ms = self.meter.retry_after_ms(pending.customer, pending.plan, 0.0, self.context.now_ms)
+        quota_ms = self.quota_meter.retry_after_ms(pending.customer, pending.plan, 0.0, self.context.now_ms)
         return max(queue_ms, quota_ms)
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
@@ -105,8 +105,8 @@
 
     def settle_units(self, customer: Customer, estimated_units: float, final_units: float) -> None:
         """Correct what a customer was charged for a request by the units that it really used."""
-        correction_units = self.meter.correction_units(estimated_units, final_units)
-        self.meter.charge(customer, correction_units)
+        correction_units = self.quota_meter.correction_units(estimated_units, final_units)
+        self.quota_meter.charge(customer, correction_units)
         self.peer_usage.report(customer, correction_units)
 
     def finish_if_idle(self, pending: PendingRequest) -> None:
--- a/quota_gateway/state_document.py
+++ b/quota_gateway/state_document.py
@@ -93,7 +93,7 @@
         gateway.context.started_ms = self.started_at_ms
         gateway.context.decay.attempts_started = self.attempts_started
         gateway.customers.rows = self.customers
-        gateway.ceiling.unseen_levels = self.unseen_levels
+        gateway.rate_ceiling.unseen_levels = self.unseen_levels
         gateway.outlier_detection.rates.records = self.failure_records
         gateway.attempts.retry_budget.tokens = self.retry_tokens
         gateway.concurrency_limit.limit = self.concurrency_limit
@@ -127,7 +127,7 @@
         "marks": gateway.outlier_detection.rates.records,
         "fresh": {
             plan_name: (level.level_units, level.updated_ms)
-            for plan_name, level in gateway.ceiling.unseen_levels.items()
+            for plan_name, level in gateway.rate_ceiling.unseen_levels.items()
         },
         "quick": {
             class_name: [server_ids[number] for number in servers if number in server_ids]
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -69,8 +69,8 @@
         "concurrency_limit.initial_latency_ms outlier_detection.rates.records attempts.retry_budget.tokens "
         "peer_usage.peer_has_taken_over load_reports.has_connection_news graceful_shutdown.is_draining "
         "graceful_shutdown.is_drained graceful_shutdown.drain_number settings_change.apply "
-        "meter.quota_share meter.reading_lifetime_ms ceiling.level_units ceiling.unseen_level_units "
-        "ceiling.unseen_levels release_queued handlers handle"
+        "quota_meter.quota_share quota_meter.reading_lifetime_ms rate_ceiling.level_units "
+        "rate_ceiling.unseen_level_units rate_ceiling.unseen_levels release_queued handlers handle"
     )
     rig = Rig()
     rig.servers(entry(1))
@@ -79,7 +79,7 @@
     assert gateway.epochs is gateway.customers.epochs
     assert gateway.admission.concurrency_limit is gateway.concurrency_limit  # one owner, many readers
     assert gateway.attempts.in_flight is gateway.in_flight
-    assert gateway.meter.reading_lifetime_ms == 4000.0
+    assert gateway.quota_meter.reading_lifetime_ms == 4000.0
     assert gateway.concurrency_limit.initial_latency_ms(SETTINGS.classes[0]) == 400.0
-    assert gateway.ceiling.unseen_level_units(SETTINGS.plans[2], 2, rig.now) == 0.0
+    assert gateway.rate_ceiling.unseen_level_units(SETTINGS.plans[2], 2, rig.now) == 0.0
     assert gateway.responses.outcome_counters.last_logged_ms == float("-inf")
--- a/tests/test_quota_meter.py
+++ b/tests/test_quota_meter.py
@@ -78,7 +78,7 @@
 
 def test_slice_grows_by_the_room_and_falls_back(rig):
     def share(customer):
-        return rig.gateway.meter.quota_share(customer, rig.now)
+        return rig.gateway.quota_meter.quota_share(customer, rig.now)
 
     rig.finish(rig.ask("metered"), used=40.0)
     customer = rig.gateway.customers.rows["metered", "c"]
--- a/tests/test_state_document.py
+++ b/tests/test_state_document.py
@@ -125,8 +125,8 @@
     found = [
         [
             *customer.key,
-            gateway.meter.quota_share(customer, successor.now),
-            gateway.ceiling.level_units(customer, gateway.epochs.plans[customer.key[0]], successor.now),
+            gateway.quota_meter.quota_share(customer, successor.now),
+            gateway.rate_ceiling.level_units(customer, gateway.epochs.plans[customer.key[0]], successor.now),
         ]
         for customer in gateway.customers.rows.values()
     ]
@@ -153,7 +153,7 @@
     assert gateway.context.decay.attempts_started == MEANING["sends"]
     assert gateway.context.started_ms == MEANING["started_at"]
     assert as_json(gateway.outlier_detection.rates.records) == MEANING["marks"]
-    assert gateway.ceiling.unseen_levels == {
+    assert gateway.rate_ceiling.unseen_levels == {
         plan: BucketLevel(level, at) for plan, (level, at) in MEANING["fresh"].items()
     }
 
@@ -182,7 +182,7 @@
     earlier = document()
     del earlier["fresh"]
     state_document.load(successor.gateway, earlier, NUMBERS)
-    assert successor.gateway.ceiling.unseen_levels == {}
+    assert successor.gateway.rate_ceiling.unseen_levels == {}
     assert len(successor.gateway.customers.rows) == len(MEANING["customers"])
 
 
