--- a/quota_gateway/policy/quota_meter.py
+++ b/quota_gateway/policy/quota_meter.py
@@ -65,17 +65,18 @@
     def decide(self, customer: Customer, plan: Plan, units: float, now_ms: float) -> QuotaDecision:
         """Whether a request of so many units is within quota. Stores nothing: see ``apply``.
 
-        Its demand must have been recorded before (``record_demand``).
+        Its demand must have been recorded before (``record_demand``). Up to a burst of excess the request is
+        admitted, up to ``REJECT_BURSTS`` of them it is held until the excess has drained to one burst.
         """
         if not plan.rate:
             return ADMIT_WITHOUT_QUOTA
-        drain_rate = self._drain_rate(customer, plan, now_ms)
-        burst = self._burst_milliunits(customer, plan, units, now_ms)
-        excess = max(0.0, self._excess_with(customer, drain_rate, units, now_ms))
-        if excess > REJECT_BURSTS * burst:
+        drain_milliunits_per_ms = self._drain_milliunits_per_ms(customer, plan, now_ms)
+        burst_milliunits = self._burst_milliunits(customer, plan, units, now_ms)
+        excess_milliunits = max(0.0, self._excess_with(customer, drain_milliunits_per_ms, units, now_ms))
+        if excess_milliunits > REJECT_BURSTS * burst_milliunits:
             return REJECT_OVER_QUOTA
-        delay_ms = max(0.0, excess - burst) / drain_rate
-        return Hold(delay_ms, excess) if delay_ms else Admit(excess)
+        delay_ms = max(0.0, excess_milliunits - burst_milliunits) / drain_milliunits_per_ms
+        return Hold(delay_ms, excess_milliunits) if delay_ms else Admit(excess_milliunits)
 
     def apply(self, customer: Customer, decision: Admit | Hold, now_ms: float) -> None:
         """Store the excess of a request that is taken."""
@@ -93,10 +94,10 @@
         """Time until a request of so many units would be admitted if no other came."""
         if not plan.rate:
             return 0.0
-        drain_rate = self._drain_rate(customer, plan, now_ms)
-        burst = self._even_burst_milliunits(customer, plan)
-        excess = self._excess_with(customer, drain_rate, units, now_ms)
-        return max(0.0, excess - burst) / drain_rate
+        drain_milliunits_per_ms = self._drain_milliunits_per_ms(customer, plan, now_ms)
+        burst_milliunits = self._even_burst_milliunits(customer, plan)
+        excess_milliunits = self._excess_with(customer, drain_milliunits_per_ms, units, now_ms)
+        return max(0.0, excess_milliunits - burst_milliunits) / drain_milliunits_per_ms
 
     # ---- The share of the quota
 
@@ -134,15 +135,17 @@
 
     # ---- The leaky bucket
 
-    def _drain_rate(
+    def _drain_milliunits_per_ms(
         self, customer: Customer, plan: Plan, at_ms: float, reading_lifetime_ms: float | None = None
     ) -> float:
-        """Milliunits a millisecond that drain from the customer's excess here."""
+        """Speed at which the customer's excess drains here: its quota share of the plan's rate."""
         return plan.rate * self.quota_share(customer, at_ms, reading_lifetime_ms)
 
-    def _excess_with(self, customer: Customer, drain_rate: float, units: float, at_ms: float) -> float:
+    def _excess_with(
+        self, customer: Customer, drain_milliunits_per_ms: float, units: float, at_ms: float
+    ) -> float:
         """Excess in milliunits with a request added; negative where more has drained than there was."""
-        drained = drain_rate * (at_ms - customer.excess_updated_ms)
+        drained = drain_milliunits_per_ms * (at_ms - customer.excess_updated_ms)
         return customer.excess_milliunits - drained + MILLIUNITS_PER_UNIT * units
 
     def _burst_milliunits(self, customer: Customer, plan: Plan, units: float, now_ms: float) -> float:
@@ -208,8 +211,10 @@
     ) -> None:
         """Drain excess and demand up to a moment, by the plan and reading lifetime in force until then."""
         if until_ms > customer.excess_updated_ms:
-            drain_rate = self._drain_rate(customer, plan, until_ms, reading_lifetime_ms)
-            drained = drain_rate * (until_ms - customer.excess_updated_ms)
+            drain_milliunits_per_ms = self._drain_milliunits_per_ms(
+                customer, plan, until_ms, reading_lifetime_ms
+            )
+            drained = drain_milliunits_per_ms * (until_ms - customer.excess_updated_ms)
             customer.excess_milliunits = max(0.0, customer.excess_milliunits - drained)
             customer.excess_updated_ms = until_ms
         if until_ms > customer.demand_updated_ms:
--- a/quota_gateway/policy/rate_ceiling.py
+++ b/quota_gateway/policy/rate_ceiling.py
@@ -52,8 +52,8 @@
 
     def level_units(self, customer: Customer, plan: Plan, at_ms: float) -> float:
         """Units in this gateway's share of the customer's bucket."""
-        refill_rate = plan.ceiling_rate / customer.serving_gateways
-        refilled_units = refill_rate * (at_ms - customer.ceiling_updated_ms) / MS_PER_S
+        refill_units_per_s = plan.ceiling_rate / customer.serving_gateways
+        refilled_units = refill_units_per_s * (at_ms - customer.ceiling_updated_ms) / MS_PER_S
         capacity_units = plan.ceiling_burst / customer.serving_gateways
         return min(capacity_units, customer.ceiling_level_units + refilled_units)
 
