--- a/quota_gateway/net/admin_commands.py
+++ b/quota_gateway/net/admin_commands.py
@@ -70,7 +70,7 @@
         """Counters since the start of this process."""
         return True, self._driver.metrics.to_json(
             self._gateway.responses.outcome_counters.totals,
-            len(self._driver.calls),
+            len(self._driver.requests),
             self.configuration_digest(),
         )
 
--- a/quota_gateway/net/clients/connection.py
+++ b/quota_gateway/net/clients/connection.py
@@ -8,11 +8,11 @@
 from typing import TYPE_CHECKING, cast
 
 from quota_gateway.errors import ProtocolError
+from quota_gateway.net.client_request import ClientRequest
 from quota_gateway.net.clients.command_stream import CommandStream
 from quota_gateway.net.clients.commands import GET, POST, CommandError
 from quota_gateway.net.clients.replies import ReplySlot, StreamedValue
 from quota_gateway.net.clients.stall_timer import StallTimer
-from quota_gateway.net.driver import Call
 from quota_gateway.net.sockets import unread
 from quota_gateway.state_machine import transition
 
@@ -126,7 +126,7 @@
         self.count_unsent(-self.unsent_bytes)
         for slot in slots:
             if slot.answer is None:
-                self.clients.driver.client_gone(slot.request_id)
+                self.clients.driver.client_disconnected(slot.request_id)
 
     # ---- Commands in
 
@@ -269,7 +269,7 @@
             # A command behind the most in flight has waited here since it came: its client counts that.
             call = self.clients.commands.parse(command, driver.clock() - self.received_ms)
             request = call.request
-            if request.request_id in driver.calls:
+            if request.request_id in driver.requests:
                 raise CommandError("a request of this id is in hand")
         except ValueError as error:  # CommandError, or a value that api.Request does not take
             self._reject_command(f"-ERR {error}\r\n".encode("ascii", "replace"))
@@ -278,9 +278,9 @@
         self.bad_commands = 0
         slot = ReplySlot(self, None, request.request_id)
         self.slots.append(slot)
-        pending = Call(request.request_id, call.encode, slot.fill, slot.begin)
+        pending = ClientRequest(request.request_id, call.encode, slot.fill, slot.begin)
         pending.latency_objective_ms = call.latency_objective_ms
-        driver.request(pending, request, request.client_timeout_ms)
+        driver.accept(pending, request, request.client_timeout_ms)
 
     def _reject_command(self, reply: bytes) -> None:
         """Answer a bad command; the connection stays open, but not for an endless row of them.
--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -2,103 +2,55 @@
 
 from __future__ import annotations
 
-import asyncio
-import heapq
 import logging
-import time
 from collections import deque
 from collections.abc import Callable
-from itertools import count
-from math import ceil, inf
+from math import inf
 from typing import Any
 
 from quota_gateway import api
+from quota_gateway.net.client_request import ClientRequest
 from quota_gateway.net.metrics import GatewayMetrics
 from quota_gateway.net.servers import Attempt, Reply, Servers, Sink, Source
+from quota_gateway.net.timer_queue import TimerQueue
 from quota_gateway.policy.gateway import Gateway
 
 log = logging.getLogger(__name__)
 
-WAY_MS = 10.0  # kept of the time in which a last byte may arrive: its way, and a loop that is late
+DELIVERY_MARGIN_MS = 10.0  # for the last byte's way to the server, and a loop that is late
 
 
-class Clock:
-    """Unix time in milliseconds that never goes back.
+class Driver:
+    """Drives one ``Gateway``: hands it events one after the other and carries out what it decides.
 
-    Guards against a system clock that is set while the gateway runs: read once, then counted on.
+    The owners of the client connections and of the hot restart set ``on_admit`` and ``on_peer_usage``.
     """
 
-    def __init__(self) -> None:
-        self._offset = time.time() - time.monotonic()
-
-    def __call__(self) -> float:
-        return (time.monotonic() + self._offset) * 1000.0
-
-
-class Call:
-    """A client's request in hand, until it has been answered and no attempt is out."""
-
-    __slots__ = (
-        "request_id",
-        "encode",
-        "on_answer",
-        "on_value",
-        "deadline",
-        "sends",
-        "out",
-        "answered",
-        "passing",
-        "taken",
-        "latency_objective_ms",
-    )
-
-    def __init__(
-        self,
-        request_id: str,
-        encode: Callable[[float], bytes],
-        on_answer: Callable[[bytes], None],
-        on_value: Callable[[int, Source], Sink | None] = lambda length, source: None,
-    ) -> None:
-        self.request_id = request_id
-        self.encode = encode
-        self.on_answer = on_answer
-        self.on_value = on_value
-        self.passing: Attempt | None = None  # whose long value is the answer, from its first bytes on
-        self.deadline = 0.0
-        self.sends = 0
-        self.answered = False
-        self.taken = 0.0
-        self.latency_objective_ms = inf
-        self.out: dict[int, Attempt] = {}
-
-
-class Driver:
-    """Drives one ``Gateway``: hands it events one after the other and carries out what it decides."""
-
     def __init__(self, gateway: Gateway, servers: Servers, clock: Callable[[], float]) -> None:
         self.gateway = gateway
         self.servers = servers
         self.clock = clock
-        self.calls: dict[str, Call] = {}
+        self.requests: dict[str, ClientRequest] = {}  # by id
         self.metrics = GatewayMetrics()
-        self.events: deque[api.Event] = deque()
-        self.handling = False
-        self.timers: list[tuple[float, int, Callable[[Any], None], Any]] = []
-        self.order = count()
-        self.alarm: tuple[float, asyncio.TimerHandle] | None = None
-        self.loop = asyncio.get_running_loop()
+        self.timers = TimerQueue(lambda: self.clock())
+        self.on_peer_usage: Callable[[api.PeerUsage], None] = lambda _: None
+        self.on_admit: Callable[[api.SetServing], None] = lambda _: None
+        self._events: deque[api.Event] = deque()
+        self._is_handling = False
+        self._effects = self._effects_by_action()
         servers.on_linked = self.post
-        self.on_peer_usage: Callable[[api.PeerUsage], None] = lambda _: None  # set by who hands over
-        self.on_admit: Callable[[api.SetServing], None] = lambda _: None  # set by who holds the clients
-        self.actions: dict[type, Callable[[Any], None]] = {
+
+    def _effects_by_action(self) -> dict[type, Callable[[Any], None]]:
+        """The one table of what each kind of action does."""
+        return {
             api.Send: self._send,
-            api.Reject: self._refuse,
+            api.Reject: self._reject,
             api.Fail: self._fail,
             api.Cancel: self._cancel,
             api.SetTimer: self._set_timer,
             api.Log: lambda action: log.info("%s", action.text),
-            api.CloseIdle: lambda action: servers.close_idle(action.server),
-            api.SetServerUsable: lambda action: servers.hold(action.server, not action.usable),
+            api.CloseIdle: lambda action: self.servers.close_idle(action.server),
+            api.SetServerUsable: lambda action: self.servers.hold(action.server, not action.usable),
             api.Subscribe: lambda _: None,  # the watch on discovery is kept in any case
             api.SetServing: lambda action: self.on_admit(action),
             api.PeerUsage: lambda action: self.on_peer_usage(action),
@@ -109,193 +61,199 @@
     def post(self, event: api.Event) -> None:
         """Queue an event and handle all that are queued.
 
-        Guards against re-entrance: what an action gives rise to at once (a connection that is refused)
+        Guards against re-entrance: an event that an action causes at once, such as a rejected connection,
         waits until the actions before it are carried out.
         """
-        self.events.append(event)
-        if self.handling:
+        self._events.append(event)
+        if self._is_handling:
             return
-        self.handling = True
+        self._is_handling = True
         try:
-            while self.events:
-                self._handle(self.events.popleft())
+            while self._events:
+                self._handle(self._events.popleft())
         finally:
-            self.handling = False
+            self._is_handling = False
 
     def _handle(self, event: api.Event) -> None:
         try:
             for action in self.gateway.handle(self.clock(), event):
                 self._perform(action)
-        except Exception:  # one request that the decisions can't cope with must not take the others along
+        except Exception:  # a request that the decisions can't cope with must not take the others along
             log.exception("the decisions failed on %r", event)
-            request_id = getattr(event, "request_id", None)
+            request_id = getattr(event, "request_id", None)  # only some events are of a request
             if isinstance(request_id, str):
                 self._fail(api.Fail(request_id))
 
     def _perform(self, action: api.Action) -> None:
-        perform = self.actions.get(type(action))
-        if perform:
-            perform(action)
+        effect = self._effects.get(type(action))
+        if effect:
+            effect(action)
         else:
             log.error("no such action on these sockets: %r", action)
 
-    def request(self, call: Call, request: api.Request, waits_ms: float) -> None:
-        """Take a client's request; it is answered through ``call.on_answer``, once."""
-        call.taken = self.clock()
-        call.deadline = call.taken + waits_ms
+    def accept(self, request: ClientRequest, event: api.Request, client_timeout_ms: float) -> None:
+        """Put a client's request before the decisions; it is answered through ``on_answer``, once."""
+        request.received_ms = self.clock()
+        request.deadline_ms = request.received_ms + client_timeout_ms
         self.metrics.requests_total += 1
-        self.calls[call.request_id] = call
-        self.post(request)
-
-    def client_gone(self, request_id: str) -> None:
-        """The client closed its connection: nothing more is owed."""
-        call = self.calls.get(request_id)
-        if call and (call.passing or not call.answered):
-            self.metrics.disconnected_total += not call.answered
-            call.answered = True
+        self.requests[request.request_id] = request
+        self.post(event)
+
+    def client_disconnected(self, request_id: str) -> None:
+        """Take note that a client has left: no answer is due any more."""
+        request = self.requests.get(request_id)
+        if request and (request.streamed_attempt or not request.is_answered):
+            self.metrics.disconnected_total += not request.is_answered
+            request.is_answered = True
             self.post(api.ClientDisconnected(request_id))
-            self._drop_if_done(call)
+            self.forget_if_done(request)
 
-    # ---- Actions out
+    # ---- Attempts
 
     def _send(self, action: api.Send) -> None:
-        call = self.calls.get(action.request_id)
-        if call is None:
+        """Start an attempt; one that can't be in time has its outcome at once."""
+        request = self.requests.get(action.request_id)
+        if request is None:
             log.error("sent after its end: %r", action)
             return
-        number = call.sends
-        now = self.clock()
-        call.sends += 1
+        attempt = ForwardedAttempt(self, request, action)
+        request.attempts_sent += 1
         self.metrics.attempts_total += 1
-        wait = call.deadline - now
-        if action.timeout_ms:
-            wait = min(wait, action.timeout_ms)
-        ends = now + wait
-        latest = now + action.begin_within_ms - WAY_MS if action.begin_within_ms else inf
-        if call.answered or wait <= 0.0:
-            self._outcome(call, number, action.server, now, Reply(api.Status.NOT_SENT))
+        if request.is_answered or attempt.timeout_ms <= 0.0:
+            attempt.report(Reply(api.Status.NOT_SENT))
             return
-
-        def done(reply: Reply) -> None:
-            call.out.pop(number, None)
-            self._outcome(call, number, action.server, now, reply)
-
-        def payload() -> bytes | None:
-            """The command, while the client waits, time is left and the attempt is still safe."""
-            moment = self.clock()
-            return None if call.answered or moment >= min(ends, latest) else call.encode(ends - moment)
-
-        def begun(length: int, source: Source) -> Sink | None:
-            return self._begin(call, number, action.server, now, length, source)
-
-        attempt = Attempt(payload, done, begun)
-        call.out[number] = attempt
-        self.servers.start(action.server, attempt)
-        if number in call.out:
-            self._at(ends, self._time_out, (call, attempt))
-            if latest < ends:
-                self._at(latest, self.servers.stop_unsent, attempt)
-
-    def _time_out(self, which: tuple[Call, Attempt]) -> None:
-        call, attempt = which
-        if call.passing is not attempt:  # a long value that has begun is given for as long as it comes
+        self._start(attempt, action.server)
+
+    def _start(self, forwarded: ForwardedAttempt, server: int) -> None:
+        request = forwarded.request
+        attempt = Attempt(forwarded.command, forwarded.finish, forwarded.begin_stream)
+        request.attempts_in_flight[forwarded.number] = attempt
+        self.servers.start(server, attempt)
+        if forwarded.number not in request.attempts_in_flight:
+            return  # it has failed at once
+        self.timers.at(forwarded.ends_ms, self._time_out, forwarded)
+        if forwarded.begin_by_ms < forwarded.ends_ms:
+            self.timers.at(forwarded.begin_by_ms, self.servers.stop_unsent, attempt)
+
+    def _time_out(self, forwarded: ForwardedAttempt) -> None:
+        """End an attempt, unless it streams: a value that has begun may take as long as it moves."""
+        attempt = forwarded.request.attempts_in_flight.get(forwarded.number)
+        if attempt and forwarded.request.streamed_attempt is not attempt:
             self.servers.stop(attempt, api.Status.TIMEOUT)
 
-    def _begin(
-        self,
-        call: Call,
-        number: int,
-        server: int,
-        sent: float,
-        length: int,
-        source: Source,
-    ) -> Sink | None:
-        """A long value begins: it is the answer from now on, if the client still waits for one."""
-        if call.answered:
-            return None
-        sink = call.on_value(length, source)
-        if sink:
-            call.answered = True
-            call.passing = call.out[number]
-            self.metrics.count_served(self.clock() - call.taken, call.latency_objective_ms)
-            self.post(api.StreamStarted(call.request_id, number, server, self.clock() - sent))
-        return sink
+    def _cancel(self, action: api.Cancel) -> None:
+        request = self.requests.get(action.request_id)
+        attempt = request.attempts_in_flight.get(action.attempt) if request else None
+        if attempt:
+            self.servers.stop(attempt, api.Status.CANCELLED)
 
-    def _outcome(self, call: Call, number: int, server: int, sent: float, reply: Reply) -> None:
-        """The outcome of an attempt; a good answer goes to the client first, if it still waits."""
-        if reply.value is not None and not call.answered:
-            self._answer(call, b"$%d\r\n%b\r\n" % (len(reply.value), reply.value))
-        self.post(
-            api.AttemptEnded(
-                call.request_id,
-                number,
-                server,
-                reply.status,
-                self.clock() - sent,
-                call.answered,
-                reply.metered_use_percent,
-                reply.final_units,
-                reply.load,
-            )
-        )
-        self._drop_if_done(call)
+    # ---- Answers
 
-    def _refuse(self, action: api.Reject) -> None:
-        advice = round(action.retry_after_ms)
-        self._final(action.request_id, b"-BUSY %d\r\n" % advice if advice > 0 else b"-BUSY\r\n")
+    def _reject(self, action: api.Reject) -> None:
+        retry_after_ms = round(action.retry_after_ms)
+        answer = b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else b"-BUSY\r\n"
+        self._answer_finally(action.request_id, answer)
 
     def _fail(self, action: api.Fail) -> None:
-        self._final(action.request_id, b"-ERR failed\r\n")
+        self._answer_finally(action.request_id, b"-ERR failed\r\n")
+
+    def _answer_finally(self, request_id: str, answer: bytes) -> None:
+        request = self.requests.get(request_id)
+        if request and not request.is_answered:
+            self.answer(request, answer)
+            self.forget_if_done(request)
+
+    def answer(self, request: ClientRequest, answer: bytes) -> None:
+        """Give a client its final answer."""
+        request.is_answered = True
+        latency_ms = self.clock() - request.received_ms
+        self.metrics.count_answer(answer, latency_ms, request.latency_objective_ms)
+        request.on_answer(answer)
+
+    def forget_if_done(self, request: ClientRequest) -> None:
+        """Forget a request that is answered and has no attempt in flight."""
+        if request.is_answered and not request.attempts_in_flight:
+            self.requests.pop(request.request_id, None)
 
-    def _final(self, request_id: str, answer: bytes) -> None:
-        call = self.calls.get(request_id)
-        if call and not call.answered:
-            self._answer(call, answer)
-            self._drop_if_done(call)
+    # ---- Timers
 
-    def _answer(self, call: Call, answer: bytes) -> None:
-        call.answered = True
-        self.metrics.count_answer(answer, self.clock() - call.taken, call.latency_objective_ms)
-        call.on_answer(answer)
+    def _set_timer(self, action: api.SetTimer) -> None:
+        self.timers.at(self.clock() + action.delay_ms, self.post, api.TimerFired(action.token))
 
-    def _drop_if_done(self, call: Call) -> None:
-        if call.answered and not call.out:
-            self.calls.pop(call.request_id, None)
 
-    def _cancel(self, action: api.Cancel) -> None:
-        call = self.calls.get(action.request_id)
-        attempt = call.out.get(action.attempt) if call else None
-        if attempt:
-            self.servers.stop(attempt, api.Status.CANCELLED)
+class ForwardedAttempt:
+    """An attempt of a request: what its server connection asks, and reports, about it."""
 
-    # ---- Timers
-
-    def _set_timer(self, action: api.SetTimer) -> None:
-        self._at(self.clock() + action.delay_ms, self.post, api.TimerFired(action.token))
+    __slots__ = (
+        "request",
+        "number",
+        "timeout_ms",
+        "ends_ms",
+        "begin_by_ms",
+        "_driver",
+        "_server",
+        "_sent_ms",
+    )
 
-    def _at(self, due: float, call: Callable[[Any], None], argument: Any) -> None:
-        heapq.heappush(self.timers, (due, next(self.order), call, argument))
-        self._arm()
+    def __init__(self, driver: Driver, request: ClientRequest, action: api.Send) -> None:
+        self._driver = driver
+        self._server = action.server
+        self._sent_ms = driver.clock()
+        self.request = request
+        self.number = request.attempts_sent
+        self.timeout_ms = request.deadline_ms - self._sent_ms
+        if action.timeout_ms:
+            self.timeout_ms = min(self.timeout_ms, action.timeout_ms)
+        self.ends_ms = self._sent_ms + self.timeout_ms
+        self.begin_by_ms = inf
+        if action.begin_within_ms:
+            self.begin_by_ms = self._sent_ms + action.begin_within_ms - DELIVERY_MARGIN_MS
+
+    def command(self) -> bytes | None:
+        """The command, while the client waits, time is left and the attempt is still safe."""
+        now_ms = self._driver.clock()
+        if self.request.is_answered or now_ms >= min(self.ends_ms, self.begin_by_ms):
+            return None
+        return self.request.encode(self.ends_ms - now_ms)
 
-    def _arm(self) -> None:
-        """One timer of the loop stands for all of these: it is set for the first that falls due.
+    def begin_stream(self, length: int, source: Source) -> Sink | None:
+        """Make a streamed value the answer from now on, if the client still waits for one."""
+        request = self.request
+        if request.is_answered:
+            return None
+        sink = request.on_stream(length, source)
+        if sink:
+            driver = self._driver
+            request.is_answered = True
+            request.streamed_attempt = request.attempts_in_flight[self.number]
+            latency_ms = driver.clock() - request.received_ms
+            driver.metrics.count_served(latency_ms, request.latency_objective_ms)
+            since_sent_ms = driver.clock() - self._sent_ms
+            driver.post(api.StreamStarted(request.request_id, self.number, self._server, since_sent_ms))
+        return sink
 
-        Whole milliseconds, rounded up. Guards against spinning: the loop rounds a shorter delay down to
-        nothing, and would come back again and again until the timer is due.
-        """
-        due = self.timers[0][0]
-        if self.alarm and self.alarm[0] <= due:
-            return
-        if self.alarm:
-            self.alarm[1].cancel()
-        delay_ms = max(1, ceil(due - self.clock()))
-        self.alarm = (due, self.loop.call_later(delay_ms / 1000.0, self._fire))
-
-    def _fire(self) -> None:
-        self.alarm = None
-        now = self.clock()
-        while self.timers and self.timers[0][0] <= now:
-            _, _, call, argument = heapq.heappop(self.timers)
-            call(argument)
-        if self.timers:
-            self._arm()
+    def finish(self, reply: Reply) -> None:
+        """Take the attempt's end; called once."""
+        self.request.attempts_in_flight.pop(self.number, None)
+        self.report(reply)
+
+    def report(self, reply: Reply) -> None:
+        """Report the outcome to the decisions; a good answer goes to the client first, if it still waits."""
+        request = self.request
+        driver = self._driver
+        if reply.value is not None and not request.is_answered:
+            driver.answer(request, b"$%d\r\n%b\r\n" % (len(reply.value), reply.value))
+        driver.post(
+            api.AttemptEnded(
+                request.request_id,
+                self.number,
+                self._server,
+                reply.status,
+                driver.clock() - self._sent_ms,
+                request.is_answered,
+                reply.metered_use_percent,
+                reply.final_units,
+                reply.load,
+            )
+        )
+        driver.forget_if_done(request)
--- a/quota_gateway/process/builder.py
+++ b/quota_gateway/process/builder.py
@@ -10,9 +10,10 @@
 from quota_gateway.net.admin import AdminEndpoint
 from quota_gateway.net.admin_commands import AdminCommands
 from quota_gateway.net.clients import Clients
+from quota_gateway.net.clock import Clock
 from quota_gateway.net.connection_budget import connection_budget
 from quota_gateway.net.discovery import Discovery
-from quota_gateway.net.driver import Clock, Driver
+from quota_gateway.net.driver import Driver
 from quota_gateway.net.hot_restart import GatewayIdentity, HotRestart
 from quota_gateway.net.process_parts import ProcessParts
 from quota_gateway.net.reload import ConfigurationReload
--- a/quota_gateway/process/shutdown.py
+++ b/quota_gateway/process/shutdown.py
@@ -69,7 +69,7 @@
     def _is_replaced(self) -> bool:
         if self._successor is None or not self._successor.complete():
             return False
-        return not self._clients.connections and not self._driver.calls
+        return not self._clients.connections and not self._driver.requests
 
     async def _flush_answers(self) -> None:
         """Wait until each connection has closed behind its last answer.
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -27,7 +27,8 @@
     Settings,
 )
 from quota_gateway.net.clients import Clients
-from quota_gateway.net.driver import Clock, Driver
+from quota_gateway.net.clock import Clock
+from quota_gateway.net.driver import Driver
 from quota_gateway.net.servers import Servers
 
 LIMIT_S = 60.0  # generous: a test that takes so long hangs
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -185,7 +185,7 @@
             raw.sock.close()
             await until(lambda: not gateway.clients.lingering)
             assert len(fake.commands) == served
-            assert not gateway.driver.calls
+            assert not gateway.driver.requests
 
     run(test())
 
@@ -198,7 +198,7 @@
         async with node(FakeServer(lambda words: array(value))) as gateway:
             raw = Raw(port(gateway), room=2048)
             raw.send(call(1))
-            await until(lambda: gateway.driver.metrics.requests_total and not gateway.driver.calls)
+            await until(lambda: gateway.driver.metrics.requests_total and not gateway.driver.requests)
             raw.send(behind)
             gateway.clients.stop_listening()
             data, end = await raw.rest()
@@ -213,11 +213,11 @@
         async with node(FakeServer(lambda words: None), most_connections=1) as gateway:
             busy = Raw(port(gateway))
             busy.send(call(1))
-            await until(lambda: len(gateway.driver.calls) == 1)
+            await until(lambda: len(gateway.driver.requests) == 1)
             raw = Raw(port(gateway))
             raw.send(call(2))
             assert await raw.rest() == (BUSY, "end")
-            assert list(gateway.driver.calls) == [f"{1:016x}"]
+            assert list(gateway.driver.requests) == [f"{1:016x}"]
 
     run(test())
 
@@ -244,7 +244,7 @@
         async with node(FakeServer(lambda words: None), most_connections=1) as gateway:
             busy = Raw(port(gateway))
             busy.send(call(1))
-            await until(lambda: len(gateway.driver.calls) == 1)
+            await until(lambda: len(gateway.driver.requests) == 1)
             raws = []
             for _ in range(6):
                 raws.append(Raw(port(gateway)))
@@ -289,7 +289,7 @@
             await fake.until(lambda: len(fake.commands) == MAX_PIPELINED)
             raw.sock.close()
             await until(lambda: not gateway.clients.connections)
-            assert not gateway.driver.calls
+            assert not gateway.driver.requests
             assert gateway.driver.metrics.disconnected_total == MAX_PIPELINED
             assert len(fake.commands) == MAX_PIPELINED
 
@@ -317,7 +317,7 @@
             await fake.until(lambda: len(fake.commands) == 1)
             raw.sock.close()
             await until(lambda: not gateway.clients.connections)
-            assert not gateway.driver.calls
+            assert not gateway.driver.requests
             assert gateway.driver.metrics.disconnected_total == 1
 
     run(test())
@@ -348,7 +348,7 @@
                 at = [int(words[2], 16) for words in fake.commands].index(number)
                 fake.writers[fake.by[at]].write(array(b"v"))
             await until(lambda: gateway.driver.metrics.requests_total == MAX_PIPELINED + 2)
-            await until(lambda: len(gateway.driver.calls) == MAX_PIPELINED - 2)
+            await until(lambda: len(gateway.driver.requests) == MAX_PIPELINED - 2)
             behind = [words for words in fake.commands if int(words[2], 16) not in first]
             assert [int(words[2], 16) for words in behind] == [1000]  # the other one's time is up
             assert told(behind[0]) <= 4000
@@ -380,7 +380,7 @@
                 first.send(call(9, "read", plan))
                 await fake.until(lambda: len(fake.commands) == 1)
             raw.send(call(1, kind, plan))
-            await until(lambda: f"{1:016x}" in gateway.driver.calls)
+            await until(lambda: f"{1:016x}" in gateway.driver.requests)
             before = len(fake.commands)
             if leaves:
                 raw.sock.close()
@@ -389,12 +389,12 @@
                 case "held":
                     clock = gateway.driver.clock
                     gateway.driver.clock = lambda: clock() + 1000.0
-                    gateway.driver._fire()
+                    gateway.driver.timers.fire()
                 case "parked":
                     gateway.told(fake.entry(1))
                 case "under a cap":
                     fake.writers[0].write(array(b"v"))
-                    await until(lambda: f"{9:016x}" not in gateway.driver.calls)
+                    await until(lambda: f"{9:016x}" not in gateway.driver.requests)
             if leaves:
                 await used(gateway, call(2, "read", "free"))  # a request behind it is served
                 assert [words[2] for words in fake.commands[before:]] == [b"%016x" % 2]
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -80,7 +80,7 @@
                     ahead(gateway, 60_000.0)
             gate.open.set()
             await settled(gateway)
-            await until(lambda: not gateway.driver.calls)
+            await until(lambda: not gateway.driver.requests)
             if crossing != "client left":
                 assert (await raw.read(5)) == b"-BUSY"  # it never ran
             assert not fake.commands
@@ -208,7 +208,7 @@
             raw.sock.close()
             await until(lambda: gateway.driver.metrics.disconnected_total == 1)
             gate.open.set()
-            await until(lambda: not gateway.driver.calls)
+            await until(lambda: not gateway.driver.requests)
             assert not marks(gateway)
 
     run(test())
@@ -296,7 +296,7 @@
             if cut:
                 await until(
                     lambda: (
-                        not gateway.driver.calls
+                        not gateway.driver.requests
                         or any(one.unparsed_bytes or one.head for one in gateway.servers.connections)
                     )
                 )
--- a/tests/test_discovery_herd.py
+++ b/tests/test_discovery_herd.py
@@ -73,9 +73,9 @@
     async def test():
         async with node(**{"discovery": DiscoveryMode.POLL}) as gateway:
             gateway.told(kind=ListKind.CACHED)
-            gateway.driver._at(0.0, lambda _: None, None)
+            gateway.driver.timers.at(0.0, lambda _: None, None)
             while gateway.driver.timers:
-                gateway.driver._fire()
+                gateway.driver.timers.fire()
         assert not caplog.records
 
     assert NET_SETTINGS.discovery is DiscoveryMode.PUSH
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -76,7 +76,7 @@
             assert await peer.reply() == VALUE
             assert await peer.ask(call(2)) == b"v"
             assert len(server.writers) == 1
-            assert not gateway.driver.calls
+            assert not gateway.driver.requests
             assert not gateway.servers.streams
             assert [c.metered_use_ratio for c in gateway.driver.gateway.customers.rows.values()] == [0.4]
 
@@ -115,7 +115,7 @@
             assert len(await peer.reader.read(LENGTH)) < LENGTH
             assert await peer.reader.read() is not None
             assert peer.reader.at_eof()
-            await until(lambda: not gateway.driver.calls)
+            await until(lambda: not gateway.driver.requests)
             assert len(server.commands) == 1
 
     run(test())
@@ -137,7 +137,7 @@
             )
             server.writers[0].write(end[cut:] + TAIL)
             assert (b"$%d\r\n" % LENGTH + VALUE).startswith(await read)  # no line's end behind it
-            await until(lambda: not gateway.driver.calls and not gateway.servers.streams)
+            await until(lambda: not gateway.driver.requests and not gateway.servers.streams)
             assert not gateway.servers.connections
 
     run(test())
@@ -155,7 +155,7 @@
             server.writers[0].write(HEAD + VALUE[:100])
             await peer.reader.read()
             assert peer.reader.at_eof()
-            await until(lambda: not gateway.driver.calls and not gateway.servers.connections)
+            await until(lambda: not gateway.driver.requests and not gateway.servers.connections)
 
     run(test())
 
@@ -218,7 +218,7 @@
             server.writers[0].write(HEAD + VALUE[:100_000])
             await peer.reader.readexactly(50_000)
             peer.writer.transport.abort()
-            await until(lambda: not gateway.driver.calls and not gateway.servers.connections)
+            await until(lambda: not gateway.driver.requests and not gateway.servers.connections)
 
     run(test())
 
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -68,7 +68,7 @@
                 n for n, words in zip(server.by, server.commands, strict=True) if words[2].endswith(b"1")
             )
             # The second is answered first: it waits for its turn.
-            await until(lambda: len(gateway.driver.calls) == 1)
+            await until(lambda: len(gateway.driver.requests) == 1)
             server.writers[first].write(array(b"late"))
             assert await peer.reply() == b"late"
             assert await peer.reply() == b"0000000000000002"
@@ -261,7 +261,7 @@
             await server.until(lambda: len(server.commands) == 2)
             peer.writer.close()
             await until(lambda: not gateway.clients.connections)
-            assert not gateway.driver.calls
+            assert not gateway.driver.requests
             assert not gateway.servers.connections
             await server.until(lambda: server.ended == 2)
 
@@ -405,7 +405,7 @@
             for number, writer in enumerate(server.writers):
                 if number != first:
                     writer.write(array(b"v"))
-            await until(lambda: len(gateway.driver.calls) == 1)
+            await until(lambda: len(gateway.driver.requests) == 1)
             server.writers[first].write(array(b"v"))  # all that are in hand are written at once
             for _ in range(MAX_PIPELINED + more):
                 assert await peer.reply() == b"v"
--- a/tests/test_net_driver.py
+++ b/tests/test_net_driver.py
@@ -20,7 +20,9 @@
     Status,
     TimerFired,
 )
-from quota_gateway.net.driver import Call, Clock, Driver
+from quota_gateway.net.client_request import ClientRequest
+from quota_gateway.net.clock import Clock
+from quota_gateway.net.timer_queue import TimerQueue
 
 
 class Script:
@@ -45,8 +47,8 @@
 def scripted(gateway, script, wait_ms=60_000.0):
     """Put a request before a script; the answers its client gets."""
     gateway.driver.gateway, answers = script, []
-    made = Call("r", lambda wait: b"*1\r\n$4\r\nWAIT\r\n", answers.append)
-    gateway.driver.request(made, Request("r", "read", "free", "c", wait_ms), wait_ms)
+    made = ClientRequest("r", lambda wait: b"*1\r\n$4\r\nWAIT\r\n", answers.append)
+    gateway.driver.accept(made, Request("r", "read", "free", "c", wait_ms), wait_ms)
     return answers
 
 
@@ -57,14 +59,15 @@
             script = Script(
                 Request=lambda e: [Send("r", 9), Send("r", 9), Log("after both")],
                 AttemptEnded=lambda e: (
-                    sends.append(gateway.driver.calls["r"].sends) or ([Reject("r")] if e.attempt == 1 else [])
+                    sends.append(gateway.driver.requests["r"].attempts_sent)
+                    or ([Reject("r")] if e.attempt == 1 else [])
                 ),
             )
             answers = scripted(gateway, script)
             assert sends == [2, 2]
             assert script.outcomes() == [(0, Status.CONNECT_FAILED, False), (1, Status.CONNECT_FAILED, False)]
             assert answers == [b"-BUSY\r\n"]
-            assert not gateway.driver.calls
+            assert not gateway.driver.requests
 
     run(test())
 
@@ -75,7 +78,7 @@
             script = Script(Request=lambda e: [Reject("r", 249.6), Fail("r"), Reject("r"), Send("r", 1)])
             assert scripted(gateway, script) == [b"-BUSY 250\r\n"]
             assert script.outcomes() == []
-            assert not gateway.driver.calls
+            assert not gateway.driver.requests
 
     run(test())
 
@@ -93,7 +96,7 @@
                 (1, Status.NOT_SENT, True),
             ]
             assert not server.commands
-            assert not gateway.driver.calls
+            assert not gateway.driver.requests
 
     run(test())
 
@@ -137,8 +140,8 @@
             script = Script(Request=lambda e: [Send("r", 1)])
             answers = scripted(gateway, script)
             await server.until(lambda: len(server.commands) == 1)
-            gateway.driver.client_gone("r")
-            gateway.driver.client_gone("r")
+            gateway.driver.client_disconnected("r")
+            gateway.driver.client_disconnected("r")
             server.writers[0].write(array(b"late"))
             await until(lambda: bool(script.outcomes()))
             assert script.outcomes() == [(0, Status.OK, True)]
@@ -146,7 +149,7 @@
             assert [e for e in script.events if isinstance(e, ClientDisconnected)] == [
                 ClientDisconnected("r")
             ]
-            assert not gateway.driver.calls
+            assert not gateway.driver.requests
 
     run(test())
 
@@ -167,15 +170,15 @@
 
 def test_timer_between_two_milliseconds_does_not_spin_until_it_is_due(monkeypatch):
     fired = []
-    plain = Driver._fire
-    monkeypatch.setattr(Driver, "_fire", lambda self: fired.append(1) or plain(self))
+    plain = TimerQueue.fire
+    monkeypatch.setattr(TimerQueue, "fire", lambda self: fired.append(1) or plain(self))
 
     async def test():
         async with node() as gateway:
             driver, due = gateway.driver, asyncio.Event()
             for number in range(20):
                 due.clear()
-                driver._at(driver.clock() + 5.0 + number / 20.0, lambda _: due.set(), None)
+                driver.timers.at(driver.clock() + 5.0 + number / 20.0, lambda _: due.set(), None)
                 await due.wait()
             assert 20 <= len(fired) <= 100
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -544,7 +544,7 @@
 from quota_gateway import state_document
 from quota_gateway.net import admin_commands, driver, hot_restart
 served = 0
-request = driver.Driver.request
+accept = driver.Driver.accept
 def counted(self, call, asked, waits_ms):
     global served
     served += 1
@@ -561,9 +561,9 @@
         self.metrics.count_answer(b"-BUSY", 0.0, 0.0)
         call.on_answer(b"-BUSY\\r\\n")
         return
-    request(self, call, asked, waits_ms)
+    accept(self, call, asked, waits_ms)
 kept = []
-driver.Driver.request = counted
+driver.Driver.accept = counted
 if fault == "late" and serves:
     threading.Timer(1.0, os._exit, (7,)).start()
 if fault == "health":
