--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -1,4 +1,4 @@
-"""What the decisions keep their figures in: rows, tables, fading, timers, counts. Decides nothing."""
+"""State that the decisions keep: rows, estimates, counters, timers. It decides nothing."""
 
 from quota_gateway.state.context import Context
 from quota_gateway.state.customer import Customer
@@ -16,24 +16,24 @@
 
 __all__ = [
     "Attempt",
-    "DrainState",
-    "drain_transition",
-    "FailureKeys",
-    "RequestState",
     "Context",
     "Customer",
-    "SettingsEpochs",
+    "CustomerKey",
+    "DrainState",
     "Endpoints",
-    "PendingRequest",
-    "ServerGroup",
+    "FailureKeys",
+    "FailureRates",
+    "FailureRecord",
+    "GiveUpReason",
     "InFlightRequests",
-    "CustomerKey",
     "Latencies",
-    "FailureRecord",
-    "Moment",
     "LoadReports",
-    "Server",
-    "FailureRates",
+    "Moment",
     "OutcomeCounters",
-    "GiveUpReason",
+    "PendingRequest",
+    "RequestState",
+    "Server",
+    "ServerGroup",
+    "SettingsEpochs",
+    "drain_transition",
 ]
