--- a/quota_gateway/policy/admin_down.py
+++ b/quota_gateway/policy/admin_down.py
@@ -27,10 +27,10 @@
         if not self.is_change(event):
             return False
         if event.admin_down:
-            self.endpoints.take_out(event.server)
+            self.endpoints.mark_admin_down(event.server)
         else:
             now_ms = self.context.now_ms
-            self.endpoints.put_back(event.server, now_ms, now_ms + USE_WITHIN_MS)
+            self.endpoints.clear_admin_down(event.server, now_ms, now_ms + USE_WITHIN_MS)
         self.endpoint_list.refresh()
         self.context.actions.append(SetServerUsable(event.server, not event.admin_down))
         return True
--- a/quota_gateway/policy/server_selection.py
+++ b/quota_gateway/policy/server_selection.py
@@ -51,7 +51,7 @@
         failure_probability = self.outlier_detection.failure_probability(pending, server, priors)
         latency_ratio = self.latencies.server_ratio(server)
         cost = latency_ratio * load * (1.0 + FAILURE_COST * failure_probability)
-        if self.load_reports.has_connection_news and not server.has_idle_connection:
+        if self.load_reports.idle_connections_reported and not server.has_idle_connection:
             # Paid once, as a failure is, however busy the server.
             cost += FAILURE_COST * settings.handshake_price
         # A request that falls into the share of a warming server should take it.
--- a/quota_gateway/state/endpoints.py
+++ b/quota_gateway/state/endpoints.py
@@ -110,13 +110,13 @@
         if server:
             server.is_ready = False
 
-    def take_out(self, number: int) -> None:
+    def mark_admin_down(self, number: int) -> None:
         """Mark a server as administratively down, listed or not."""
         self.admin_down.add(number)
         if server := self.servers.get(number):
             server.is_ready = False
 
-    def put_back(self, number: int, started_ms: float, must_be_used_by_ms: float) -> None:
+    def clear_admin_down(self, number: int, started_ms: float, must_be_used_by_ms: float) -> None:
         """Let a server serve again, as one that was started at this time."""
         self.admin_down.discard(number)
         if server := self.servers.get(number):
--- a/quota_gateway/state/estimates.py
+++ b/quota_gateway/state/estimates.py
@@ -53,9 +53,9 @@
     def keep_only(self, classes: Iterable[str], plans: Iterable[str], servers: Iterable[Server]) -> None:
         """Forget the keys of all other classes and plans, however many have come and gone."""
         plan_names = ("", *plans)
-        known = {key for name in classes for plan in plan_names for key in failure_keys(name, plan)}
+        kept = {key for name in classes for plan in plan_names for key in failure_keys(name, plan)}
         for records in [self.records, *(server.failure_records for server in servers)]:
-            for key in [key for key in records if key.startswith("class ") and key not in known]:
+            for key in [key for key in records if key.startswith("class ") and key not in kept]:
                 del records[key]
 
 
@@ -105,7 +105,7 @@
     def __init__(self, context: Context, endpoints: Endpoints) -> None:
         self.context = context
         self.endpoints = endpoints
-        self.has_connection_news = False  # whether idle connections are reported at all
+        self.idle_connections_reported = False  # whether idle connections are reported at all
 
     def record(self, server: Server, load: tuple[float, ...] | None) -> None:
         """Take over a load report, in the order of the settings' load fields, or none."""
@@ -121,6 +121,6 @@
 
     def on_idle_connection_changed(self, event: IdleConnectionChanged) -> None:
         """Note whether a connection to a server is idle: an attempt there costs no handshake."""
-        self.has_connection_news = True
+        self.idle_connections_reported = True
         if server := self.endpoints.servers.get(event.server):
             server.has_idle_connection = event.has_idle
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -67,7 +67,7 @@
         "concurrency_limit.limit concurrency_limit.attempts_within_threshold "
         "concurrency_limit.latencies.mean_ms concurrency_limit.latencies.quick_servers "
         "concurrency_limit.initial_latency_ms outlier_detection.rates.records attempts.retry_budget.tokens "
-        "peer_usage.peer_has_taken_over load_reports.has_connection_news graceful_shutdown.is_draining "
+        "peer_usage.peer_has_taken_over load_reports.idle_connections_reported graceful_shutdown.is_draining "
         "graceful_shutdown.is_drained graceful_shutdown.drain_number settings_change.apply "
         "meter.quota_share meter.reading_lifetime_ms ceiling.level_units ceiling.unseen_level_units "
         "ceiling.unseen_levels release_queued handlers handle"
