--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -43,9 +43,9 @@
     return made
 
 
-def pending(kind: RequestClass, now=1000.0, turn=0.5, name="r") -> PendingRequest:
+def pending(kind: RequestClass, now=1000.0, draw=0.5, name="r") -> PendingRequest:
     request = Request(name, kind.name, "free", "c", 4000.0)
-    return PendingRequest(request, kind, Plan("free"), Customer(("free", "c"), now, 0.0, 0), now, turn, 0)
+    return PendingRequest(request, kind, Plan("free"), Customer(("free", "c"), now, 0.0, 0), now, draw, 0)
 
 
 # ---- Each decision without the others
@@ -116,37 +116,37 @@
     assert cap.is_reached(waiting, 0.0)
 
 
-def test_health_tells_a_class_from_a_server_and_forgets():
+def test_outlier_detection_tells_a_class_from_a_server_and_forgets():
     made = context()
-    health, bad, good = OutlierDetection(made), Server(entry(1), 0.1), Server(entry(2), 0.2)
+    detection, bad, good = OutlierDetection(made), Server(entry(1), 0.1), Server(entry(2), 0.2)
     one, other = (pending(kind) for kind in SETTINGS.classes[:2])
     for _ in range(4):
-        health.on_attempt_ended(one, bad, Status.ERROR)
-        health.on_attempt_ended(one, good, Status.OK)
+        detection.on_attempt_ended(one, bad, Status.ERROR)
+        detection.on_attempt_ended(one, good, Status.OK)
     probabilities = [
-        [health.failure_probability(item, server, health.priors(item)) for server in (bad, good)]
+        [detection.failure_probability(item, server, detection.priors(item)) for server in (bad, good)]
         for item in (one, other)
     ]
     assert probabilities[0][0] > 0.7 > 0.2 > probabilities[0][1]
     assert probabilities[1][0] < 0.1
     made.begin_event(61_000.0)
     made.decay.attempts_started = 1000
-    assert health.failure_probability(one, bad, (0.0, 0.0)) < 0.01
+    assert detection.failure_probability(one, bad, (0.0, 0.0)) < 0.01
 
 
-def test_the_pool_moves_by_what_answers_show():
-    pressure, server, kind = ConcurrencyLimit(context()), Server(entry(1), 0.1), SETTINGS.classes[0]
-    pressure.start(servers=10, gateways=2)
-    assert pressure.limit == 10.0
-    assert not pressure.is_reached()
-    pressure.attempts_within_threshold = {(str(n), 0) for n in range(10)}
-    assert pressure.is_reached()
-    pressure.on_response(server, kind, 0.1 * kind.latency_objective_ms)
-    assert pressure.limit == pytest.approx(10.035)
-    assert 1 in pressure.latencies.quick_servers[kind.name]
-    pressure.on_response(server, kind, 0.9 * kind.latency_objective_ms)
-    assert pressure.limit == pytest.approx(9.735)
-    assert not pressure.latencies.quick_servers[kind.name]
+def test_the_concurrency_limit_moves_by_what_responses_show():
+    concurrency, server, kind = ConcurrencyLimit(context()), Server(entry(1), 0.1), SETTINGS.classes[0]
+    concurrency.start(servers=10, gateways=2)
+    assert concurrency.limit == 10.0
+    assert not concurrency.is_reached()
+    concurrency.attempts_within_threshold = {(str(n), 0) for n in range(10)}
+    assert concurrency.is_reached()
+    concurrency.on_response(server, kind, 0.1 * kind.latency_objective_ms)
+    assert concurrency.limit == pytest.approx(10.035)
+    assert 1 in concurrency.latencies.quick_servers[kind.name]
+    concurrency.on_response(server, kind, 0.9 * kind.latency_objective_ms)
+    assert concurrency.limit == pytest.approx(9.735)
+    assert not concurrency.latencies.quick_servers[kind.name]
 
 
 @pytest.mark.parametrize(
@@ -162,7 +162,7 @@
         (Idempotency.WITH_KEY, "cell", 3000.0, False, ServerGroup(), True),
     ],
 )
-def test_where_a_request_may_go_again_and_what_its_client_is_told(effect, scope, age, first, wanted, told):
+def test_where_a_request_may_be_retried_and_what_its_client_may_do(effect, scope, age, first, wanted, told):
     scopes = {item.idempotency_scope.value: item.idempotency_scope for item in SETTINGS.classes}
     kind = RequestClass(
         "k", 1000.0, 4000.0, effect, idempotency_scope=scopes[scope], idempotency_window_ms=3000.0
@@ -173,17 +173,17 @@
     assert is_client_retry_harmless(made) is told
 
 
-# ---- The tables choose as a plain loop over the whole list would
+# ---- The indexes choose as a plain loop over the complete list would
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 60), st.integers(0, 2**32), st.floats(0.0, 1.0, exclude_max=True))
-def test_the_fleets_tables_find_what_a_loop_finds(size, seed, turn):
+def test_the_indexes_of_servers_find_what_a_loop_finds(size, seed, draw):
     made = Context(SETTINGS, seed, 4000.0)
     made.begin_event(5000.0)
-    fleet, cold = Endpoints(made.random), SlowStart(made)
+    endpoints, slow_start = Endpoints(made.random), SlowStart(made)
     states = (ServerState.READY, ServerState.DRAINING)
-    fleet.update(
+    endpoints.update(
         ServerList(
             ListKind.COMPLETE,
             tuple(
@@ -198,19 +198,20 @@
             ),
         )
     )
-    fleet.refresh(lambda server: cold.capacity_ratio(server) < 1.0)
-    asked, ready = pending(SETTINGS.classes[0], turn=turn), [s for s in fleet.servers.values() if s.is_ready]
+    endpoints.refresh(lambda server: slow_start.capacity_ratio(server) < 1.0)
+    asked = pending(SETTINGS.classes[0], draw=draw)
+    ready = [s for s in endpoints.servers.values() if s.is_ready]
     tried = {n for n in range(size) if made.random.random() < 0.1}
     for key in [(), ("a",), ("b", 1), ("c",)]:
         wanted = [s for s in ready if s.id not in tried and key == (s.zone, s.cell)[: len(key)]]
-        found = fleet.ready_in_group(ServerGroup(*key), tried)
+        found = endpoints.ready_in_group(ServerGroup(*key), tried)
         assert list(found) == wanted
         assert len(found) == len(wanted)
-        assert [s for s in fleet.servers.values() if s in found] == wanted
+        assert [s for s in endpoints.servers.values() if s in found] == wanted
     if ready:
-        turns = [s for s in fleet.warming_up if cold.is_eligible(asked, s, len(ready))]
-        near = fleet.warming_up_in((1.0 - turn) % 1.0, cold.widest_share_ratio(len(ready)))
-        assert [s for s in near if cold.is_eligible(asked, s, len(ready))] == turns
+        eligible = [s for s in endpoints.warming_up if slow_start.is_eligible(asked, s, len(ready))]
+        near = endpoints.warming_up_in((1.0 - draw) % 1.0, slow_start.widest_share_ratio(len(ready)))
+        assert [s for s in near if slow_start.is_eligible(asked, s, len(ready))] == eligible
 
 
 class Counted(list):
@@ -228,23 +229,28 @@
         return super().__getitem__(place)
 
 
-@pytest.mark.parametrize("cold", [0, 2], ids=["warm", "half of them cold"])
-def test_no_decision_walks_the_list(cold):
+@pytest.mark.parametrize("warming_every", [0, 2], ids=["warm", "half of them warming up"])
+def test_no_decision_walks_the_list(warming_every):
     seen = []
     for size in (200, 20_000):
         rig = Rig(replace(SETTINGS, gateways=1))
         rig.servers(
             *(
-                entry(n, "abc"[n % 3], cell=n % 50, started_ms=500.0 if cold and n % cold else 0.0)
+                entry(
+                    n,
+                    "abc"[n % 3],
+                    cell=n % 50,
+                    started_ms=500.0 if warming_every and n % warming_every else 0.0,
+                )
                 for n in range(size)
             )
         )
-        fleet = rig.gateway.endpoints
+        endpoints = rig.gateway.endpoints
         rig.finish(rig.ask(), Status.RESET)  # a group is made once for each list
         Counted.seen = 0
-        fleet.ready, fleet.warming_up = Counted(fleet.ready), Counted(fleet.warming_up)
-        fleet._groups = {
-            key: GroupIndex(Counted(found.servers), found.places) for key, found in fleet._groups.items()
+        endpoints.ready, endpoints.warming_up = Counted(endpoints.ready), Counted(endpoints.warming_up)
+        endpoints._groups = {
+            key: GroupIndex(Counted(found.servers), found.places) for key, found in endpoints._groups.items()
         }
         for _ in range(40):
             name = rig.ask()
@@ -258,7 +264,7 @@
 # ---- Hard cases
 
 
-def test_a_customer_with_a_request_in_hand_is_not_forgotten():
+def test_a_customer_with_a_pending_request_is_not_forgotten():
     # its row holds the cap: forgotten while a request waits, a second row would count from nought
     rig = Rig(replace(SETTINGS, plans=(CAPPED, Plan("free")), gateways=1, meter_period_ms=100.0))
     mine = [rig.ask("only-cap", width=1) for _ in range(3)]  # queued: no server yet
@@ -270,7 +276,7 @@
     assert sum(name in rig.sent for name in mine) == CAPPED.max_in_flight == 2
 
 
-def test_customers_are_forgotten_at_the_bound_but_for_those_in_hand():
+def test_customers_are_forgotten_at_the_bound_but_for_those_with_pending_requests():
     made = context(now=0.0)
     book = Customers(made, QuotaMeter(made), RateCeiling(made))
     for number in range(3000):
@@ -343,8 +349,8 @@
     assert again["marks"] == document["marks"]
 
 
-def test_cold_servers_taken_over_have_their_turns_at_once():
-    # their phases came with the document; in a large fleet a turn is found by an index of them
+def test_warming_servers_taken_over_have_their_share_at_once():
+    # their phases came with the document; in a long list they are found by an index of them
     old, new = Rig(seed=1), Rig(seed=2)
     names = {number: f"s-{number}" for number in range(60)}
     for rig in (old, new):
@@ -353,9 +359,9 @@
     state_document.load(
         new.gateway, state_document.save(old.gateway, names), {name: number for number, name in names.items()}
     )
-    cold, fleet = new.gateway.slow_start, new.gateway.endpoints
-    for turn in (number / 500 for number in range(500)):
-        asked = pending(SETTINGS.classes[0], turn=turn)
-        turns = [server for server in fleet.warming_up if cold.is_eligible(asked, server, 60)]
-        near = fleet.warming_up_in((1.0 - turn) % 1.0, cold.widest_share_ratio(60))
-        assert [server for server in near if cold.is_eligible(asked, server, 60)] == turns
+    slow_start, endpoints = new.gateway.slow_start, new.gateway.endpoints
+    for draw in (number / 500 for number in range(500)):
+        asked = pending(SETTINGS.classes[0], draw=draw)
+        eligible = [server for server in endpoints.warming_up if slow_start.is_eligible(asked, server, 60)]
+        near = endpoints.warming_up_in((1.0 - draw) % 1.0, slow_start.widest_share_ratio(60))
+        assert [server for server in near if slow_start.is_eligible(asked, server, 60)] == eligible
