--- a/quota_gateway/net/clients/connection.py
+++ b/quota_gateway/net/clients/connection.py
@@ -13,7 +13,7 @@
 from quota_gateway.net.clients.commands import GET, POST, CommandError
 from quota_gateway.net.clients.replies import ReplySlot, StreamedValue
 from quota_gateway.net.clients.stall_timer import StallTimer
-from quota_gateway.net.sockets import unread
+from quota_gateway.net.sockets import has_unread_bytes
 from quota_gateway.state_machine import transition
 
 if TYPE_CHECKING:
@@ -385,7 +385,7 @@
             self.close_idle()
 
     def _may_leave(self) -> bool:
-        return not self.unread() if self.clients.late else self.at_rest()
+        return not self.has_unread_bytes() if self.clients.late else self.at_rest()
 
     def _is_between_commands(self) -> bool:
         return (
@@ -408,16 +408,18 @@
 
     def is_idle(self) -> bool:
         """Whether a close crosses nothing that is here already: no part of a command, read or unread."""
-        return self._is_between_commands() and not self.unread()
+        return self._is_between_commands() and not self.has_unread_bytes()
 
     def at_rest(self) -> bool:
         """Whether it is idle and has been used: a new one has its first command on its way."""
         return self.asked and self.is_idle()
 
-    def unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Whether bytes, or the client's end, are here and were not read yet."""
         assert self.transport
-        return self.transport.is_closing() or unread(self.transport.get_extra_info("socket").fileno())
+        return self.transport.is_closing() or has_unread_bytes(
+            self.transport.get_extra_info("socket").fileno()
+        )
 
     # ---- The end
 
@@ -462,7 +464,7 @@
 
     def close_idle(self) -> None:
         """Close unless something is owed on it, or about to be."""
-        if self.is_open() and not self.slots and not self.unread():
+        if self.is_open() and not self.slots and not self.has_unread_bytes():
             self.close()
 
     # ---- Slow clients
--- a/quota_gateway/net/clients/registry.py
+++ b/quota_gateway/net/clients/registry.py
@@ -181,7 +181,7 @@
             if client is not newest and client.is_idle():
                 return client
         for client in self.connections:
-            if client is not newest and not client.slots and not client.unread():
+            if client is not newest and not client.slots and not client.has_unread_bytes():
                 return client
         return newest
 
--- a/quota_gateway/net/discovery_watch.py
+++ b/quota_gateway/net/discovery_watch.py
@@ -109,7 +109,7 @@
             self._finish_stream()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """The watch is over, whoever ended it."""
+        """End the watch, if this gateway has not ended it itself."""
         self._enter(WatchState.ENDED)
         if self._silence_timer:
             self._silence_timer.cancel()
--- a/quota_gateway/net/endpoint_registry.py
+++ b/quota_gateway/net/endpoint_registry.py
@@ -60,7 +60,7 @@
         self.rows.clear()
 
     def _keep(self, row: EndpointRow, document: Any) -> None:
-        if not row.is_gone:
+        if not row.is_removed:
             self.rows[row.instance_id] = document
             return
         self.rows.pop(row.instance_id, None)
--- a/quota_gateway/net/endpoint_rows.py
+++ b/quota_gateway/net/endpoint_rows.py
@@ -29,10 +29,10 @@
     cell: int
     state: api.ServerState
     weight: float
-    started_ms: float  # Unix time; 0 where it is not told
+    started_ms: float  # Unix time; 0 where the list does not say
 
     @property
-    def is_gone(self) -> bool:
+    def is_removed(self) -> bool:
         """Whether discovery lists the server for the last time."""
         return self.state is api.ServerState.REMOVED
 
@@ -72,7 +72,7 @@
         address=_address(document["hostPort"]),
         zone=_text(document["zone"] or ""),
         machine_type=_text(document.get("machineType") or ""),
-        cell=_whole_number(document.get("cell") or 0),
+        cell=_integer(document.get("cell") or 0),
         state=STATES[_text(document["lifecycle"])],
         weight=_figure(1.0 if weight is None else weight),
         started_ms=float(_figure(document.get("startedAtMs") or 0.0)),
@@ -85,7 +85,7 @@
     return value
 
 
-def _whole_number(value: Any) -> int:
+def _integer(value: Any) -> int:
     if not isinstance(value, int):
         raise TypeError(value)
     return value
--- a/quota_gateway/net/servers/connection.py
+++ b/quota_gateway/net/servers/connection.py
@@ -16,7 +16,7 @@
 from quota_gateway.net.servers.attempt import Attempt, Sink
 from quota_gateway.net.servers.host import Host
 from quota_gateway.net.servers.replies import Reply, ServerError
-from quota_gateway.net.sockets import unread
+from quota_gateway.net.sockets import has_unread_bytes
 from quota_gateway.state_machine import transition
 
 if TYPE_CHECKING:
@@ -324,7 +324,7 @@
         one that is not idempotent.
         """
         assert self.socket is not None
-        return not self.closed and not unread(self.socket.fileno())
+        return not self.closed and not has_unread_bytes(self.socket.fileno())
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """Called by the event loop once the connection has ended."""
--- a/quota_gateway/net/sockets.py
+++ b/quota_gateway/net/sockets.py
@@ -1,12 +1,12 @@
-"""What the kernel knows of a connection and the loop has not read yet."""
+"""What the kernel holds of a connection that the loop has not read yet."""
 
 from __future__ import annotations
 
 import socket
 
 
-def unread(descriptor: int) -> bool:
-    """Whether bytes, or the peer's end, have come on a connection and were not read."""
+def has_unread_bytes(descriptor: int) -> bool:
+    """Whether bytes, or the end of the peer's sending, wait in the kernel."""
     if descriptor < 0:  # it is being closed
         return True
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, fileno=descriptor)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -102,6 +102,11 @@
 
 
 def test_silent_callers_are_told_no_after_a_while_and_give_way_to_new_ones(monkeypatch):
+    """Many connect to the admin endpoint and send nothing.
+
+    An operator would find it full in the middle of an incident. The oldest give way, and each that is left is
+    answered NO when its time is up.
+    """
     monkeypatch.setattr(admin, "LINE_TIMEOUT_S", 0.2)
 
     async def test():
@@ -118,6 +123,11 @@
 
 
 def test_call_that_takes_too_long_is_answered_no(monkeypatch):
+    """A command waits for something that never comes.
+
+    Its operator would wait without end and not know whether it was done. The answer is NO, within the time
+    that operators' tools wait.
+    """
     monkeypatch.setattr(admin, "ANSWER_TIMEOUT_S", 0.05)
 
     async def test():
@@ -133,6 +143,11 @@
 
 
 def test_door_that_can_not_be_opened_is_missing_and_no_crash():
+    """The admin endpoint's address is taken as the gateway starts.
+
+    A gateway that ended over it would take its clients' capacity along. It serves without the endpoint.
+    """
+
     async def test():
         with socket.create_server(("127.0.0.1", 0)) as taken:
             door = admin.AdminEndpoint({})
--- a/tests/test_net_driver.py
+++ b/tests/test_net_driver.py
@@ -134,6 +134,12 @@
 
 
 def test_client_that_left_is_told_once_and_its_late_answer_goes_nowhere():
+    """A client leaves while its request is at a server, whose answer comes later.
+
+    The answer would be written to a closed connection, or the departure counted twice. The decisions are
+    notified once, and the late answer is dropped.
+    """
+
     async def test():
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
@@ -169,6 +175,11 @@
 
 
 def test_timer_between_two_milliseconds_does_not_spin_until_it_is_due(monkeypatch):
+    """Timers are due at fractions of a millisecond, and the loop rounds a short delay down to nothing.
+
+    The process would spend the fraction in a busy loop, at the cost of every request. Each timer takes few
+    turns.
+    """
     fired = []
     plain = TimerQueue.fire
     monkeypatch.setattr(TimerQueue, "fire", lambda self: fired.append(1) or plain(self))
@@ -194,6 +205,12 @@
 
 
 def test_decisions_that_fail_on_one_request_leave_the_others_alone():
+    """The decisions raise an exception on a request.
+
+    An exception that reached the loop would leave this client without an answer and others' events unhandled.
+    The request is answered with an error, and the next one is served.
+    """
+
     async def test():
         def failing(event):
             raise RuntimeError("no decision")
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -196,6 +196,12 @@
 
 
 def test_sigterm_answers_what_was_taken_and_closes_between_requests(tmp_path):
+    """SIGTERM comes while requests run, one of them at a server that stays silent.
+
+    A client whose connection closed under its request would not know whether it ran. Each request that was
+    accepted gets its answer before SIGKILL, the silent one a rejection, and then its connection closes.
+    """
+
     async def test():
         server = await FakeServer(lambda words: None if words[2].endswith(b"1") else array(b"v")).start()
         async with program(tmp_path, server) as (process, port, _):
@@ -267,6 +273,11 @@
 
 
 def test_while_stopping_it_accepts_for_a_while_and_then_closes_between_requests(monkeypatch):
+    """Clients go on sending after SIGTERM, as the load balancer learns late that the gateway stops.
+
+    A gateway that closed at once would turn those requests into errors. It accepts new connections and
+    answers until shortly before the end.
+    """
     monkeypatch.setattr(shutdown_module, "MAX_DEADLINE_WAIT_S", 1.0)
     monkeypatch.setattr(shutdown_module, "SIGKILL_DELAY_S", 0.8)  # accepts for 1 s, answers for 1.5 s
 
@@ -365,6 +376,12 @@
 
 
 def test_next_process_that_dies_leaves_the_old_one_serving(tmp_path):
+    """The next process of an upgrade dies once it has taken over.
+
+    Clients would find nobody at the address. The predecessor accepts again, with what operators asked of the
+    dead one, and the next attempt at an upgrade finds it.
+    """
+
     async def test():
         server, door = await FakeServer(lambda words: array(b"v")).start(), free_port()
         async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{door}") as (old, port, found):
@@ -461,6 +478,12 @@
 
 
 def test_sighup_never_ends_it_before_it_serves_in_a_drain_or_while_it_stops(tmp_path):
+    """SIGHUP comes before the gateway serves, in a drain, and every half millisecond until it has ended.
+
+    The default of the signal is to kill: requests in flight would be lost, and the exit would count as a
+    crash. The gateway ends by SIGTERM alone, with exit code 0.
+    """
+
     async def test():
         server, door = await FakeServer(lambda words: array(b"v")).start(), free_port()
         async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{door}") as (process, port, found):
@@ -489,6 +512,11 @@
 
 @pytest.mark.parametrize("kind", ["read", "post", "buy"])
 def test_last_answers_of_a_stop_are_written_although_the_loop_is_late(monkeypatch, kind):
+    """The loop is slow while the process stops, so the last rejections fall due as it ends.
+
+    A client would see its connection reset without an answer. The process waits until each answer is written
+    and its connection has closed in order.
+    """
     monkeypatch.setattr(shutdown_module, "MAX_DEADLINE_WAIT_S", 0.2)
     monkeypatch.setattr(shutdown_module, "SIGKILL_DELAY_S", 0.7)
     monkeypatch.setattr(shutdown_module, "FLUSH_S", 30.0)
@@ -514,6 +542,11 @@
 
 
 def test_stop_waits_for_connections_that_it_has_only_begun_to_accept(monkeypatch):
+    """A connection with a request on it waits in the listener's queue as the process stops.
+
+    The process would end over it, as nobody else is connected, and the client would see a reset. It is
+    accepted and answered first.
+    """
     monkeypatch.setattr(
         shutdown_module, "MAX_DEADLINE_WAIT_S", 0.0
     )  # the last half second of a stop begins at once
