--- a/quota_gateway/policy/concurrency_limit.py
+++ b/quota_gateway/policy/concurrency_limit.py
@@ -29,9 +29,10 @@
 class ConcurrencyLimit:
     """Limit on attempts within their latency threshold, and the latencies that move it.
 
-    Guards against servers slower than the latency objective, whatever the cause. One limit over all servers,
-    as limits for each server would be hundreds, and each gateway meets a server once in seconds. Attempts
-    past their threshold no longer count, so that servers that hang do not stop the work of the others.
+    Without it servers that have become slow, whatever the cause, would get work faster than they finish it,
+    and all responses would come past their objective. There is one limit over all servers, as a limit
+    for each server would see a response only every few seconds. Attempts past their threshold do not count,
+    so that servers that hang do not stop the work of the others.
     """
 
     def __init__(self, context: Context) -> None:
--- a/quota_gateway/policy/outlier_detection.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -69,10 +69,10 @@
     def failure_probability(self, pending: PendingRequest, server: Server, priors: FailurePriors) -> float:
         """How likely the request fails at a server, 0 to 1.
 
-        Guards against servers that are silent, fail or reject, for all requests or for a class or plan.
-        Shows as a server that keeps its share of requests while they fail. Holds because what fails there
-        raises its cost for the next choice; while many servers fail, those not tried yet come after those
-        that answered. No server is excluded: the best of bad ones still gets work.
+        A server that is silent, fails or rejects, for all requests or for a class or plan, would otherwise
+        keep its share of them. What fails there raises its cost for the next choice. While many servers fail,
+        those not tried yet come after those that answered. No server is excluded: the best of bad ones still
+        gets work.
         """
         zone_prior = self.rates.prior(server.zone)
         return self.rates.highest(server, pending.failure_keys, (zone_prior, *priors))
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -30,10 +30,10 @@
     def is_eligible(self, pending: PendingRequest, server: Server, ready_servers: int) -> bool:
         """Whether a request may go to a server: to one that is warming up only if its draw falls there.
 
-        Guards against overloading a warming server, which looks idle to every gateway at once. Shows as
-        rejections and timeouts at servers just started. Holds because each request is drawn once: over all
-        gateways the server is open to its even share of the requests times its least capacity, however good
-        it looks and however often a request is tried.
+        A warming server looks idle to every gateway at once; together they would overload it, which shows as
+        rejections and timeouts at servers just started. As each request is drawn once, the server is open to
+        its even share of all requests times its least capacity, over all gateways, however good it looks and
+        however often a request is tried.
         """
         capacity_ratio = self.capacity_ratio(server)
         if capacity_ratio >= 1.0:
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -1,4 +1,4 @@
-"""What the decisions keep their figures in: rows, tables, fading, timers, counts. Decides nothing."""
+"""The state that decisions read and write: rows, indexes, estimates, timers, counters. Decides nothing."""
 
 from quota_gateway.state.context import Context
 from quota_gateway.state.customer import Customer
