--- a/quota_gateway/net/clients/commands.py
+++ b/quota_gateway/net/clients/commands.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from quota_gateway import api
 from quota_gateway.errors import ProtocolError
@@ -36,8 +36,7 @@
     """A command that is answered with an error line; the connection stays open."""
 
 
-@dataclass(frozen=True, slots=True)
-class CallCommand:
+class CallCommand(NamedTuple):
     """A request as its client sent it.
 
     ``encode`` yields the command for a server, with the milliseconds that are left to it.
--- a/quota_gateway/net/hot_restart/identity.py
+++ b/quota_gateway/net/hot_restart/identity.py
@@ -2,16 +2,14 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 PROTOCOL_VERSION = 1  # of the messages, of the state and of the file of operators' wishes
 # What ``--about`` prints: a rollout reads it before it lets two versions take over from each other.
 ABOUT: dict[str, int | bool] = {"handover": PROTOCOL_VERSION, "retire": True}
 
 
-@dataclass(frozen=True, slots=True)
-class GatewayIdentity:
+class GatewayIdentity(NamedTuple):
     """What two processes have in common if they are the same gateway."""
 
     name: str
--- a/quota_gateway/net/hot_restart/link.py
+++ b/quota_gateway/net/hot_restart/link.py
@@ -9,7 +9,7 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 from contextlib import suppress
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from quota_gateway.errors import PeerProcessError
 from quota_gateway.net.hot_restart import limits
@@ -21,8 +21,7 @@
 NO_DESCRIPTOR = -1
 
 
-@dataclass(frozen=True, slots=True)
-class QueuedMessage:
+class QueuedMessage(NamedTuple):
     """A message that the socket has not taken yet; owns its descriptor."""
 
     data: bytes
--- a/quota_gateway/net/hot_restart/messages.py
+++ b/quota_gateway/net/hot_restart/messages.py
@@ -11,7 +11,7 @@
 import json
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, ClassVar
+from typing import Any, NamedTuple
 
 from quota_gateway import api
 from quota_gateway.errors import PeerProcessError
@@ -26,11 +26,9 @@
     return json.dumps(document).encode()
 
 
-@dataclass(frozen=True, slots=True)
-class Hello:
+class Hello(NamedTuple):
     """Both ways, first: the sender's identity. The predecessor answers with its own."""
 
-    letter: ClassVar[bytes] = b"H"
     identity: GatewayIdentity
 
     def body(self) -> bytes:
@@ -43,11 +41,9 @@
         return cls(GatewayIdentity.from_document(json.loads(body)))
 
 
-@dataclass(frozen=True, slots=True)
-class TakeOver:
+class TakeOver(NamedTuple):
     """Successor to predecessor: stop accepting and hand over now."""
 
-    letter: ClassVar[bytes] = b"T"
     heartbeats: bool  # the successor sends heartbeats; earlier versions do not
 
     def body(self) -> bytes:
@@ -60,11 +56,9 @@
         return cls(body == TAKE_OVER_WITH_HEARTBEATS)
 
 
-@dataclass(frozen=True, slots=True)
-class StatePiece:
+class StatePiece(NamedTuple):
     """Predecessor to successor: the next bytes of the state."""
 
-    letter: ClassVar[bytes] = b"S"
     data: bytes
 
     def body(self) -> bytes:
@@ -77,11 +71,9 @@
         return cls(body)
 
 
-@dataclass(frozen=True, slots=True)
-class StateEnd:
+class StateEnd(NamedTuple):
     """Predecessor to successor: the state is complete. Carries the clients' listener, if there is one."""
 
-    letter: ClassVar[bytes] = b"E"
     size_bytes: int
     checksum: int  # CRC-32
     heartbeats: bool  # the predecessor sends heartbeats, too; earlier versions do not
@@ -97,11 +89,9 @@
         return cls(fields["bytes"], fields["crc"], bool(fields.get("beats")))
 
 
-@dataclass(frozen=True, slots=True)
-class ClientConnection:
+class ClientConnection(NamedTuple):
     """Predecessor to successor, with its descriptor: a client connection between two requests."""
 
-    letter: ClassVar[bytes] = b"C"
     has_requested: bool  # a request has come on it
     waited_s: float  # since it was opened
     retained_id: int  # of the predecessor's copy; NOT_RETAINED from earlier versions
@@ -117,11 +107,9 @@
         return cls(bool(fields["asked"]), float(fields["waited"]), int(fields.get("kept", NOT_RETAINED)))
 
 
-@dataclass(frozen=True, slots=True)
-class ServerConnection:
+class ServerConnection(NamedTuple):
     """Predecessor to successor, with its descriptor: an idle connection to a server."""
 
-    letter: ClassVar[bytes] = b"V"
     server_id: str  # as in discovery's list
 
     def body(self) -> bytes:
@@ -134,11 +122,9 @@
         return cls(body.decode())
 
 
-@dataclass(frozen=True, slots=True)
-class RemainingConnections:
+class RemainingConnections(NamedTuple):
     """Predecessor to successor: how many connections it still has."""
 
-    letter: ClassVar[bytes] = b"F"
     clients: int
     servers: int
 
@@ -156,11 +142,9 @@
         return cls(int(fields["clients"]), int(fields["servers"]))
 
 
-@dataclass(frozen=True, slots=True)
-class CustomerUsage:
+class CustomerUsage(NamedTuple):
     """Predecessor to successor: what a request that it still had did to its customer's quota."""
 
-    letter: ClassVar[bytes] = b"F"
     plan: str
     customer: str
     in_flight: int  # requests that the predecessor still has of the customer
@@ -221,11 +205,9 @@
     return RemainingConnections.from_document(fields)
 
 
-@dataclass(frozen=True, slots=True)
-class WishesChanged:
+class WishesChanged(NamedTuple):
     """Both ways: what operators wish has changed; the receiver applies it and answers."""
 
-    letter: ClassVar[bytes] = b"O"
     number: int
     wishes: OperatorWishes
 
@@ -240,11 +222,9 @@
         return cls(fields["number"], OperatorWishes.from_document(fields["operators"]))
 
 
-@dataclass(frozen=True, slots=True)
-class WishesApplied:
+class WishesApplied(NamedTuple):
     """Both ways: the answer to ``WishesChanged``, by its number."""
 
-    letter: ClassVar[bytes] = b"A"
     number: int
 
     def body(self) -> bytes:
@@ -257,11 +237,9 @@
         return cls(json.loads(body))
 
 
-@dataclass(frozen=True, slots=True)
-class RetainedConnectionClosed:
+class RetainedConnectionClosed(NamedTuple):
     """Successor to predecessor: a connection of which it retains a copy is closed."""
 
-    letter: ClassVar[bytes] = b"D"
     retained_id: int
 
     def body(self) -> bytes:
@@ -278,8 +256,6 @@
 class Alive:
     """Both ways: a heartbeat."""
 
-    letter: ClassVar[bytes] = b"B"
-
     def body(self) -> bytes:
         """The bytes behind the letter."""
         return b""
@@ -304,24 +280,38 @@
     | RetainedConnectionClosed
     | Alive
 )
+LETTERS: dict[type, bytes] = {
+    Hello: b"H",
+    TakeOver: b"T",
+    StatePiece: b"S",
+    StateEnd: b"E",
+    ClientConnection: b"C",
+    ServerConnection: b"V",
+    RemainingConnections: b"F",
+    CustomerUsage: b"F",
+    WishesChanged: b"O",
+    WishesApplied: b"A",
+    RetainedConnectionClosed: b"D",
+    Alive: b"B",
+}
 READERS: dict[bytes, Callable[[bytes], Message]] = {
-    Hello.letter: Hello.read,
-    TakeOver.letter: TakeOver.read,
-    StatePiece.letter: StatePiece.read,
-    StateEnd.letter: StateEnd.read,
-    ClientConnection.letter: ClientConnection.read,
-    ServerConnection.letter: ServerConnection.read,
-    RemainingConnections.letter: _read_remaining_or_usage,
-    WishesChanged.letter: WishesChanged.read,
-    WishesApplied.letter: WishesApplied.read,
-    RetainedConnectionClosed.letter: RetainedConnectionClosed.read,
-    Alive.letter: Alive.read,
+    LETTERS[Hello]: Hello.read,
+    LETTERS[TakeOver]: TakeOver.read,
+    LETTERS[StatePiece]: StatePiece.read,
+    LETTERS[StateEnd]: StateEnd.read,
+    LETTERS[ClientConnection]: ClientConnection.read,
+    LETTERS[ServerConnection]: ServerConnection.read,
+    LETTERS[RemainingConnections]: _read_remaining_or_usage,
+    LETTERS[WishesChanged]: WishesChanged.read,
+    LETTERS[WishesApplied]: WishesApplied.read,
+    LETTERS[RetainedConnectionClosed]: RetainedConnectionClosed.read,
+    LETTERS[Alive]: Alive.read,
 }
 
 
 def encode(message: Message) -> bytes:
     """The message as it goes over the link."""
-    return message.letter + message.body()
+    return LETTERS[type(message)] + message.body()
 
 
 def decode(data: bytes) -> Message:
--- a/quota_gateway/net/hot_restart/operator_wishes.py
+++ b/quota_gateway/net/hot_restart/operator_wishes.py
@@ -6,9 +6,8 @@
 import logging
 import os
 from contextlib import suppress
-from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from quota_gateway import api
 from quota_gateway.errors import RestartError
@@ -22,8 +21,7 @@
 NO_TOKEN = 0
 
 
-@dataclass(frozen=True, slots=True)
-class OperatorWishes:
+class OperatorWishes(NamedTuple):
     """Servers that are administratively down, whether the gateway is drained, the highest fencing token."""
 
     servers_down: tuple[str, ...] = ()  # ids of discovery, sorted
--- a/quota_gateway/net/hot_restart/state_transfer.py
+++ b/quota_gateway/net/hot_restart/state_transfer.py
@@ -5,8 +5,7 @@
 import json
 import zlib
 from collections.abc import Iterator
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from quota_gateway.errors import PeerProcessError
 from quota_gateway.net.hot_restart import limits
@@ -14,8 +13,7 @@
 from quota_gateway.net.hot_restart.operator_wishes import OperatorWishes
 
 
-@dataclass(frozen=True, slots=True)
-class TransferredState:
+class TransferredState(NamedTuple):
     """What the successor goes on from."""
 
     server_list: Any  # discovery's list, in discovery's form
--- a/quota_gateway/net/peer_process.py
+++ b/quota_gateway/net/peer_process.py
@@ -15,14 +15,13 @@
 import struct
 from collections.abc import Callable
 from contextlib import suppress
-from dataclasses import dataclass
+from typing import NamedTuple
 
 # struct ucred, which SO_PEERCRED returns: pid_t pid, uid_t uid, gid_t gid.
 UCRED = struct.Struct("iII")
 
 
-@dataclass(frozen=True, slots=True)
-class PeerCredentials:
+class PeerCredentials(NamedTuple):
     """Process and user at the other end of a Unix socket, as the kernel reports them."""
 
     pid: int
--- a/quota_gateway/net/process_parts.py
+++ b/quota_gateway/net/process_parts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from quota_gateway.net.clients import Clients
 from quota_gateway.net.discovery import Discovery
@@ -10,8 +10,7 @@
 from quota_gateway.net.servers import Servers
 
 
-@dataclass(frozen=True, slots=True)
-class ProcessParts:
+class ProcessParts(NamedTuple):
     """The decisions' driver, the sockets and discovery's list."""
 
     driver: Driver
--- a/quota_gateway/net/retained_connections.py
+++ b/quota_gateway/net/retained_connections.py
@@ -5,7 +5,7 @@
 import logging
 import os
 import socket
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from quota_gateway.net.tcp_info import bytes_consumed
 
@@ -14,8 +14,7 @@
 NOT_RETAINED = 0  # in place of a retained connection's id
 
 
-@dataclass(frozen=True, slots=True)
-class RetainedConnection:
+class RetainedConnection(NamedTuple):
     """A copy of a transferred connection's descriptor, and what was true as it was transferred."""
 
     descriptor: int
@@ -30,8 +29,7 @@
             return False
 
 
-@dataclass(frozen=True, slots=True)
-class ReclaimedConnection:
+class ReclaimedConnection(NamedTuple):
     """A connection that was taken back from a process that has ended."""
 
     sock: socket.socket
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from quota_gateway.api import Plan, Request, RequestClass
 from quota_gateway.policy.attempts import Attempts
@@ -18,15 +18,13 @@
 from quota_gateway.state import Context, Customer, GiveUpReason, PendingRequest, RequestState, Server
 
 
-@dataclass(frozen=True, slots=True)
-class Queue:
+class Queue(NamedTuple):
     """The request waits; above 0 is the time until the rate ceiling has units for it."""
 
     rate_ceiling_wait_ms: float
 
 
-@dataclass(frozen=True, slots=True)
-class GiveUp:
+class GiveUp(NamedTuple):
     """The request gets its final answer from this gateway."""
 
     reason: GiveUpReason
--- a/quota_gateway/policy/hedging.py
+++ b/quota_gateway/policy/hedging.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from quota_gateway.api import Idempotency
 from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
@@ -18,8 +19,7 @@
     """The attempt goes on alone."""
 
 
-@dataclass(frozen=True, slots=True)
-class SendHedge:
+class SendHedge(NamedTuple):
     """A second attempt goes to this server while the first one goes on."""
 
     server: Server
--- a/quota_gateway/policy/quota_meter.py
+++ b/quota_gateway/policy/quota_meter.py
@@ -10,6 +10,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from quota_gateway.api import Plan
 from quota_gateway.state import Context, Customer
@@ -23,15 +24,13 @@
 THIN_BURST_BONUS_REQUESTS_IF_OVERUSE_COSTS = 1.0
 
 
-@dataclass(frozen=True, slots=True)
-class Admit:
+class Admit(NamedTuple):
     """The request is within the customer's burst. ``excess_milliunits`` is None if its plan has no quota."""
 
     excess_milliunits: float | None
 
 
-@dataclass(frozen=True, slots=True)
-class Hold:
+class Hold(NamedTuple):
     """The request may go once the excess has drained to the burst."""
 
     delay_ms: float
--- a/quota_gateway/policy/rate_ceiling.py
+++ b/quota_gateway/policy/rate_ceiling.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from math import inf
+from typing import NamedTuple
 
 from quota_gateway.api import Plan
 from quota_gateway.state import Context, Customer, PendingRequest, SettingsEpochs
@@ -14,8 +14,7 @@
 MS_PER_S = 1000.0
 
 
-@dataclass(frozen=True, slots=True)
-class BucketLevel:
+class BucketLevel(NamedTuple):
     """Level of a plan's whole token bucket at a moment."""
 
     level_units: float
--- a/quota_gateway/state/settings_epochs.py
+++ b/quota_gateway/state/settings_epochs.py
@@ -7,14 +7,13 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from quota_gateway.api import Plan
 from quota_gateway.state.records import CustomerKey
 
 
-@dataclass(frozen=True, slots=True)
-class PastEpoch:
+class PastEpoch(NamedTuple):
     """What held until a change of settings, and the number of gateways from then on."""
 
     until_ms: float
--- a/quota_gateway/state_document.py
+++ b/quota_gateway/state_document.py
@@ -12,10 +12,9 @@
 
 from collections import OrderedDict
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
 from itertools import islice
 from math import isnan
-from typing import Any
+from typing import Any, NamedTuple
 
 from quota_gateway.errors import RestartError
 from quota_gateway.policy.gateway import Gateway
@@ -42,8 +41,7 @@
 Document = dict[str, Any]
 
 
-@dataclass(frozen=True, slots=True)
-class LoadedServer:
+class LoadedServer(NamedTuple):
     """A server's part of a document."""
 
     latency_ratio: float
@@ -73,8 +71,7 @@
             server.started_ms = max(server.started_ms, self.started_ms)
 
 
-@dataclass(frozen=True, slots=True)
-class LoadedState:
+class LoadedState(NamedTuple):
     """A document that was read completely, with servers by their numbers in this process."""
 
     customers: OrderedDict[CustomerKey, Customer]
