--- a/quota_gateway/rollout/__main__.py
+++ b/quota_gateway/rollout/__main__.py
@@ -14,20 +14,20 @@
 
 from quota_gateway.rollout import journal
 from quota_gateway.rollout.admin_clients import FencedError
-from quota_gateway.rollout.canary_trial import HARMS
+from quota_gateway.rollout.canary_simulation import HARMS
 from quota_gateway.rollout.controller import DONE_OUTCOME, Controller
 from quota_gateway.rollout.operator_commands import OperatorCommand, OperatorCommandFile
 from quota_gateway.rollout.plan import Plan, PlanError
 from quota_gateway.rollout.plan_file import load
 from quota_gateway.rollout.rollout_state import RolloutState
+from quota_gateway.rollout.simulation_table import simulation_table
 from quota_gateway.rollout.status import status_json, status_table
-from quota_gateway.rollout.trial_table import trial_table
 
 DONE_CODE = 0
 ROLLED_BACK_CODE = 1
 FAILED_CODE = 2  # no plan, or nothing more touched
 OTHER_CONTROLLER_CODE = 3
-TRIAL_TABLE_WIDTH = 110
+SIMULATION_TABLE_WIDTH = 110
 PlanFile = click.Path(path_type=Path)
 
 
@@ -133,8 +133,8 @@
 @click.option("--harm", "harms", multiple=True, type=click.Choice(list(HARMS)), help="only these; all else")
 def trial(rollouts: int, targets: int, requests_per_s: float, harms: tuple[str, ...]) -> None:
     """How often the judge stops for nothing, and how soon it finds harm: in virtual time, all cores."""
-    table = trial_table(harms or tuple(HARMS), rollouts, targets, requests_per_s)
-    Console(width=TRIAL_TABLE_WIDTH).print(table)
+    table = simulation_table(harms or tuple(HARMS), rollouts, targets, requests_per_s)
+    Console(width=SIMULATION_TABLE_WIDTH).print(table)
 
 
 @main.command(name="plan")
--- a/quota_gateway/rollout/canary_analysis.py
+++ b/quota_gateway/rollout/canary_analysis.py
@@ -26,7 +26,7 @@
 
 
 class Verdict(Enum):
-    """What an evaluation comes to; the values are column heads of the trial's table."""
+    """What an evaluation comes to; the values are column heads of the simulation's table."""
 
     UNDECIDED = "wait"
     PASSED = "fine"
--- a/quota_gateway/rollout/canary_trial.py
+++ b/quota_gateway/rollout/canary_simulation.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TrialResult:
+class SimulationResult:
     """A simulated rollout: its last verdict, at which stage and after how long.
 
     Attributes:
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TrialPlan:
+class SimulationPlan:
     """The plan of a simulated rollout.
 
     Attributes:
@@ -128,13 +128,13 @@
 class SimulatedRollout:
     """One rollout, polled once a window."""
 
-    def __init__(self, seed: int, plan: TrialPlan) -> None:
+    def __init__(self, seed: int, plan: SimulationPlan) -> None:
         self.plan = plan
         self.fleet = SimulatedFleet(np.random.default_rng(seed), plan.targets, plan.requests_per_s)
         self.duration_s = 0.0
         self.changed_requests = 0
 
-    def run(self) -> TrialResult:
+    def run(self) -> SimulationResult:
         """Run to the end, or to the first stage that does not pass."""
         names = self.fleet.names
         verdict = Verdict.PASSED
@@ -148,7 +148,7 @@
             if verdict is not Verdict.PASSED:
                 break
             already_changed = changed
-        return TrialResult(verdict, last_stage, self.duration_s, self.changed_requests)
+        return SimulationResult(verdict, last_stage, self.duration_s, self.changed_requests)
 
     def _run_stage(self, already_changed: Set[str], changed: Set[str], judged: Set[str]) -> Verdict:
         analysis = self._measure(already_changed, judged)
@@ -190,7 +190,7 @@
             yield name, window
 
 
-def run_trial(harm: str, targets: int, requests_per_s: float, seed: int) -> TrialResult:
+def simulate_rollout(harm: str, targets: int, requests_per_s: float, seed: int) -> SimulationResult:
     """A rollout over so many targets of so many requests a second each, by the plan's own defaults."""
     stage_sizes = tuple(sorted({1, max(1, targets // 10), targets // 2, targets}))
-    return SimulatedRollout(seed, TrialPlan(HARMS[harm], targets, requests_per_s, stage_sizes)).run()
+    return SimulatedRollout(seed, SimulationPlan(HARMS[harm], targets, requests_per_s, stage_sizes)).run()
--- a/quota_gateway/rollout/trial_table.py
+++ b/quota_gateway/rollout/simulation_table.py
@@ -1,4 +1,4 @@
-"""The table of ``trial``: how simulated rollouts end, by what the change does."""
+"""The table that the command ``trial`` prints: how simulated rollouts end, by what the change does."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from rich.table import Table
 
 from quota_gateway.rollout.canary_analysis import Verdict
-from quota_gateway.rollout.canary_trial import TrialResult, run_trial
+from quota_gateway.rollout.canary_simulation import SimulationResult, simulate_rollout
 
 COLUMNS = (
     "the change does",
@@ -30,21 +30,21 @@
 CHUNK_SIZE = 10  # rollouts that a process takes at once
 
 
-def trial_table(harms: Iterable[str], rollouts: int, targets: int, requests_per_s: float) -> Table:
+def simulation_table(harms: Iterable[str], rollouts: int, targets: int, requests_per_s: float) -> Table:
     """Simulate so many rollouts of each harm, on all cores."""
     title = f"{rollouts} rollouts each, {targets} members, {requests_per_s:g} requests a second each"
     table = Table(*COLUMNS, title=title)
     with ProcessPoolExecutor() as pool:
         for harm in harms:
-            trial = partial(run_trial, harm, targets, requests_per_s)
-            results = list(pool.map(trial, range(rollouts), chunksize=CHUNK_SIZE))
+            simulate = partial(simulate_rollout, harm, targets, requests_per_s)
+            results = list(pool.map(simulate, range(rollouts), chunksize=CHUNK_SIZE))
             counts = Counter(result.verdict for result in results)
             ratios = [f"{counts[verdict] / rollouts:.2%}" for verdict in VERDICTS]
             table.add_row(harm, *ratios, *_stop_columns(results))
     return table
 
 
-def _stop_columns(results: Sequence[TrialResult]) -> Sequence[str]:
+def _stop_columns(results: Sequence[SimulationResult]) -> Sequence[str]:
     """When rollouts were stopped, and how many requests the changed targets had received by then."""
     stopped = sorted(
         (result for result in results if result.verdict is Verdict.WORSE),
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -25,7 +25,7 @@
 from quota_gateway.rollout.admin_clients import AdminClients, FencedError
 from quota_gateway.rollout.canary_analysis import CanaryAnalysis, Verdict, measure_baseline
 from quota_gateway.rollout.canary_limits import CanaryLimits
-from quota_gateway.rollout.canary_trial import HARMS, SimulatedRollout, TrialPlan, run_trial
+from quota_gateway.rollout.canary_simulation import HARMS, SimulatedRollout, SimulationPlan, simulate_rollout
 from quota_gateway.rollout.concurrency_rule import ConcurrencyRule
 from quota_gateway.rollout.figures import GatewayFigures
 from quota_gateway.rollout.plan import Plan, PlanError, Target
@@ -44,13 +44,13 @@
     """
 
     def plays(harm, count):
-        return Counter(run_trial(harm, 10, 20.0, seed).verdict for seed in range(count))
+        return Counter(simulate_rollout(harm, 10, 20.0, seed).verdict for seed in range(count))
 
     assert plays("nothing", 30)[Verdict.WORSE] <= 2
     assert plays("10% more refused", 10)[Verdict.WORSE] >= 8
 
     def uneven(seed):  # the first to be changed has ten times the traffic
-        made = SimulatedRollout(seed, TrialPlan(HARMS["nothing"], 10, 20.0, (1, 5, 10)))
+        made = SimulatedRollout(seed, SimulationPlan(HARMS["nothing"], 10, 20.0, (1, 5, 10)))
         made.fleet.rates[0] *= 10.0
         return made.run().verdict
 
