--- a/quota_gateway/rollout/canary_analysis.py
+++ b/quota_gateway/rollout/canary_analysis.py
@@ -16,7 +16,7 @@
 from msgspec import Struct
 
 from quota_gateway.rollout.canary_limits import CanaryLimits, Measure
-from quota_gateway.rollout.figures import GatewayFigures, sum_of_windows
+from quota_gateway.rollout.figures import FiguresWindow, sum_of_windows
 from quota_gateway.rollout.sequential_test import log_likelihood_ratio, log_threshold, upper_bound
 from quota_gateway.rollout.window_counts import GroupCounts, count_windows, dispersion, first_slow_step
 
@@ -79,7 +79,7 @@
     events: tuple[dict[Measure, int], dict[Measure, int]]
 
 
-def measure_baseline(changed: Collection[str], windows: Mapping[str, Sequence[GatewayFigures]]) -> Baseline:
+def measure_baseline(changed: Collection[str], windows: Mapping[str, Sequence[FiguresWindow]]) -> Baseline:
     """The baseline from each target's windows before the change."""
     slow_step = first_slow_step(list(chain.from_iterable(windows.values())))
     changed_counts = GroupCounts()
@@ -182,7 +182,7 @@
                 return False
         return True
 
-    def add(self, target: str, window: GatewayFigures) -> None:
+    def add(self, target: str, window: FiguresWindow) -> None:
         """Count a target's window since the change."""
         group = self.changed_group if target in self.changed else self.other_group
         group.after.add(window, self.baseline.first_slow_step)
--- a/quota_gateway/rollout/canary_limits.py
+++ b/quota_gateway/rollout/canary_limits.py
@@ -16,7 +16,7 @@
 
     REJECTED = "refused"
     FAILED = "failed"
-    LATE = "late"  # after the latency objective
+    LATE = "late"  # served after the latency objective
     SLOW = "slow"  # slower than nine tenths were before the change
     RETRIED = "resent"  # attempts beyond the first
 
@@ -39,7 +39,7 @@
         false_stop_ratio: chance that a harmless change is rolled back, over the whole rollout.
         detected_ratio: difference of shares that is found soonest.
         tolerance_ratio: a stage passes only if no share can be worse by more.
-        memory_mb: a changed target may grow by this much more than the others, in MiB.
+        memory_mb: a changed target's peak memory may grow by this much more than the others, in MiB.
     """
 
     measures: Annotated[tuple[Measure, ...], Meta(min_length=1)] = tuple(Measure)
--- a/quota_gateway/rollout/canary_simulation.py
+++ b/quota_gateway/rollout/canary_simulation.py
@@ -18,7 +18,7 @@
     measure_baseline,
 )
 from quota_gateway.rollout.canary_limits import CanaryLimits
-from quota_gateway.rollout.figures import GatewayFigures
+from quota_gateway.rollout.figures import FiguresWindow
 
 WINDOW_S = 1.0
 REJECTED_RATIO = 0.03  # of the requests, in the mean of the targets
@@ -96,20 +96,20 @@
         self.rates = requests_per_s * generator.lognormal(0.0, TARGETS_SIGMA, targets)
         self.rejected_ratios = REJECTED_RATIO * generator.lognormal(0.0, TARGETS_SIGMA, targets)
 
-    def next_windows(self, changed: Set[str], harm: Harm) -> Iterator[tuple[str, GatewayFigures]]:
+    def next_windows(self, changed: Set[str], harm: Harm) -> Iterator[tuple[str, FiguresWindow]]:
         """Each target's next window."""
         common_factor = self.generator.lognormal(0.0, COMMON_SIGMA)
         unharmed = Harm()
         for position, name in enumerate(self.names):
             yield name, self._window(position, common_factor, harm if name in changed else unharmed)
 
-    def _window(self, position: int, common_factor: float, harm: Harm) -> GatewayFigures:
+    def _window(self, position: int, common_factor: float, harm: Harm) -> FiguresWindow:
         requests = int(self.generator.poisson(self.rates[position] * WINDOW_S))
         own_factor = self.generator.lognormal(0.0, OWN_SIGMA)
         rejected_ratio = self.rejected_ratios[position] * common_factor * own_factor + harm.rejected_ratio
         rejected = int(self.generator.binomial(requests, min(1.0, rejected_ratio)))
         served = requests - rejected
-        return GatewayFigures(
+        return FiguresWindow(
             requests=requests,
             served=served,
             rejected=rejected,
@@ -166,7 +166,7 @@
 
     def _measure(self, already_changed: Set[str], judged: Set[str]) -> CanaryAnalysis:
         """Measure until the baseline is sufficient, as the controller does."""
-        windows: dict[str, list[GatewayFigures]] = {name: [] for name in self.fleet.names}
+        windows: dict[str, list[FiguresWindow]] = {name: [] for name in self.fleet.names}
         measured_s = 0.0
         next_check_s = self.plan.watch_s
         while True:
@@ -182,7 +182,7 @@
             if analysis.is_baseline_sufficient() or measured_s >= self.plan.max_watch_s:
                 return analysis
 
-    def _next_windows(self, changed: Set[str]) -> Iterator[tuple[str, GatewayFigures]]:
+    def _next_windows(self, changed: Set[str]) -> Iterator[tuple[str, FiguresWindow]]:
         self.duration_s += WINDOW_S
         for name, window in self.fleet.next_windows(changed, self.plan.harm):
             if name in changed:
--- a/quota_gateway/rollout/figures.py
+++ b/quota_gateway/rollout/figures.py
@@ -1,8 +1,9 @@
-"""Counts that a gateway reports at its admin endpoint (``FIGURES``), since its start."""
+"""Counts that a gateway reports at its admin endpoint (``FIGURES``), and their growth between two polls."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
+from dataclasses import dataclass, field
 
 from msgspec import Struct
 
@@ -13,7 +14,8 @@
     "rejected": "refused",
     "client_left": "gone",
     "in_flight": "in_hand",
-    "memory_kib": "memory_kb",
+    "peak_memory_kib": "memory_kb",
+    "config_digest": "revision",
     "started_at_s": "since",
     "rejections_by_reason": "reasons",
     "latency_steps": "latency",
@@ -24,10 +26,29 @@
     """Two reports are of different processes, so that their difference means nothing."""
 
 
+@dataclass(frozen=True, slots=True)
+class FiguresWindow:
+    """How much a gateway's counts grew between two polls, or those of several gateways together."""
+
+    requests: int = 0
+    served: int = 0
+    rejected: int = 0
+    failed: int = 0
+    late: int = 0
+    attempts: int = 0
+    latency_steps: dict[int, int] = field(default_factory=dict)
+
+    @property
+    def answered(self) -> int:
+        """Requests with a final answer."""
+        return self.served + self.rejected + self.failed
+
+
 class GatewayFigures(Struct, frozen=True, rename=JSON_KEYS):
-    """Cumulative counts of one gateway process, or the difference of two such reports.
+    """A report: the counts of one gateway process since its start.
 
-    Latency step ``n`` begins at 2^(n/4) ms and counts served requests only.
+    Latency step ``n`` begins at 2^(n/4) ms and counts served requests only. `client_left`, `in_flight`,
+    `config_digest` and `rejections_by_reason` are checked as a report is decoded, and not used by rollouts.
     """
 
     pid: int = 0
@@ -36,22 +57,17 @@
     rejected: int = 0
     failed: int = 0
     client_left: int = 0
-    late: int = 0  # answered after the latency objective
+    late: int = 0  # served after the latency objective
     attempts: int = 0
     in_flight: int = 0
-    memory_kib: int = 0
-    revision: str = ""
+    peak_memory_kib: int = 0  # largest resident set since the start
+    config_digest: str = ""
     program: str = ""  # folder of the version that runs
     started_at_s: float = 0.0
     rejections_by_reason: dict[str, int] = {}
     latency_steps: dict[int, int] = {}  # requests by step
 
-    @property
-    def answered(self) -> int:
-        """Requests with a final answer."""
-        return self.served + self.rejected + self.failed
-
-    def since(self, earlier: GatewayFigures) -> GatewayFigures:
+    def since(self, earlier: GatewayFigures) -> FiguresWindow:
         """The window between an earlier report and this one.
 
         Raises:
@@ -59,25 +75,22 @@
         """
         if earlier.pid != self.pid or earlier.started_at_s != self.started_at_s:
             raise ProcessChangedError(f"process {self.pid} was {earlier.pid} in the report before")
-        return GatewayFigures(
-            pid=self.pid,
+        return FiguresWindow(
             requests=self.requests - earlier.requests,
             served=self.served - earlier.served,
             rejected=self.rejected - earlier.rejected,
             failed=self.failed - earlier.failed,
-            client_left=self.client_left - earlier.client_left,
             late=self.late - earlier.late,
             attempts=self.attempts - earlier.attempts,
-            memory_kib=self.memory_kib - earlier.memory_kib,
             latency_steps={
                 step: count - earlier.latency_steps.get(step, 0) for step, count in self.latency_steps.items()
             },
         )
 
 
-def sum_of_windows(windows: Sequence[GatewayFigures]) -> GatewayFigures:
+def sum_of_windows(windows: Sequence[FiguresWindow]) -> FiguresWindow:
     """Several gateways' windows of the same moment, added up."""
-    return GatewayFigures(
+    return FiguresWindow(
         requests=sum(window.requests for window in windows),
         served=sum(window.served for window in windows),
         rejected=sum(window.rejected for window in windows),
@@ -88,7 +101,7 @@
     )
 
 
-def sum_of_latency_steps(windows: Sequence[GatewayFigures]) -> dict[int, int]:
+def sum_of_latency_steps(windows: Sequence[FiguresWindow]) -> dict[int, int]:
     """Served requests by latency step over all windows."""
     counts: dict[int, int] = {}
     for window in windows:
--- a/quota_gateway/rollout/fleet_metrics.py
+++ b/quota_gateway/rollout/fleet_metrics.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 
 from quota_gateway.rollout.admin_clients import AdminClients, FencedError
-from quota_gateway.rollout.figures import GatewayFigures, ProcessChangedError
+from quota_gateway.rollout.figures import FiguresWindow, GatewayFigures, ProcessChangedError
 
 
 class FleetMetrics:
@@ -33,7 +33,7 @@
         await self.read()
         self.first = dict(self.latest)
 
-    async def read(self) -> dict[str, GatewayFigures]:
+    async def read(self) -> dict[str, FiguresWindow]:
         """Read all; the window since the report before of each that answers and is the same process.
 
         Raises:
@@ -60,9 +60,9 @@
         """Its process when the watch began; the present one where it did not answer then."""
         return self.first.get(target, self.latest[target]).pid
 
-    def memory_growth_kib(self) -> dict[str, int]:
-        """Growth of each target's memory since the watch began."""
+    def peak_memory_growth_kib(self) -> dict[str, int]:
+        """Growth of each target's peak memory since the watch began."""
         return {
-            name: figures.memory_kib - self.first.get(name, figures).memory_kib
+            name: figures.peak_memory_kib - self.first.get(name, figures).peak_memory_kib
             for name, figures in self.latest.items()
         }
--- a/quota_gateway/rollout/stage_runner.py
+++ b/quota_gateway/rollout/stage_runner.py
@@ -14,7 +14,7 @@
     measure_baseline,
 )
 from quota_gateway.rollout.change_strategy import ChangeRejectedError
-from quota_gateway.rollout.figures import GatewayFigures
+from quota_gateway.rollout.figures import FiguresWindow
 from quota_gateway.rollout.journal_records import (
     BaselineMeasured,
     StageConfirmed,
@@ -65,7 +65,7 @@
     async def measure(self) -> None:
         """Measure the baseline, for as long as the stage is to be watched and until it is sufficient."""
         stage = self.state.stage
-        windows: dict[str, list[GatewayFigures]] = {name: [] for name in self.context.targets}
+        windows: dict[str, list[FiguresWindow]] = {name: [] for name in self.context.targets}
         await self.metrics.read()
         loop = asyncio.get_running_loop()
         started_at_s = loop.time()
--- a/quota_gateway/rollout/target_checks.py
+++ b/quota_gateway/rollout/target_checks.py
@@ -59,7 +59,7 @@
         return found
 
     def _check_memory(self, changed: Set[str]) -> CanaryResult | None:
-        growth_kib = self.metrics.memory_growth_kib()
+        growth_kib = self.metrics.peak_memory_growth_kib()
         others_kib = max((kib for name, kib in growth_kib.items() if name not in changed), default=0)
         limit_kib = KIB_PER_MIB * self.context.plan.limits.memory_mb
         for name in sorted(growth_kib.keys() & changed):
--- a/quota_gateway/rollout/window_counts.py
+++ b/quota_gateway/rollout/window_counts.py
@@ -11,14 +11,14 @@
 from math import inf
 
 from quota_gateway.rollout.canary_limits import Measure
-from quota_gateway.rollout.figures import GatewayFigures, sum_of_latency_steps
+from quota_gateway.rollout.figures import FiguresWindow, sum_of_latency_steps
 
 SLOW_QUANTILE_RATIO = 0.9  # of the latencies before a change are below the first slow step
 MIN_BLOCKS = 5  # of consecutive windows: fewer do not tell how much they vary
 MIN_VARIANCE_SHARE = 1e-3  # a share below it has at least its variance: a few events are no proof
 
 
-def count_events(window: GatewayFigures, first_slow_step: int) -> dict[Measure, int]:
+def count_events(window: FiguresWindow, first_slow_step: int) -> dict[Measure, int]:
     """Requests of a window that each measure counts."""
     return {
         Measure.REJECTED: window.rejected,
@@ -29,7 +29,7 @@
     }
 
 
-def first_slow_step(windows: Sequence[GatewayFigures]) -> int:
+def first_slow_step(windows: Sequence[FiguresWindow]) -> int:
     """The first latency step above nine tenths of the served requests."""
     counts = sum_of_latency_steps(windows)
     remaining = SLOW_QUANTILE_RATIO * sum(counts.values())
@@ -47,7 +47,7 @@
     answered: int = 0
     events: dict[Measure, int] = field(default_factory=lambda: dict.fromkeys(Measure, 0))
 
-    def add(self, window: GatewayFigures, first_slow_step: int) -> None:
+    def add(self, window: FiguresWindow, first_slow_step: int) -> None:
         """Count a target's window."""
         self.answered += window.answered
         for measure, count in count_events(window, first_slow_step).items():
@@ -90,7 +90,7 @@
 
 
 def count_windows(
-    targets: Iterable[Sequence[GatewayFigures]], first_slow_step: int
+    targets: Iterable[Sequence[FiguresWindow]], first_slow_step: int
 ) -> list[list[WindowCount]]:
     """Each target's windows, counted."""
     return [
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -27,7 +27,7 @@
 from quota_gateway.rollout.canary_limits import CanaryLimits
 from quota_gateway.rollout.canary_simulation import HARMS, SimulatedRollout, SimulationPlan, simulate_rollout
 from quota_gateway.rollout.concurrency_rule import ConcurrencyRule
-from quota_gateway.rollout.figures import GatewayFigures
+from quota_gateway.rollout.figures import FiguresWindow
 from quota_gateway.rollout.plan import Plan, PlanError, Target
 from quota_gateway.rollout.plan_file import load
 from quota_gateway.rollout.status import target_standings
@@ -58,7 +58,7 @@
 
 
 def window(**more):
-    return GatewayFigures(
+    return FiguresWindow(
         **{"requests": 100, "served": 100, "attempts": 100, "latency_steps": {8: 90, 12: 10}, **more}
     )
 
