--- a/quota_gateway/rollout/admin_clients.py
+++ b/quota_gateway/rollout/admin_clients.py
@@ -12,6 +12,7 @@
 from quota_gateway.errors import RolloutError
 from quota_gateway.rollout.figures import GatewayFigures
 from quota_gateway.rollout.plan import Target
+from quota_gateway.rollout.retry import NotYetError
 
 CALL_TIMEOUT_S = 2.0  # an admin endpoint answers within one second
 MAX_ANSWER_BYTES = 64 * 1024
@@ -22,7 +23,7 @@
 OLDER_TOKEN = "an older token"  # how a rejection begins that is due to the token
 
 
-class UnreachableError(RolloutError):
+class UnreachableError(NotYetError):
     """A target gives no answer, or none that can be used; the call may be repeated."""
 
 
--- a/quota_gateway/rollout/change_strategy.py
+++ b/quota_gateway/rollout/change_strategy.py
@@ -84,7 +84,7 @@
 
         Raises:
             ChangeRejectedError: it rejects the change.
-            UnreachableError: not changed yet, to be repeated.
+            NotYetError: not changed yet.
         """
 
     @abstractmethod
@@ -101,9 +101,9 @@
 
         Raises:
             ChangeRejectedError: it has failed.
-            UnreachableError: to be repeated.
+            NotYetError: not confirmed yet.
         """
 
     @abstractmethod
     async def roll_back(self, target: str) -> None:
-        """Make a target as it was before. Raises UnreachableError where it is to be repeated."""
+        """Make a target as it was before. Raises NotYetError until it is."""
--- a/quota_gateway/rollout/process_pair.py
+++ b/quota_gateway/rollout/process_pair.py
@@ -8,6 +8,7 @@
 
 from quota_gateway.rollout.admin_clients import AdminAnswer, AdminClients, UnreachableError
 from quota_gateway.rollout.plan import PlanError, Target
+from quota_gateway.rollout.retry import NotYetError
 
 FOLLOWED_ANSWER = "has taken over"  # within a rejected HEALTH
 ALONE_ANSWER = "no process beside"  # within a rejected RETIRE
@@ -71,26 +72,26 @@
         Both are asked, as either may be of a version that does not know the command.
 
         Raises:
-            UnreachableError: until it has ended.
+            NotYetError: until it has ended.
         """
         after = await self._retire(target, after_address)
         before = await self._retire(target, before_address)
         is_alone = ALONE_ANSWER in after or (not before and UNKNOWN_COMMAND_ANSWER in after)
         if not is_alone:
             reason = after or before or "no answer"
-            raise UnreachableError(f"{target}: what was followed can't be ended: {reason}")
+            raise NotYetError(f"{target}: what was followed can't be ended: {reason}")
 
     async def _retire(self, target: str, address: str) -> str:
         """Why the process at an address ends none; empty where it does not answer.
 
         Raises:
-            UnreachableError: it ends the one that was followed, which takes a while.
+            NotYetError: it ends the one that was followed, which takes a while.
         """
         answer = await self._retire_answer(target, address)
         if answer is None:
             return ""
         if answer.accepted:
-            raise UnreachableError(f"{target}: the process that was followed ends")
+            raise NotYetError(f"{target}: the process that was followed ends")
         return answer.text
 
     async def _retire_answer(self, target: str, address: str) -> AdminAnswer | None:
--- a/quota_gateway/rollout/program_rollout.py
+++ b/quota_gateway/rollout/program_rollout.py
@@ -15,11 +15,12 @@
 import asyncio
 from pathlib import Path
 
-from quota_gateway.rollout.admin_clients import AdminClients, UnreachableError
+from quota_gateway.rollout.admin_clients import AdminClients
 from quota_gateway.rollout.change_strategy import ChangeRejectedError, ChangeStrategy, CheckedTargets
 from quota_gateway.rollout.plan import Plan, PlanError, ProgramChange, ProgramVersion
 from quota_gateway.rollout.platform_commands import STARTED, PlatformCommands
 from quota_gateway.rollout.process_pair import ProcessPair, ProcessPairReader, ProcessState
+from quota_gateway.rollout.retry import NotYetError
 from quota_gateway.rollout.rollout_state import RolloutState
 from quota_gateway.rollout.version_check import VersionCheck
 
@@ -100,12 +101,12 @@
         pair = await self._pair(target)
         if pair.after is ProcessState.SILENT:
             if pair.before is not ProcessState.SERVING:
-                raise UnreachableError(f"{target}: {pair.before.value}, and nobody answers at {address}")
+                raise NotYetError(f"{target}: {pair.before.value}, and nobody answers at {address}")
             await self._start_next(target, address)
-            raise UnreachableError(f"{target}: its next process starts")
+            raise NotYetError(f"{target}: its next process starts")
         if pair.after is not ProcessState.SERVING:
             self._require_patience(target)
-            raise UnreachableError(f"{target}: its next process {pair.after.value}")
+            raise NotYetError(f"{target}: its next process {pair.after.value}")
         if pair.before is ProcessState.SERVING:
             raise ChangeRejectedError(
                 f"{target}: its next process serves beside the one before, it took nothing over"
@@ -151,7 +152,7 @@
         if failure:
             raise ChangeRejectedError(failure)
         if pair.after is not ProcessState.SERVING:
-            raise UnreachableError(f"{target}: its next process {pair.after.value}")
+            raise NotYetError(f"{target}: its next process {pair.after.value}")
         await self._retire_followed(target)
         return True
 
@@ -174,10 +175,10 @@
             result = await self.platform.start(self.targets[target], self.change.before, address)
             self.waiting_since_s[target] = asyncio.get_running_loop().time()
             reason = "the version before starts" if result.succeeded else result.message
-            raise UnreachableError(f"{target}: {reason}")
+            raise NotYetError(f"{target}: {reason}")
         if pair.before is ProcessState.NOT_SERVING and pair.after is not ProcessState.FOLLOWED:
             await self._stop_next_that_does_not_hand_over(target)
-        raise UnreachableError(f"{target}: {pair.before.value} as before, {pair.after.value} as after")
+        raise NotYetError(f"{target}: {pair.before.value} as before, {pair.after.value} as after")
 
     async def _stop_next_that_does_not_hand_over(self, target: str) -> None:
         """After some time end the next process: at least it frees its addresses for the version before."""
@@ -190,4 +191,4 @@
         address = self.started.after[target]
         result = await self.platform.stop(self.targets[target], self.change.after, address)
         if not result.succeeded:
-            raise UnreachableError(f"{target}: its process at {address} can't be ended: {result.message}")
+            raise NotYetError(f"{target}: its process at {address} can't be ended: {result.message}")
--- a/quota_gateway/rollout/rollback.py
+++ b/quota_gateway/rollout/rollback.py
@@ -2,11 +2,10 @@
 
 from __future__ import annotations
 
-from quota_gateway.rollout.admin_clients import UnreachableError
 from quota_gateway.rollout.journal_records import RolloutEnded, TargetChanged, TargetChanging
+from quota_gateway.rollout.retry import NotYetError, retry_while_not_yet
 from quota_gateway.rollout.rollout_context import RolloutContext
 from quota_gateway.rollout.rollout_log import log_rollback_given_up
-from quota_gateway.rollout.step_runner import retry_while_unreachable
 
 ROLLED_BACK_OUTCOME = "back"  # how the outcome begins; it stands in journals and is printed
 
@@ -35,10 +34,10 @@
             self.context.record(TargetChanging(self.context.now_s(), name, rollback=True))
         given_up = False
         try:
-            await retry_while_unreachable(
+            await retry_while_not_yet(
                 lambda: self.context.strategy.roll_back(name), self.context.plan.max_watch_s
             )
-        except UnreachableError as error:
+        except NotYetError as error:
             log_rollback_given_up(name, str(error))
             given_up = True
         self.context.record(TargetChanged(self.context.now_s(), name, rollback=True, given_up=given_up))
--- a/quota_gateway/rollout/settings_rollout.py
+++ b/quota_gateway/rollout/settings_rollout.py
@@ -12,6 +12,7 @@
 from quota_gateway.rollout.atomic_file import replace_file
 from quota_gateway.rollout.change_strategy import ChangeRejectedError, ChangeStrategy, CheckedTargets
 from quota_gateway.rollout.plan import PlanError
+from quota_gateway.rollout.retry import NotYetError
 
 MAX_FAULTS_SHOWN = 3
 
@@ -70,7 +71,7 @@
     async def _require_in_force(self, target: str, digest: str) -> None:
         in_force = await self.clients.configuration(target)
         if in_force.digest != digest:
-            raise UnreachableError(f"{target}: goes by {in_force.digest}")
+            raise NotYetError(f"{target}: goes by {in_force.digest}")
 
     async def renew_trial(self, targets: list[str]) -> None:
         """Begin the trials' time from now on; an unreachable target is left out."""
@@ -91,7 +92,7 @@
         if in_force.on_trial:
             answer = await self.clients.confirm_trial(target)
             if not answer.accepted:
-                raise UnreachableError(f"{target}: {answer.text}")
+                raise NotYetError(f"{target}: {answer.text}")
         return True
 
     async def roll_back(self, target: str) -> None:
--- a/quota_gateway/rollout/stage_runner.py
+++ b/quota_gateway/rollout/stage_runner.py
@@ -4,7 +4,6 @@
 
 import asyncio
 
-from quota_gateway.rollout.admin_clients import UnreachableError
 from quota_gateway.rollout.canary_analysis import (
     BASELINE_GROWTH_RATIO,
     Baseline,
@@ -22,9 +21,9 @@
     TargetChanged,
     TargetChanging,
 )
+from quota_gateway.rollout.retry import NotYetError, retry_while_not_yet
 from quota_gateway.rollout.rollout_context import RolloutContext
 from quota_gateway.rollout.rollout_log import log_result, log_target_reverted
-from quota_gateway.rollout.step_runner import retry_while_unreachable
 from quota_gateway.rollout.target_checks import TargetChecks
 
 
@@ -94,7 +93,7 @@
             await self.context.steps.run(missing, self._change_target)
         except ChangeRejectedError as error:
             self.context.start_rollback(str(error))
-        except UnreachableError as error:
+        except NotYetError as error:
             self.context.halt(f"can't be changed: {error}")
 
     async def _change_target(self, name: str) -> None:
@@ -105,7 +104,7 @@
             pid = await self.context.strategy.apply(name)
             self.context.record(TargetChanged(self.context.now_s(), name, pid=pid))
 
-        await retry_while_unreachable(apply, self.plan.target_timeout_s)
+        await retry_while_not_yet(apply, self.plan.target_timeout_s)
 
     # ---- Watch
 
@@ -152,14 +151,14 @@
                 if not await self.context.strategy.keep(name):
                     reverted_targets.append(name)
 
-            await retry_while_unreachable(keep, self.plan.target_timeout_s)
+            await retry_while_not_yet(keep, self.plan.target_timeout_s)
 
         try:
             await self.context.steps.run(self._targets, confirm_target)
         except ChangeRejectedError as error:
             self.context.start_rollback(str(error))
             return
-        except UnreachableError as error:
+        except NotYetError as error:
             self.context.halt(f"can't be told to keep it: {error}")
             return
         for name in reverted_targets:
--- a/quota_gateway/rollout/step_runner.py
+++ b/quota_gateway/rollout/step_runner.py
@@ -1,18 +1,13 @@
-"""Runs a step at many targets: some at the same time, and each again while its target is unreachable."""
+"""Runs a step at many targets, some of them at the same time."""
 
 from __future__ import annotations
 
 import asyncio
 import random
-from collections.abc import Awaitable, Callable, Coroutine, Sequence
+from collections.abc import Callable, Coroutine, Sequence
 
-from quota_gateway.rollout.admin_clients import UnreachableError
 from quota_gateway.rollout.concurrency_rule import ConcurrencyRule
 
-MIN_BACKOFF_S = 0.2
-MAX_BACKOFF_S = 5.0
-BACKOFF_FACTOR = 2.0
-BACKOFF_FIXED_RATIO = 0.5  # the rest is drawn, so that targets are not called in step
 START_DELAY_RATIO = 0.2  # of the poll interval at most, between two targets' starts
 
 Step = Callable[[str], Coroutine[None, None, None]]
@@ -28,7 +23,7 @@
     async def run(self, targets: Sequence[str], step: Step) -> None:
         """Run a step at each target. Where one fails, those under way finish, then its error is raised.
 
-        An unreachable target takes up a place, but others go on as far as the rule allows.
+        A target whose step is being repeated takes up a place, but others go on as far as the rule allows.
         """
         waiting = list(targets)
         running = dict[asyncio.Task[None], str]()
@@ -50,24 +45,3 @@
             waiting.remove(name)
             running[asyncio.get_running_loop().create_task(step(name))] = name
             await asyncio.sleep(self.poll_interval_s * START_DELAY_RATIO * random.random())
-
-
-async def retry_while_unreachable(attempt: Callable[[], Awaitable[None]], timeout_s: float) -> None:
-    """Repeat an attempt with backoff while its target is unreachable; the last attempt is at the end.
-
-    Raises:
-        UnreachableError: that of the last attempt, when the time is up.
-    """
-    loop = asyncio.get_running_loop()
-    end_s = loop.time() + timeout_s
-    backoff_s = MIN_BACKOFF_S
-    while True:
-        try:
-            await attempt()
-            return
-        except UnreachableError:
-            if loop.time() >= end_s:
-                raise
-        drawn_s = backoff_s * (BACKOFF_FIXED_RATIO + (1.0 - BACKOFF_FIXED_RATIO) * random.random())
-        await asyncio.sleep(max(0.0, min(drawn_s, end_s - loop.time())))
-        backoff_s = min(MAX_BACKOFF_S, BACKOFF_FACTOR * backoff_s)
