--- a/quota_gateway/rollout/admin_clients.py
+++ b/quota_gateway/rollout/admin_clients.py
@@ -51,17 +51,24 @@
     """Clients of all targets' admin endpoints.
 
     Attributes:
-        addresses: by target, the admin endpoint of the process that is asked.
         sends_token: whether calls carry the token. Calls without one are taken as an operator's and stop no
             other controller.
     """
 
     def __init__(self, targets: Iterable[Target], token: int) -> None:
-        self.addresses = {target.name: target.admin_address for target in targets}
+        self._addresses = {target.name: target.admin_address for target in targets}
         self.token = token
         self.sends_token = True
         self.concurrent_calls = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
+    def use_address(self, target: str, address: str) -> None:
+        """Set which of a target's processes is asked; at first it is the one at the plan's admin address.
+
+        In a program rollout that is the predecessor until the successor has taken over, then the successor,
+        and the predecessor again after a rollback.
+        """
+        self._addresses[target] = address
+
     async def call(self, target: str, command: str, address: str = "") -> AdminAnswer:
         """Send a command to a target's process, or to the one at another address.
 
@@ -70,7 +77,7 @@
             FencedError: the token is outdated; commands that only read are rejected, too.
         """
         line = f"AS {self.token} {command}" if self.sends_token else command
-        answer = await self._exchange(target, address or self.addresses[target], line)
+        answer = await self._exchange(target, address or self._addresses[target], line)
         word, _, text = answer.partition(" ")
         if word not in (ACCEPTED, REJECTED):
             raise UnreachableError(f"{target}: no door's answer")
@@ -97,7 +104,7 @@
         return await self.call(target, "HEALTH", address)
 
     async def retire(self, target: str, address: str) -> AdminAnswer:
-        """Ask the process at an address to have the one that was followed end. Raises as `health` does."""
+        """Ask the process at an address to see to it that the predecessor ends. Raises as `health` does."""
         return await self.call(target, "RETIRE", address)
 
     async def reload_on_trial(self, target: str, trial_s: int) -> AdminAnswer:
--- a/quota_gateway/rollout/plan.py
+++ b/quota_gateway/rollout/plan.py
@@ -44,7 +44,7 @@
         admin_address: ``host:port`` of its admin endpoint.
         config_file: its configuration file.
         zone: its zone; the gateways of a zone are never changed all at once.
-        next_admin_address: of the process beside it, for another program; the two take turns.
+        next_admin_address: of the other process, for another program: predecessor and successor take turns.
         runtime_folder: the TMPDIR that both processes share, for another program.
     """
 
--- a/quota_gateway/rollout/process_pair.py
+++ b/quota_gateway/rollout/process_pair.py
@@ -10,7 +10,7 @@
 from quota_gateway.rollout.plan import PlanError, Target
 from quota_gateway.rollout.retry import NotYetError
 
-FOLLOWED_ANSWER = "has taken over"  # within a rejected HEALTH
+HANDED_OVER_ANSWER = "has taken over"  # within a rejected HEALTH
 ALONE_ANSWER = "no process beside"  # within a rejected RETIRE
 UNKNOWN_COMMAND_ANSWER = "no such call"
 
@@ -19,17 +19,22 @@
     """What the admin endpoint at an address says about its process; the values stand in reasons."""
 
     SERVING = "serves"
-    FOLLOWED = "followed by another"  # alive, and kept
+    HANDED_OVER = "followed by another"  # alive; takes back if the other one dies or hangs
     NOT_SERVING = "does not serve"  # it starts, or hangs while it does
     SILENT = "silent"  # dead or unreachable: the other address may tell
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessPair:
-    """The processes at a target's two addresses: of the version before and of the one after."""
+    """States of the processes at a target's two addresses.
 
-    before: ProcessState
-    after: ProcessState
+    Attributes:
+        predecessor: of the process of the version before, also where it was started for a rollback.
+        successor: of the process of the version after.
+    """
+
+    predecessor: ProcessState
+    successor: ProcessState
 
 
 class ProcessPairReader:
@@ -46,14 +51,14 @@
             return ProcessState.SILENT
         if answer.accepted:
             return ProcessState.SERVING
-        return ProcessState.FOLLOWED if FOLLOWED_ANSWER in answer.text else ProcessState.NOT_SERVING
+        return ProcessState.HANDED_OVER if HANDED_OVER_ANSWER in answer.text else ProcessState.NOT_SERVING
 
-    async def read(self, target: str, before_address: str, after_address: str) -> ProcessPair:
+    async def read(self, target: str, predecessor_address: str, successor_address: str) -> ProcessPair:
         """State of both processes."""
-        before, after = await asyncio.gather(
-            self.state(target, before_address), self.state(target, after_address)
+        predecessor, successor = await asyncio.gather(
+            self.state(target, predecessor_address), self.state(target, successor_address)
         )
-        return ProcessPair(before, after)
+        return ProcessPair(predecessor, successor)
 
     async def only_serving_address(self, target: Target) -> str:
         """The address whose process serves; raises PlanError unless there is none at the other."""
@@ -66,26 +71,29 @@
             raise PlanError(f"{target.name}: want one process that serves and no other: {found}")
         return serving[0]
 
-    async def retire_followed(self, target: str, before_address: str, after_address: str) -> None:
-        """End the process that was followed by another, if there is one.
+    async def retire_predecessor(self, target: str, predecessor_address: str, successor_address: str) -> None:
+        """End the predecessor after it has handed over, if there is one.
 
-        Both are asked, as either may be of a version that does not know the command.
+        Both processes are asked, as either may be of a version that does not know the command.
 
         Raises:
             NotYetError: until it has ended.
         """
-        after = await self._retire(target, after_address)
-        before = await self._retire(target, before_address)
-        is_alone = ALONE_ANSWER in after or (not before and UNKNOWN_COMMAND_ANSWER in after)
+        successor_answer = await self._retire(target, successor_address)
+        predecessor_answer = await self._retire(target, predecessor_address)
+        # It says so itself; or it is of a version that can't say it, and the predecessor is silent.
+        is_alone = ALONE_ANSWER in successor_answer or (
+            not predecessor_answer and UNKNOWN_COMMAND_ANSWER in successor_answer
+        )
         if not is_alone:
-            reason = after or before or "no answer"
+            reason = successor_answer or predecessor_answer or "no answer"
             raise NotYetError(f"{target}: what was followed can't be ended: {reason}")
 
     async def _retire(self, target: str, address: str) -> str:
         """Why the process at an address ends none; empty where it does not answer.
 
         Raises:
-            NotYetError: it ends the one that was followed, which takes a while.
+            NotYetError: it ends the predecessor, which takes a while.
         """
         answer = await self._retire_answer(target, address)
         if answer is None:
--- a/quota_gateway/rollout/program_rollout.py
+++ b/quota_gateway/rollout/program_rollout.py
@@ -1,13 +1,13 @@
-"""Rolls out another version of the program: a next process takes over, and the one before it is kept a while.
+"""Rolls out another version of the program: a successor takes over, and its predecessor lives on for a while.
 
-  before        one process, at the address ``before``
-  side by side  the next process, at the address ``after``, has taken over; the one before it is kept until
-                the stage is confirmed, and takes back by itself if the next one dies or hangs
-  after         one process, at the address ``after``
+  before        one process, the predecessor, at the address ``before``
+  side by side  the successor, at the address ``after``, has taken over; the predecessor lives until the stage
+                is confirmed, and takes back by itself if the successor dies or hangs
+  after         one process, the successor
 
 The rollback, from ``side by side`` and from ``after``, is the same step in the other direction: a process of
-the version before is started at the address ``before`` and takes over the present state. The process that was
-kept is ended first, as it knows only the state at the time when it was followed.
+the version before, called predecessor as well, is started at the address ``before`` and takes over the
+present state. The predecessor that has handed over is ended first, as it knows only the state of that time.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 from quota_gateway.rollout.rollout_state import RolloutState
 from quota_gateway.rollout.version_check import VersionCheck
 
-MAX_CONCURRENT_CHECKS = 8  # of targets: each runs the next version once
-SERVING_PATIENCE_RATIO = 0.7  # of a target's time, for a next process that is there and does not serve
+MAX_CONCURRENT_CHECKS = 8  # of targets: each runs the new version once
+SERVING_PATIENCE_RATIO = 0.7  # of a target's time, for a successor that is there and does not serve
 
 
 class ProgramRollout(ChangeStrategy):
@@ -42,11 +42,14 @@
         self.platform = PlatformCommands(plan, self.change, clients.token)
         self.versions = VersionCheck(plan)
         self.pairs = ProcessPairReader(clients)
-        self.waiting_since_s: dict[str, float] = {}  # by target: its next process was started, or was found
+        # By target, since when a process of it is waited for, by the event loop's clock. Shared by apply,
+        # which waits for the successor to serve, and by the rollback, which waits for it to hand over and
+        # begins anew when it starts a predecessor. Not stored: another controller counts from its first look.
+        self.waiting_since_s: dict[str, float] = {}
         if state.started:
             for name, address in state.started.after.items():
                 is_changed = name in state.changed_pids
-                clients.addresses[name] = address if is_changed else state.started.before[name]
+                clients.use_address(name, address if is_changed else state.started.before[name])
 
     # ---- Checks
 
@@ -68,13 +71,13 @@
         return CheckedTargets(before, after)
 
     async def _check_target(self, name: str) -> str:
-        """Check that one process of the version before serves, and that the next one takes its file.
+        """Check that one process of the version before serves, and that the version after takes its file.
 
         Returns its address.
         """
         target = self.targets[name]
         address = await self.pairs.only_serving_address(target)
-        self.clients.addresses[name] = address
+        self.clients.use_address(name, address)
         await self.require_file_in_force(name)
         try:
             await self._require_version(name, self.change.before)
@@ -96,98 +99,99 @@
     # ---- The change
 
     async def apply(self, target: str) -> int:
-        """Start the next process beside the one before, or look whether it has taken over; see the base."""
+        """Start the successor, or look whether it has taken over; see the base."""
         address = self.started.after[target]
         pair = await self._pair(target)
-        if pair.after is ProcessState.SILENT:
-            if pair.before is not ProcessState.SERVING:
-                raise NotYetError(f"{target}: {pair.before.value}, and nobody answers at {address}")
-            await self._start_next(target, address)
+        if pair.successor is ProcessState.SILENT:
+            if pair.predecessor is not ProcessState.SERVING:
+                raise NotYetError(f"{target}: {pair.predecessor.value}, and nobody answers at {address}")
+            await self._start_successor(target, address)
             raise NotYetError(f"{target}: its next process starts")
-        if pair.after is not ProcessState.SERVING:
+        if pair.successor is not ProcessState.SERVING:
             self._require_patience(target)
-            raise NotYetError(f"{target}: its next process {pair.after.value}")
-        if pair.before is ProcessState.SERVING:
+            raise NotYetError(f"{target}: its next process {pair.successor.value}")
+        if pair.predecessor is ProcessState.SERVING:
             raise ChangeRejectedError(
                 f"{target}: its next process serves beside the one before, it took nothing over"
             )
-        self.clients.addresses[target] = address
+        self.clients.use_address(target, address)
         await self._require_version(target, self.change.after)
         return (await self.clients.figures(target)).pid
 
     async def _pair(self, target: str) -> ProcessPair:
         return await self.pairs.read(target, self.started.before[target], self.started.after[target])
 
-    async def _start_next(self, target: str, address: str) -> None:
+    async def _start_successor(self, target: str, address: str) -> None:
         result = await self.platform.start(self.targets[target], self.change.after, address)
         if not result.succeeded:
             raise ChangeRejectedError(f"{target}: its next process does not start: {result.message}")
+        # "started" means that no process had the address: the successor that was there before has died.
         if result.message == STARTED and target in self.waiting_since_s:
             raise ChangeRejectedError(f"{target}: its next process has ended")
         self.waiting_since_s.setdefault(target, asyncio.get_running_loop().time())
 
     def _require_patience(self, target: str) -> None:
-        """Raises ChangeRejectedError where the next process has not served for too long."""
+        """Raises ChangeRejectedError where the successor has not served for too long."""
         now_s = asyncio.get_running_loop().time()
         waiting_s = now_s - self.waiting_since_s.setdefault(target, now_s)
         if waiting_s > SERVING_PATIENCE_RATIO * self.plan.target_timeout_s:
             raise ChangeRejectedError(f"{target}: its next process is there, and does not serve")
 
     async def renew_trial(self, targets: list[str]) -> None:
-        """Nothing to do: two processes side by side last by themselves."""
+        """Nothing to do: predecessor and successor live on by themselves."""
 
     async def failure_of(self, target: str) -> str:
-        """Whether the next process has ended, as the one before it serves again."""
+        """Whether the successor has ended, as the predecessor serves again."""
         return self._failure_in(target, await self._pair(target))
 
     def _failure_in(self, target: str, pair: ProcessPair) -> str:
-        if pair.after is ProcessState.SILENT and pair.before is ProcessState.SERVING:
+        if pair.successor is ProcessState.SILENT and pair.predecessor is ProcessState.SERVING:
             return f"{target}: its next process has ended, the one before it serves again"
         return ""
 
     async def keep(self, target: str) -> bool:
-        """End the process that was followed; see the base."""
+        """End the predecessor; see the base."""
         pair = await self._pair(target)
         failure = self._failure_in(target, pair)
         if failure:
             raise ChangeRejectedError(failure)
-        if pair.after is not ProcessState.SERVING:
-            raise NotYetError(f"{target}: its next process {pair.after.value}")
-        await self._retire_followed(target)
+        if pair.successor is not ProcessState.SERVING:
+            raise NotYetError(f"{target}: its next process {pair.successor.value}")
+        await self._retire_predecessor(target)
         return True
 
-    async def _retire_followed(self, target: str) -> None:
-        await self.pairs.retire_followed(target, self.started.before[target], self.started.after[target])
+    async def _retire_predecessor(self, target: str) -> None:
+        await self.pairs.retire_predecessor(target, self.started.before[target], self.started.after[target])
 
     # ---- The rollback
 
     async def roll_back(self, target: str) -> None:
-        """Make a process of the version before serve, and end the next one; see the base."""
+        """Make a predecessor serve, and end the successor; see the base."""
         address = self.started.before[target]
         pair = await self._pair(target)
-        if pair.before is ProcessState.SERVING:  # followed nobody, took back, or has taken over again
-            await self._stop_next(target)
-            self.clients.addresses[target] = address
+        if pair.predecessor is ProcessState.SERVING:  # never handed over, took back, or has taken over again
+            await self._stop_successor(target)
+            self.clients.use_address(target, address)
             return
-        if pair.before is ProcessState.FOLLOWED:
-            await self._retire_followed(target)
-        if pair.before is ProcessState.SILENT:
+        if pair.predecessor is ProcessState.HANDED_OVER:
+            await self._retire_predecessor(target)
+        if pair.predecessor is ProcessState.SILENT:
             result = await self.platform.start(self.targets[target], self.change.before, address)
             self.waiting_since_s[target] = asyncio.get_running_loop().time()
             reason = "the version before starts" if result.succeeded else result.message
             raise NotYetError(f"{target}: {reason}")
-        if pair.before is ProcessState.NOT_SERVING and pair.after is not ProcessState.FOLLOWED:
-            await self._stop_next_that_does_not_hand_over(target)
-        raise NotYetError(f"{target}: {pair.before.value} as before, {pair.after.value} as after")
+        if pair.predecessor is ProcessState.NOT_SERVING and pair.successor is not ProcessState.HANDED_OVER:
+            await self._stop_successor_that_hangs(target)
+        raise NotYetError(f"{target}: {pair.predecessor.value} as before, {pair.successor.value} as after")
 
-    async def _stop_next_that_does_not_hand_over(self, target: str) -> None:
-        """After some time end the next process: at least it frees its addresses for the version before."""
+    async def _stop_successor_that_hangs(self, target: str) -> None:
+        """After some time end the successor: at least it frees its addresses for the predecessor."""
         try:
             self._require_patience(target)
         except ChangeRejectedError:
-            await self._stop_next(target)
+            await self._stop_successor(target)
 
-    async def _stop_next(self, target: str) -> None:
+    async def _stop_successor(self, target: str) -> None:
         address = self.started.after[target]
         result = await self.platform.stop(self.targets[target], self.change.after, address)
         if not result.succeeded:
--- a/quota_gateway/rollout/version_check.py
+++ b/quota_gateway/rollout/version_check.py
@@ -19,7 +19,7 @@
 
     Attributes:
         hot_restart_protocol: versions with the same one can take over from each other.
-        knows_retire: whether it can be asked to end the process that it took over from.
+        knows_retire: whether it can be asked to end its predecessor.
     """
 
     hot_restart_protocol: int = 1
