--- a/quota_gateway/rollout/change_strategy.py
+++ b/quota_gateway/rollout/change_strategy.py
@@ -1,4 +1,4 @@
-"""What the controller needs of a kind of change: to apply it, to keep it, and to roll it back.
+"""What the controller needs of a kind of change: to apply it, to confirm it, and to roll it back.
 
 Each step looks first and does what is missing, so that the next controller can repeat it.
 """
@@ -89,15 +89,15 @@
 
     @abstractmethod
     async def renew_trial(self, targets: list[str]) -> None:
-        """Make the change last while it is watched."""
+        """Extend the trial while the stage is watched."""
 
     @abstractmethod
     async def failure_of(self, target: str) -> str:
         """Why a changed target that is unreachable is known to have failed; empty if it is not."""
 
     @abstractmethod
-    async def keep(self, target: str) -> bool:
-        """Make the change last; false if the target went back by itself.
+    async def confirm(self, target: str) -> bool:
+        """Make the change permanent; false if the target went back by itself.
 
         Raises:
             ChangeRejectedError: it has failed.
--- a/quota_gateway/rollout/journal_records.py
+++ b/quota_gateway/rollout/journal_records.py
@@ -61,14 +61,14 @@
 
 
 class StagePassed(Record, tag="judged", frozen=True, rename={"reason": "why"}):
-    """The canary analysis passed a stage; its targets are about to be told to keep the change."""
+    """The canary analysis passed a stage; its targets are about to be confirmed."""
 
     stage: int
     reason: str
 
 
 class StageConfirmed(Record, tag="confirmed", frozen=True):
-    """All targets of a stage keep the change."""
+    """The change is permanent at all targets of a stage."""
 
     stage: int
 
--- a/quota_gateway/rollout/program_rollout.py
+++ b/quota_gateway/rollout/program_rollout.py
@@ -149,7 +149,7 @@
             return f"{target}: its next process has ended, the one before it serves again"
         return ""
 
-    async def keep(self, target: str) -> bool:
+    async def confirm(self, target: str) -> bool:
         """End the predecessor; see the base."""
         pair = await self._pair(target)
         failure = self._failure_in(target, pair)
--- a/quota_gateway/rollout/rollout_state.py
+++ b/quota_gateway/rollout/rollout_state.py
@@ -29,7 +29,7 @@
     MEASURING = "measuring"  # a stage's baseline
     CHANGING = "changing"  # the stage's targets that are not changed yet
     WATCHING = "watching"  # the changed targets, until the canary analysis has a verdict
-    CONFIRMING = "confirming"  # every target of the stage is told to keep the change
+    CONFIRMING = "confirming"  # the change is made permanent at every target of the stage
     HALTED = "halted"  # until an operator resumes it or rolls it back
     ROLLING_BACK = "rolling back"  # all that was changed, the last first
     COMPLETING = "completing"  # all stages are confirmed: the end is to be written down
--- a/quota_gateway/rollout/settings_rollout.py
+++ b/quota_gateway/rollout/settings_rollout.py
@@ -84,7 +84,7 @@
         """None: a gateway that can't be reached may be well."""
         return ""
 
-    async def keep(self, target: str) -> bool:
+    async def confirm(self, target: str) -> bool:
         """Confirm the trial; false where it has ended."""
         in_force = await self.clients.configuration(target)
         if in_force.digest != self.started.after[target]:
--- a/quota_gateway/rollout/stage_runner.py
+++ b/quota_gateway/rollout/stage_runner.py
@@ -142,16 +142,16 @@
     # ---- Confirmation
 
     async def confirm(self) -> None:
-        """Make every target keep the change; one that went back by itself is changed and watched again."""
+        """Make the change permanent at every target; one that went back by itself is changed again."""
         stage = self.state.stage
         reverted_targets: list[str] = []
 
         async def confirm_target(name: str) -> None:
-            async def keep() -> None:
-                if not await self.context.strategy.keep(name):
+            async def confirm() -> None:
+                if not await self.context.strategy.confirm(name):
                     reverted_targets.append(name)
 
-            await retry_while_not_yet(keep, self.plan.target_timeout_s)
+            await retry_while_not_yet(confirm, self.plan.target_timeout_s)
 
         try:
             await self.context.steps.run(self._targets, confirm_target)
