--- a/quota_gateway/rollout/canary_analysis.py
+++ b/quota_gateway/rollout/canary_analysis.py
@@ -1,6 +1,6 @@
-"""Canary analysis: whether changed targets do worse than the others do at the same time.
+"""Canary analysis: whether the judged targets do worse than the others do at the same time.
 
-For each measure, the share since the change less the share before it is taken of the changed targets and of
+For each measure, the share since the change less the share before it is taken of the judged targets and of
 the others. The difference of these differences is what the change did, however uneven the targets are. It is
 judged by a sequential test, so that it may be evaluated at every poll.
 """
@@ -31,7 +31,7 @@
     UNDECIDED = "wait"
     PASSED = "fine"
     WORSE = "worse"
-    COMMON_FAULT = "trouble"  # the unchanged targets do worse, too: not the change's fault
+    COMMON_FAULT = "trouble"  # the others do worse, too: not this stage's fault
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
     """The figures that a verdict rests on: increases of a measure's share, and their standard error."""
 
     measure: Measure
-    changed: float
+    judged: float
     others: float
     standard_error: float | None  # none where nothing was counted
 
@@ -65,7 +65,7 @@
 ):
     """What the targets did before a stage; stored, so that another process can go on judging.
 
-    The pairs are of the targets to be changed and of the others, in this order.
+    The pairs are of the judged targets and of the others, in this order.
 
     Attributes:
         target_dispersion: of single targets' windows.
@@ -79,16 +79,16 @@
     events: tuple[dict[Measure, int], dict[Measure, int]]
 
 
-def measure_baseline(changed: Collection[str], windows: Mapping[str, Sequence[FiguresWindow]]) -> Baseline:
+def measure_baseline(judged: Collection[str], windows: Mapping[str, Sequence[FiguresWindow]]) -> Baseline:
     """The baseline from each target's windows before the change."""
     slow_step = first_slow_step(list(chain.from_iterable(windows.values())))
-    changed_counts = GroupCounts()
+    judged_counts = GroupCounts()
     other_counts = GroupCounts()
     for name, target_windows in windows.items():
-        counts = changed_counts if name in changed else other_counts
+        counts = judged_counts if name in judged else other_counts
         for window in target_windows:
             counts.add(window, slow_step)
-    others = [target_windows for name, target_windows in windows.items() if name not in changed]
+    others = [target_windows for name, target_windows in windows.items() if name not in judged]
     added_up = [sum_of_windows(moment) for moment in zip(*others, strict=False)]
     single = count_windows(windows.values(), slow_step)
     common = count_windows([added_up], slow_step)
@@ -96,8 +96,8 @@
         slow_step,
         {measure: dispersion(single, measure) for measure in Measure},
         {measure: dispersion(common, measure) for measure in Measure},
-        (changed_counts.answered, other_counts.answered),
-        (changed_counts.events, other_counts.events),
+        (judged_counts.answered, other_counts.answered),
+        (judged_counts.events, other_counts.events),
     )
 
 
@@ -111,7 +111,7 @@
 
 @dataclass(slots=True)
 class Group:
-    """Counts of the changed targets, or of the others."""
+    """Counts of the judged targets, or of the others."""
 
     before: GroupCounts
     after: GroupCounts = field(default_factory=GroupCounts)
@@ -131,7 +131,7 @@
     """What can be said about one measure.
 
     Attributes:
-        excess: the changed targets' increase beyond that of the others.
+        excess: the judged targets' increase beyond that of the others.
         excess_bound: what the excess is at most.
     """
 
@@ -147,7 +147,7 @@
 
     def __init__(
         self,
-        changed: Collection[str],
+        judged: Collection[str],
         baseline: Baseline,
         limits: CanaryLimits,
         stages: int,
@@ -156,26 +156,26 @@
         """Start from a baseline.
 
         Args:
-            changed: names of the targets that are judged.
+            judged: names of the targets that are compared with all others; see `StageRunner`.
             baseline: what all targets did before the stage.
             limits: what counts as worse.
             stages: of the rollout; they share the error.
             min_requests: that either group must have answered before a stage passes.
         """
-        self.changed = changed
+        self.judged = judged
         self.limits = limits
         self.min_requests = min_requests
         self.threshold = log_threshold(limits.false_stop_ratio, len(limits.measures) * stages)
         self.baseline = baseline
-        changed_answered, others_answered = baseline.answered
-        changed_events, others_events = baseline.events
-        self.changed_group = Group(GroupCounts(changed_answered, dict(changed_events)))
+        judged_answered, others_answered = baseline.answered
+        judged_events, others_events = baseline.events
+        self.judged_group = Group(GroupCounts(judged_answered, dict(judged_events)))
         self.other_group = Group(GroupCounts(others_answered, dict(others_events)))
 
     def is_baseline_sufficient(self) -> bool:
         """Whether the baseline leaves room for a verdict: it is not known any better later on."""
         for measure in self.limits.measures:
-            variance = self.changed_group.before.variance(measure) + self.other_group.before.variance(measure)
+            variance = self.judged_group.before.variance(measure) + self.other_group.before.variance(measure)
             variance *= self.baseline.target_dispersion[measure]
             bound = upper_bound(0.0, variance, self.limits.detected_ratio, self.threshold)
             if bound > BASELINE_TOLERANCE_RATIO * self.limits.tolerance_of(measure):
@@ -184,7 +184,7 @@
 
     def add(self, target: str, window: FiguresWindow) -> None:
         """Count a target's window since the change."""
-        group = self.changed_group if target in self.changed else self.other_group
+        group = self.judged_group if target in self.judged else self.other_group
         group.after.add(window, self.baseline.first_slow_step)
 
     def evaluate(self) -> CanaryResult:
@@ -199,12 +199,12 @@
             reason = f"{common.evidence.measure}: {common.evidence.others:+.4f} in the others"
             return CanaryResult(Verdict.COMMON_FAULT, reason, common.evidence)
         return self._undecided(assessments) or CanaryResult(
-            Verdict.PASSED, f"{self.changed_group.after.answered} requests, nothing worse"
+            Verdict.PASSED, f"{self.judged_group.after.answered} requests, nothing worse"
         )
 
     def _undecided(self, assessments: Sequence[Assessment]) -> CanaryResult | None:
         """Why the stage can't pass yet: "nothing seen" is not enough."""
-        answered = min(self.changed_group.after.answered, self.other_group.after.answered)
+        answered = min(self.judged_group.after.answered, self.other_group.after.answered)
         if answered < self.min_requests:
             return CanaryResult(Verdict.UNDECIDED, f"{answered} requests, want {self.min_requests}")
         for found in assessments:
@@ -216,22 +216,22 @@
         return None
 
     def _assess(self, measure: Measure) -> Assessment:
-        changed = self.changed_group.increase(measure)
+        judged = self.judged_group.increase(measure)
         others = self.other_group.increase(measure)
         scale = self.limits.detected_ratio
-        variance = (changed.variance + others.variance) * self.baseline.target_dispersion[measure]
+        variance = (judged.variance + others.variance) * self.baseline.target_dispersion[measure]
         common_variance = others.variance * self.baseline.common_dispersion[measure]
-        excess = changed.increase - others.increase
+        excess = judged.increase - others.increase
         return Assessment(
             Evidence(
                 measure,
-                round(changed.increase, 5),
+                round(judged.increase, 5),
                 round(others.increase, 5),
                 round(sqrt(variance), 5) if variance < inf else None,
             ),
             excess,
             upper_bound(excess, variance, scale, self.threshold),
-            is_worse=self._is_significant(self.changed_group, measure, excess, variance),
+            is_worse=self._is_significant(self.judged_group, measure, excess, variance),
             is_common_fault=self._is_significant(self.other_group, measure, others.increase, common_variance),
         )
 
--- a/quota_gateway/rollout/rollout_log.py
+++ b/quota_gateway/rollout/rollout_log.py
@@ -37,7 +37,7 @@
     facts: dict[str, Any] = {"stage": stage, "why": result.reason}
     if result.evidence:
         facts["measure"] = result.evidence.measure
-        facts["changed"] = result.evidence.changed
+        facts["changed"] = result.evidence.judged
         facts["others"] = result.evidence.others
         facts["error"] = result.evidence.standard_error
     _log_event(event, **facts)
--- a/quota_gateway/rollout/stage_runner.py
+++ b/quota_gateway/rollout/stage_runner.py
@@ -43,9 +43,10 @@
         return self.context.stages[self.state.stage]
 
     def _judged_targets(self) -> set[str]:
-        """Targets whose figures are due to the change.
+        """Targets that are compared with the others.
 
-        All that have it, as harm may come late, while there are others to compare them with.
+        All changed targets, as harm may come late; once none are unchanged, only this stage's, against those
+        changed before.
         """
         changed = {name for targets in self.context.stages[: self.state.stage + 1] for name in targets}
         return changed if len(changed) < len(self.context.targets) else set(self._targets)
