--- a/quota_gateway/rollout/canary_analysis.py
+++ b/quota_gateway/rollout/canary_analysis.py
@@ -18,7 +18,7 @@
 from quota_gateway.rollout.canary_limits import CanaryLimits, Measure
 from quota_gateway.rollout.figures import FiguresWindow, sum_of_windows
 from quota_gateway.rollout.sequential_test import log_likelihood_ratio, log_threshold, upper_bound
-from quota_gateway.rollout.window_counts import GroupCounts, count_windows, dispersion, first_slow_step
+from quota_gateway.rollout.window_counts import GroupCounts, count_windows, dispersion, first_slow_bucket
 
 MIN_EVENTS = 20  # before anything is blamed: fewer are not normally distributed
 BASELINE_GROWTH_RATIO = 1.25  # of the time measured, from one check for enough requests to the next
@@ -57,7 +57,7 @@
     Struct,
     frozen=True,
     rename={
-        "first_slow_step": "slow_from",
+        "first_slow_bucket": "slow_from",
         "target_dispersion": "spread",
         "common_dispersion": "shared",
         "answered": "asked",
@@ -72,7 +72,7 @@
         common_dispersion: of the others' windows added up, which vary as what hits all targets does.
     """
 
-    first_slow_step: int
+    first_slow_bucket: int
     target_dispersion: dict[Measure, float]
     common_dispersion: dict[Measure, float]
     answered: tuple[int, int]
@@ -81,19 +81,19 @@
 
 def measure_baseline(judged: Collection[str], windows: Mapping[str, Sequence[FiguresWindow]]) -> Baseline:
     """The baseline from each target's windows before the change."""
-    slow_step = first_slow_step(list(chain.from_iterable(windows.values())))
+    slow_bucket = first_slow_bucket(list(chain.from_iterable(windows.values())))
     judged_counts = GroupCounts()
     other_counts = GroupCounts()
     for name, target_windows in windows.items():
         counts = judged_counts if name in judged else other_counts
         for window in target_windows:
-            counts.add(window, slow_step)
+            counts.add(window, slow_bucket)
     others = [target_windows for name, target_windows in windows.items() if name not in judged]
     added_up = [sum_of_windows(moment) for moment in zip(*others, strict=False)]
-    single = count_windows(windows.values(), slow_step)
-    common = count_windows([added_up], slow_step)
+    single = count_windows(windows.values(), slow_bucket)
+    common = count_windows([added_up], slow_bucket)
     return Baseline(
-        slow_step,
+        slow_bucket,
         {measure: dispersion(single, measure) for measure in Measure},
         {measure: dispersion(common, measure) for measure in Measure},
         (judged_counts.answered, other_counts.answered),
@@ -185,7 +185,7 @@
     def add(self, target: str, window: FiguresWindow) -> None:
         """Count a target's window since the change."""
         group = self.judged_group if target in self.judged else self.other_group
-        group.after.add(window, self.baseline.first_slow_step)
+        group.after.add(window, self.baseline.first_slow_bucket)
 
     def evaluate(self) -> CanaryResult:
         """What can be said now; may be called at any moment, as often as needed."""
--- a/quota_gateway/rollout/canary_simulation.py
+++ b/quota_gateway/rollout/canary_simulation.py
@@ -27,8 +27,8 @@
 OWN_SIGMA = 0.2  # the same, of each target's own seconds
 LATENCY_MS_LOG_MEAN = 3.0
 LATENCY_MS_LOG_SIGMA = 0.8
-LATENCY_STEPS_PER_DOUBLING = 4.0
-MAX_LATENCY_STEP = 68
+LATENCY_BUCKETS_PER_DOUBLING = 4.0
+MAX_LATENCY_BUCKET = 68
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,15 +114,15 @@
             served=served,
             rejected=rejected,
             attempts=requests,
-            latency_steps=self._latency_steps(served, harm),
+            latency_buckets=self._latency_buckets(served, harm),
         )
 
-    def _latency_steps(self, served: int, harm: Harm) -> dict[int, int]:
+    def _latency_buckets(self, served: int, harm: Harm) -> dict[int, int]:
         latencies_ms = self.generator.lognormal(LATENCY_MS_LOG_MEAN, LATENCY_MS_LOG_SIGMA, served)
         latencies_ms *= 1.0 + harm.slower_ratio
-        steps = (LATENCY_STEPS_PER_DOUBLING * np.log2(np.maximum(1.0, latencies_ms))).astype(int)
-        counts = np.bincount(np.clip(steps, 0, MAX_LATENCY_STEP))
-        return {int(step): int(counts[step]) for step in np.flatnonzero(counts)}
+        buckets = (LATENCY_BUCKETS_PER_DOUBLING * np.log2(np.maximum(1.0, latencies_ms))).astype(int)
+        counts = np.bincount(np.clip(buckets, 0, MAX_LATENCY_BUCKET))
+        return {int(bucket): int(counts[bucket]) for bucket in np.flatnonzero(counts)}
 
 
 class SimulatedRollout:
--- a/quota_gateway/rollout/controller.py
+++ b/quota_gateway/rollout/controller.py
@@ -31,7 +31,7 @@
         self.state = journal.state
         self.stage_runner = StageRunner(self.context)
         self.rollback = Rollback(self.context)
-        self.steps: Mapping[RolloutPhase, Callable[[], Awaitable[None]]] = {
+        self.phase_handlers: Mapping[RolloutPhase, Callable[[], Awaitable[None]]] = {
             RolloutPhase.MEASURING: self.stage_runner.measure,
             RolloutPhase.CHANGING: self.stage_runner.change,
             RolloutPhase.WATCHING: self.stage_runner.watch,
@@ -56,7 +56,7 @@
             await self._start()
         self._require_same_plan()
         while self.state.phase is not RolloutPhase.ENDED:
-            await self.steps[self.state.phase]()
+            await self.phase_handlers[self.state.phase]()
         return self.state.outcome
 
     async def _start(self) -> None:
--- a/quota_gateway/rollout/figures.py
+++ b/quota_gateway/rollout/figures.py
@@ -18,7 +18,7 @@
     "config_digest": "revision",
     "started_at_s": "since",
     "rejections_by_reason": "reasons",
-    "latency_steps": "latency",
+    "latency_buckets": "latency",
 }
 
 
@@ -36,7 +36,7 @@
     failed: int = 0
     late: int = 0
     attempts: int = 0
-    latency_steps: dict[int, int] = field(default_factory=dict)
+    latency_buckets: dict[int, int] = field(default_factory=dict)
 
     @property
     def answered(self) -> int:
@@ -47,7 +47,7 @@
 class GatewayFigures(Struct, frozen=True, rename=JSON_KEYS):
     """A report: the counts of one gateway process since its start.
 
-    Latency step ``n`` begins at 2^(n/4) ms and counts served requests only. `client_left`, `in_flight`,
+    Latency bucket ``n`` begins at 2^(n/4) ms and counts served requests only. `client_left`, `in_flight`,
     `config_digest` and `rejections_by_reason` are checked as a report is decoded, and not used by rollouts.
     """
 
@@ -65,7 +65,7 @@
     program: str = ""  # folder of the version that runs
     started_at_s: float = 0.0
     rejections_by_reason: dict[str, int] = {}
-    latency_steps: dict[int, int] = {}  # requests by step
+    latency_buckets: dict[int, int] = {}  # requests by bucket
 
     def since(self, earlier: GatewayFigures) -> FiguresWindow:
         """The window between an earlier report and this one.
@@ -82,8 +82,9 @@
             failed=self.failed - earlier.failed,
             late=self.late - earlier.late,
             attempts=self.attempts - earlier.attempts,
-            latency_steps={
-                step: count - earlier.latency_steps.get(step, 0) for step, count in self.latency_steps.items()
+            latency_buckets={
+                bucket: count - earlier.latency_buckets.get(bucket, 0)
+                for bucket, count in self.latency_buckets.items()
             },
         )
 
@@ -97,14 +98,14 @@
         failed=sum(window.failed for window in windows),
         late=sum(window.late for window in windows),
         attempts=sum(window.attempts for window in windows),
-        latency_steps=sum_of_latency_steps(windows),
+        latency_buckets=sum_of_latency_buckets(windows),
     )
 
 
-def sum_of_latency_steps(windows: Sequence[FiguresWindow]) -> dict[int, int]:
-    """Served requests by latency step over all windows."""
+def sum_of_latency_buckets(windows: Sequence[FiguresWindow]) -> dict[int, int]:
+    """Served requests by latency bucket over all windows."""
     counts: dict[int, int] = {}
     for window in windows:
-        for step, count in window.latency_steps.items():
-            counts[step] = counts.get(step, 0) + count
+        for bucket, count in window.latency_buckets.items():
+            counts[bucket] = counts.get(bucket, 0) + count
     return counts
--- a/quota_gateway/rollout/rollback.py
+++ b/quota_gateway/rollout/rollback.py
@@ -22,7 +22,7 @@
         remaining = [
             name for name in reversed(self.state.attempted_targets) if name not in self.state.rolled_back
         ]
-        await self.context.steps.run(remaining, self._roll_back_target)
+        await self.context.step_runner.run(remaining, self._roll_back_target)
         outcome = ROLLED_BACK_OUTCOME
         given_up = sorted(name for name, is_back in self.state.rolled_back.items() if not is_back)
         if given_up:
--- a/quota_gateway/rollout/rollout_context.py
+++ b/quota_gateway/rollout/rollout_context.py
@@ -33,7 +33,7 @@
         self.metrics = FleetMetrics(self.targets, self.clients)
         self.trials = TrialRenewal(self.strategy, plan.trial_s)
         self.commands = OperatorCommandFile(plan)
-        self.steps = StepRunner(ConcurrencyRule(plan), plan.poll_interval_s)
+        self.step_runner = StepRunner(ConcurrencyRule(plan), plan.poll_interval_s)
 
     @property
     def stages(self) -> list[list[str]]:
--- a/quota_gateway/rollout/stage_runner.py
+++ b/quota_gateway/rollout/stage_runner.py
@@ -91,7 +91,7 @@
         """Change the targets that are not changed yet; a stage that can't be completed stops here."""
         missing = [name for name in self._targets if name not in self.state.changed_pids]
         try:
-            await self.context.steps.run(missing, self._change_target)
+            await self.context.step_runner.run(missing, self._change_target)
         except ChangeRejectedError as error:
             self.context.start_rollback(str(error))
         except NotYetError as error:
@@ -155,7 +155,7 @@
             await retry_while_not_yet(confirm, self.plan.target_timeout_s)
 
         try:
-            await self.context.steps.run(self._targets, confirm_target)
+            await self.context.step_runner.run(self._targets, confirm_target)
         except ChangeRejectedError as error:
             self.context.start_rollback(str(error))
             return
--- a/quota_gateway/rollout/window_counts.py
+++ b/quota_gateway/rollout/window_counts.py
@@ -11,32 +11,34 @@
 from math import inf
 
 from quota_gateway.rollout.canary_limits import Measure
-from quota_gateway.rollout.figures import FiguresWindow, sum_of_latency_steps
+from quota_gateway.rollout.figures import FiguresWindow, sum_of_latency_buckets
 
-SLOW_QUANTILE_RATIO = 0.9  # of the latencies before a change are below the first slow step
+SLOW_QUANTILE_RATIO = 0.9  # of the latencies before a change are below the first slow bucket
 MIN_BLOCKS = 5  # of consecutive windows: fewer do not tell how much they vary
 MIN_VARIANCE_SHARE = 1e-3  # a share below it has at least its variance: a few events are no proof
 
 
-def count_events(window: FiguresWindow, first_slow_step: int) -> dict[Measure, int]:
+def count_events(window: FiguresWindow, first_slow_bucket: int) -> dict[Measure, int]:
     """Requests of a window that each measure counts."""
     return {
         Measure.REJECTED: window.rejected,
         Measure.FAILED: window.failed,
         Measure.LATE: window.late,
-        Measure.SLOW: sum(count for step, count in window.latency_steps.items() if step >= first_slow_step),
+        Measure.SLOW: sum(
+            count for bucket, count in window.latency_buckets.items() if bucket >= first_slow_bucket
+        ),
         Measure.RETRIED: max(0, window.attempts - window.requests),
     }
 
 
-def first_slow_step(windows: Sequence[FiguresWindow]) -> int:
-    """The first latency step above nine tenths of the served requests."""
-    counts = sum_of_latency_steps(windows)
+def first_slow_bucket(windows: Sequence[FiguresWindow]) -> int:
+    """The first latency bucket above nine tenths of the served requests."""
+    counts = sum_of_latency_buckets(windows)
     remaining = SLOW_QUANTILE_RATIO * sum(counts.values())
-    for step in sorted(counts):
-        remaining -= counts[step]
+    for bucket in sorted(counts):
+        remaining -= counts[bucket]
         if remaining < 0.0:
-            return step + 1
+            return bucket + 1
     return 0
 
 
@@ -47,10 +49,10 @@
     answered: int = 0
     events: dict[Measure, int] = field(default_factory=lambda: dict.fromkeys(Measure, 0))
 
-    def add(self, window: FiguresWindow, first_slow_step: int) -> None:
+    def add(self, window: FiguresWindow, first_slow_bucket: int) -> None:
         """Count a target's window."""
         self.answered += window.answered
-        for measure, count in count_events(window, first_slow_step).items():
+        for measure, count in count_events(window, first_slow_bucket).items():
             self.events[measure] += count
 
     def share(self, measure: Measure) -> float:
@@ -90,11 +92,11 @@
 
 
 def count_windows(
-    targets: Iterable[Sequence[FiguresWindow]], first_slow_step: int
+    targets: Iterable[Sequence[FiguresWindow]], first_slow_bucket: int
 ) -> list[list[WindowCount]]:
     """Each target's windows, counted."""
     return [
-        [WindowCount(count_events(window, first_slow_step), window.answered) for window in windows]
+        [WindowCount(count_events(window, first_slow_bucket), window.answered) for window in windows]
         for windows in targets
     ]
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -59,7 +59,7 @@
 
 def window(**more):
     return FiguresWindow(
-        **{"requests": 100, "served": 100, "attempts": 100, "latency_steps": {8: 90, 12: 10}, **more}
+        **{"requests": 100, "served": 100, "attempts": 100, "latency_buckets": {8: 90, 12: 10}, **more}
     )
 
 
@@ -71,7 +71,7 @@
         (window(served=70, failed=30), window(), Verdict.WORSE, "failed"),
         (window(late=30), window(), Verdict.WORSE, "late"),
         (window(attempts=140), window(), Verdict.WORSE, "resent"),
-        (window(latency_steps={8: 50, 16: 50}), window(), Verdict.WORSE, "slow"),
+        (window(latency_buckets={8: 50, 16: 50}), window(), Verdict.WORSE, "slow"),
         (window(served=70, rejected=30), window(served=70, rejected=30), Verdict.COMMON_FAULT, "refused"),
         (
             window(),
@@ -80,7 +80,7 @@
             "refused",
         ),  # the others', not the change's
         (
-            window(requests=1, served=1, attempts=1, latency_steps={8: 1}),
+            window(requests=1, served=1, attempts=1, latency_buckets={8: 1}),
             window(),
             Verdict.UNDECIDED,
             "20 requests, want 200",
