--- a/quota_gateway/rollout/canary_analysis.py
+++ b/quota_gateway/rollout/canary_analysis.py
@@ -58,7 +58,7 @@
     frozen=True,
     rename={
         "first_slow_bucket": "slow_from",
-        "target_dispersion": "spread",
+        "target_dispersion": "spread",  # not related to the plan's key "spread"
         "common_dispersion": "shared",
         "answered": "asked",
     },
--- a/quota_gateway/rollout/plan.py
+++ b/quota_gateway/rollout/plan.py
@@ -95,7 +95,7 @@
         "stage_sizes": "stages",
         "stage_by": "by",
         "max_concurrent": "at_once",
-        "customer_set_size": "spread",
+        "customer_set_size": "spread",  # not related to the stored baseline's key "spread"
         "target_timeout_s": "member_s",
         "max_watch_s": "longest_watch_s",
         "min_requests": "least_requests",
@@ -158,7 +158,7 @@
         if self.stage_by == "zone":
             zones = dict.fromkeys(target.zone for target in self.targets)
             return [[target.name for target in self.targets if target.zone == zone] for zone in zones]
-        order = spread_out(self.target_names())
+        order = bit_reversed_order(self.target_names())
         stages = []
         done = 0
         for size in self.stage_sizes:
@@ -169,7 +169,7 @@
         return stages
 
 
-def spread_out(names: list[str]) -> list[str]:
+def bit_reversed_order(names: list[str]) -> list[str]:
     """The same names, ordered so that consecutive ones were far apart: the first, the middle, a quarter.
 
     This is the bit-reversal permutation of their positions.
--- a/quota_gateway/rollout/plan_file.py
+++ b/quota_gateway/rollout/plan_file.py
@@ -37,15 +37,15 @@
 def _find_fault(plan: Plan) -> str:
     """The first fault, with its path in the file; empty without any."""
     return (
-        _fault_of_targets(plan)
-        or _fault_of_change(plan)
-        or _fault_of_stages(plan)
-        or _fault_of_settings(plan)
-        or (_fault_of_program(plan, plan.program) if plan.program else "")
+        _targets_fault(plan)
+        or _kind_fault(plan)
+        or _stages_fault(plan)
+        or _settings_fault(plan)
+        or (_program_fault(plan, plan.program) if plan.program else "")
     )
 
 
-def _fault_of_targets(plan: Plan) -> str:
+def _targets_fault(plan: Plan) -> str:
     addresses = [
         address
         for target in plan.targets
@@ -69,13 +69,13 @@
     return next((value for value, count in Counter(values).items() if count > 1), None)
 
 
-def _fault_of_change(plan: Plan) -> str:
+def _kind_fault(plan: Plan) -> str:
     if bool(plan.settings) == bool(plan.program):
         return "either settings or program, one of them - at `$`"
     return ""
 
 
-def _fault_of_stages(plan: Plan) -> str:
+def _stages_fault(plan: Plan) -> str:
     is_complete = plan.stage_sizes[-1:] in ((1.0,), (len(plan.targets),))
     if plan.stage_by == "share" and not is_complete:
         return "the last stage is not all members - at `$.stages`"
@@ -84,13 +84,13 @@
     return ""
 
 
-def _fault_of_settings(plan: Plan) -> str:
+def _settings_fault(plan: Plan) -> str:
     if not _can_be_filled(plan.settings, ("name",)):
         return f"{plan.settings!r}: only {{name}} may stand in it - at `$.settings`"
     return ""
 
 
-def _fault_of_program(plan: Plan, change: ProgramChange) -> str:
+def _program_fault(plan: Plan, change: ProgramChange) -> str:
     for target in plan.targets:
         if not target.next_admin_address or not target.runtime_folder:
             return f"{target.name} needs next_door and folder - at `$.members`"
--- a/quota_gateway/rollout/settings_rollout.py
+++ b/quota_gateway/rollout/settings_rollout.py
@@ -31,7 +31,7 @@
         for name, target in self.targets.items():
             old = self.read_file(target.config_file, name)
             new = self.read_file(self.plan.settings, name)
-            fault = fault_of_change(old, new)
+            fault = config_change_fault(old, new)
             if fault:
                 raise PlanError(f"{name}: {fault}")
             before[name] = file_digest(old)
@@ -117,7 +117,7 @@
                 replace_file(config_path, old)
 
 
-def fault_of_change(old: bytes, new: bytes) -> str:
+def config_change_fault(old: bytes, new: bytes) -> str:
     """Why a gateway can't go from one configuration file to another; empty if it can."""
     try:
         old_config = read_config(old, {})
