--- a/quota_gateway/recording/names.py
+++ b/quota_gateway/recording/names.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from dataclasses import fields, is_dataclass
+from dataclasses import dataclass, fields, is_dataclass
 from enum import Enum
 from functools import cache
 from typing import Any, get_args, get_type_hints
@@ -63,6 +63,14 @@
 }
 
 
+@dataclass(frozen=True, slots=True)
+class RecordedField:
+    """A field of a recorded dataclass: the code's name of it, and the type of its values."""
+
+    attribute: str
+    kind: Any
+
+
 def recorded_name(kind: type) -> str:
     """Name of an event's or action's type in a recording."""
     return RECORDED_TYPE_NAMES.get(kind, kind.__name__)
@@ -71,34 +79,38 @@
 def to_recorded(value: Any) -> Any:
     """A dataclass, and what it holds, as plain values by the recording's field names."""
     if is_dataclass(value) and not isinstance(value, type):
-        names = RECORDED_FIELD_NAMES.get(type(value), {})
         return {
-            names.get(field.name, field.name): to_recorded(getattr(value, field.name))
-            for field in fields(value)
+            name: to_recorded(getattr(value, field.attribute))
+            for name, field in _recorded_fields(type(value)).items()
         }
     if isinstance(value, (tuple, list)):
         return [to_recorded(item) for item in value]
     return value.value if isinstance(value, Enum) else value
 
 
-@cache
-def _field_types(kind: type) -> dict[str, Any]:
-    """Type of each field of a dataclass, by its recorded name."""
-    hints = get_type_hints(kind)
-    names = RECORDED_FIELD_NAMES.get(kind, {})
-    return {names.get(field.name, field.name): (field.name, hints[field.name]) for field in fields(kind)}
-
-
 def from_recorded(value: Any, kind: Any) -> Any:
-    """A value of this type. Raises msgspec.ValidationError, TypeError or ValueError if it is none."""
+    """A recorded value as one of this type; fields that the type lacks are skipped.
+
+    Raises msgspec.ValidationError, TypeError or ValueError if it is no such value.
+    """
     if is_dataclass(kind) and isinstance(value, dict):
-        types = _field_types(kind)  # type: ignore[arg-type]
-        given = {
-            types[name][0]: from_recorded(item, types[name][1])
-            for name, item in value.items()
-            if name in types
-        }
-        return msgspec.convert(given, kind)
-    if isinstance(value, list) and get_args(kind)[1:] == (...,):
+        recorded_fields = _recorded_fields(kind)
+        attributes = {}
+        for name, item in value.items():
+            if field := recorded_fields.get(name):
+                attributes[field.attribute] = from_recorded(item, field.kind)
+        return msgspec.convert(attributes, kind)
+    if isinstance(value, list) and get_args(kind)[1:] == (...,):  # tuple[item, ...]
         return tuple(from_recorded(item, get_args(kind)[0]) for item in value)
     return value
+
+
+@cache
+def _recorded_fields(kind: Any) -> dict[str, RecordedField]:
+    """The fields of a dataclass, in their order, by their names in a recording."""
+    types = get_type_hints(kind)
+    recorded_names = RECORDED_FIELD_NAMES.get(kind, {})
+    return {
+        recorded_names.get(field.name, field.name): RecordedField(field.name, types[field.name])
+        for field in fields(kind)
+    }
