--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -18,8 +18,8 @@
 from quota_gateway.policy.customers import Customers
 from quota_gateway.policy.endpoint_list import EndpointList
 from quota_gateway.policy.graceful_shutdown import RETRY_ELSEWHERE_MS, GracefulShutdown
-from quota_gateway.policy.hot_restart import PeerUsageExchange
 from quota_gateway.policy.outlier_detection import OutlierDetection
+from quota_gateway.policy.peer_usage import PeerUsageExchange
 from quota_gateway.policy.quota_meter import QuotaMeter
 from quota_gateway.policy.rate_ceiling import RateCeiling
 from quota_gateway.policy.responses import Responses
--- a/quota_gateway/policy/hot_restart.py
+++ b/quota_gateway/policy/peer_usage.py
@@ -1,4 +1,4 @@
-"""Hot restart: while the next process of this gateway takes over, both count as one gateway."""
+"""Peer usage: during a hot restart the processes before and after count as one gateway."""
 
 from __future__ import annotations
 
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -6,7 +6,7 @@
 
 from quota_gateway.api import Cancel, ClientDisconnected, Fail, Plan, Reject, ShutdownBegun
 from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
-from quota_gateway.policy.hot_restart import PeerUsageExchange
+from quota_gateway.policy.peer_usage import PeerUsageExchange
 from quota_gateway.policy.retry_policy import is_client_retry_harmless
 from quota_gateway.state import Context, Customer, GiveUpReason, OutcomeCounters, PendingRequest
 
--- a/quota_gateway/policy/settings_change.py
+++ b/quota_gateway/policy/settings_change.py
@@ -11,8 +11,8 @@
 
 from quota_gateway.api import HotRestartBegun, Plan, SettingsChanged
 from quota_gateway.policy.endpoint_list import EndpointList
-from quota_gateway.policy.hot_restart import PeerUsageExchange
 from quota_gateway.policy.outlier_detection import OutlierDetection
+from quota_gateway.policy.peer_usage import PeerUsageExchange
 from quota_gateway.state import CustomerKey
 
 FLEET_UPDATE_MS = 4000.0  # the platform's bound on a configuration change: until then others may use the old
--- a/quota_gateway/state/customer.py
+++ b/quota_gateway/state/customer.py
@@ -69,5 +69,5 @@
         self.attempts_in_flight = 0
         self.pending_count = 0  # while there are any, the row is not evicted
 
-        # Written by policy/hot_restart.py
+        # Written by policy/peer_usage.py
         self.peer_in_flight = 0  # places under the concurrency cap that the process before this one holds
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -19,7 +19,7 @@
     "concurrency_cap",
     "customers",
     "server_selection",
-    "hot_restart",
+    "peer_usage",
     "responses",
     "hedging",
     "attempts",
