--- a/quota_gateway/net/admin.py
+++ b/quota_gateway/net/admin.py
@@ -19,13 +19,36 @@
 TOKEN_PREFIX = "AS"  # AS TOKEN COMMAND ...
 MAX_TOKEN = (1 << 53) - 1  # the largest that every reader of JSON keeps exactly
 
-Answer = tuple[bool, str]  # whether it was done, and what is to be added
-Handler = Callable[[str], Awaitable[Answer]]
 FencingCheck = Callable[
     [int], Awaitable[int]
 ]  # of a token: 0 if its holder may act, else the higher one seen
 
 
+class AdminReply(NamedTuple):
+    """The answer to a command: YES or NO, and what is added to it."""
+
+    is_done: bool
+    text: str
+
+    def line(self) -> bytes:
+        """The answer as it is written."""
+        word = "YES" if self.is_done else "NO"
+        return f"{word} {self.text}".strip().encode("ascii", "replace") + b"\n"
+
+
+def done(text: str) -> AdminReply:
+    """The answer of a command that was carried out."""
+    return AdminReply(True, text)
+
+
+def rejected(reason: str) -> AdminReply:
+    """The answer of a command that changed nothing."""
+    return AdminReply(False, reason)
+
+
+Handler = Callable[[str], Awaitable[AdminReply]]
+
+
 class Arguments(NamedTuple):
     """How many arguments a command takes, also in words for the answer to another number."""
 
@@ -92,19 +115,17 @@
         self._task = self._endpoint.loop.create_task(self._answer(), name="admin command")
 
     async def _answer(self) -> None:
-        done, text = await self._endpoint.answer(self._line)
-        self._reply(done, text)
+        self._reply(await self._endpoint.answer(self._line))
 
     def reject(self, reason: str) -> None:
         """Answer NO, unless an answer is under way already."""
         if not self._is_answering:
             self._is_answering = True
-            self._reply(False, reason)
+            self._reply(rejected(reason))
 
-    def _reply(self, done: bool, text: str) -> None:
+    def _reply(self, reply: AdminReply) -> None:
         if self._transport:
-            line = f"{'YES' if done else 'NO'} {text}".strip()
-            self._transport.write(line.encode("ascii", "replace") + b"\n")
+            self._transport.write(reply.line())
             self._transport.close()
 
     def abort(self) -> None:
@@ -175,15 +196,15 @@
 
     # ---- Commands
 
-    async def answer(self, line: bytes) -> Answer:
+    async def answer(self, line: bytes) -> AdminReply:
         """Carry a line out; whatever goes wrong with it, there is an answer and the endpoint goes on."""
         words = line.decode("latin-1").split()
         if not words:
-            return False, "an empty line"
+            return rejected("an empty line")
         if words[0].upper() == TOKEN_PREFIX:
             refusal = await self._check_token(words)
             if refusal:
-                return False, refusal
+                return rejected(refusal)
             words = words[2:]
         return await self._carry_out(words[0].upper(), words[1:])
 
@@ -207,17 +228,17 @@
             return "not done in time"
         return f"an older token: {higher} has called" if higher else ""
 
-    async def _carry_out(self, name: str, arguments: list[str]) -> Answer:
+    async def _carry_out(self, name: str, arguments: list[str]) -> AdminReply:
         command = self.commands.get(name)
         if command is None:
-            return False, "no such call; there are " + ", ".join(sorted(self.commands))
+            return rejected("no such call; there are " + ", ".join(sorted(self.commands)))
         if len(arguments) not in command.arguments.counts:
-            return False, f"{name} takes {command.arguments.text}"
+            return rejected(f"{name} takes {command.arguments.text}")
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 return await command.handler(" ".join(arguments))
         except TimeoutError:
-            return False, "not done in time"
+            return rejected("not done in time")
         except Exception:  # a fault of one command must not end the gateway
             log.exception("the admin command %s failed", name)
-            return False, "failed"
+            return rejected("failed")
--- a/quota_gateway/net/admin_commands.py
+++ b/quota_gateway/net/admin_commands.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from quota_gateway import api
-from quota_gateway.net.admin import ONE_ID, AdminCommand, Answer
+from quota_gateway.net.admin import ONE_ID, AdminCommand, AdminReply, done, rejected
 from quota_gateway.net.clients import Clients
 from quota_gateway.net.driver import Driver
 from quota_gateway.net.endpoint_registry import EndpointRegistry
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-UNKNOWN_ID: Answer = (False, "nobody has this id")
+UNKNOWN_ID = rejected("nobody has this id")
 
 
 class AdminCommands:
@@ -57,30 +57,32 @@
 
     # ---- What the process is doing
 
-    async def health(self, _: str) -> Answer:
+    async def health(self, _: str) -> AdminReply:
         """Whether this process can serve; a drained one can."""
         if self._hot_restart.handed_over:
-            return False, "the next process has taken over"
+            return rejected("the next process has taken over")
         if not self.serving.is_set() or not self._clients.ready:
-            return False, "the list of servers is not known yet"
+            return rejected("the list of servers is not known yet")
         state = "drained" if self._gateway.graceful_shutdown.is_draining else "serving"
-        return True, f"{state}, {len(self._gateway.endpoints.admin_down)} servers out"
+        return done(f"{state}, {len(self._gateway.endpoints.admin_down)} servers out")
 
-    async def figures(self, _: str) -> Answer:
+    async def figures(self, _: str) -> AdminReply:
         """Counters since the start of this process."""
-        return True, self._driver.metrics.to_json(
-            self._gateway.responses.outcome_counters.totals,
-            len(self._driver.requests),
-            self.configuration_digest(),
+        return done(
+            self._driver.metrics.to_json(
+                self._gateway.responses.outcome_counters.totals,
+                len(self._driver.requests),
+                self.configuration_digest(),
+            )
         )
 
-    async def pools(self, _: str) -> Answer:
+    async def pools(self, _: str) -> AdminReply:
         """Connections to servers."""
-        return True, self._driver.servers.look()
+        return done(self._driver.servers.look())
 
     # ---- Servers that are administratively down
 
-    async def offline(self, instance_id: str) -> Answer:
+    async def offline(self, instance_id: str) -> AdminReply:
         """Take a server out, whatever discovery lists."""
         await self.serving.wait()
         server = self._registry.number(instance_id)
@@ -90,12 +92,12 @@
         self._driver.post(api.ServerAdminDown(server, True))
         if server not in self._gateway.endpoints.admin_down:
             self._registry.unpin(instance_id, listed=self._is_listed(server))
-            return False, "too many servers are out"
+            return rejected("too many servers are out")
         await self._hot_restart.share_wishes()
         log.info("server %s is administratively down", instance_id)
-        return True, "out"
+        return done("out")
 
-    async def online(self, instance_id: str) -> Answer:
+    async def online(self, instance_id: str) -> AdminReply:
         """Put a server back."""
         await self.serving.wait()
         server = self._registry.number(instance_id)
@@ -106,22 +108,22 @@
         self._registry.unpin(instance_id, is_listed)
         await self._hot_restart.share_wishes()
         log.info("server %s is no longer administratively down", instance_id)
-        return True, "back" if is_listed else "back, once discovery lists it"
+        return done("back" if is_listed else "back, once discovery lists it")
 
     def _is_listed(self, server: int) -> bool:
         return server in self._gateway.endpoints.servers
 
     # ---- The drain
 
-    async def leave(self, _: str) -> Answer:
+    async def leave(self, _: str) -> AdminReply:
         """Drain the gateway."""
         await self._set_draining(True)
-        return True, "drained"
+        return done("drained")
 
-    async def join(self, _: str) -> Answer:
+    async def join(self, _: str) -> AdminReply:
         """End the drain."""
         await self._set_draining(False)
-        return True, "taking clients"
+        return done("taking clients")
 
     async def _set_draining(self, is_draining: bool) -> None:
         await self.serving.wait()
@@ -130,13 +132,13 @@
 
     # ---- The process and its peer
 
-    async def retire(self, _: str) -> Answer:
+    async def retire(self, _: str) -> AdminReply:
         """End the predecessor of a hot restart, be it this process or its peer."""
         refusal = self._hot_restart.retire()
         if refusal:
-            return False, refusal
+            return rejected(refusal)
         log.info("the predecessor of the hot restart is asked to end")
-        return True, "the process that was followed ends once nothing is in hand"
+        return done("the process that was followed ends once nothing is in hand")
 
     async def check_token(self, token: int) -> int:
         """Accept a fencing token and share it with the peer; 0 if its holder may act, else the higher one."""
--- a/quota_gateway/net/reload.py
+++ b/quota_gateway/net/reload.py
@@ -17,7 +17,7 @@
 from quota_gateway.config import Config, read, read_file
 from quota_gateway.errors import ConfigurationError
 from quota_gateway.net import admin
-from quota_gateway.net.admin import AdminCommand, Answer, Arguments
+from quota_gateway.net.admin import AdminCommand, AdminReply, Arguments, done, rejected
 from quota_gateway.net.configuration_in_force import ConfigurationInForce, utc
 from quota_gateway.net.configuration_trial import ConfigurationTrial
 from quota_gateway.net.hot_restart import HotRestart
@@ -86,9 +86,11 @@
         while self.signal_pending:
             self.signal_pending = False
             revision = self.in_force.revision
-            accepted, text = await self._reload(MAX_READS_SIGNAL, None)
-            if accepted and self.in_force.revision == revision:  # a change or a rejection was logged already
-                log.info("SIGHUP: %s", text)
+            reply = await self._reload(MAX_READS_SIGNAL, None)
+            if (
+                reply.is_done and self.in_force.revision == revision
+            ):  # a change or a rejection was logged already
+                log.info("SIGHUP: %s", reply.text)
 
     def _signals_followed(self, task: asyncio.Task[None]) -> None:
         self.signal_task = None
@@ -97,7 +99,7 @@
 
     # ---- Admin calls
 
-    async def show(self, _: str) -> Answer:
+    async def show(self, _: str) -> AdminReply:
         """CONFIG: what is in force."""
         target = self.in_force.rollback_target
         parts = [self.in_force.describe()]
@@ -107,34 +109,34 @@
             parts.append(f"way back to {target.digest}")
         if self.last_rejection:
             parts.append(f"last refused {self.last_rejection}")
-        return True, ", ".join(parts)
+        return done(", ".join(parts))
 
-    async def reload(self, words: str) -> Answer:
+    async def reload(self, words: str) -> AdminReply:
         """RELOAD: read the file again; RELOAD CONFIRM SECONDS: on trial."""
         trial_s = None
         if words:
             keyword, seconds = words.split()
             if keyword.upper() != "CONFIRM" or not (seconds.isascii() and seconds.isdecimal()):
-                return False, "RELOAD takes nothing or CONFIRM SECONDS"
+                return rejected("RELOAD takes nothing or CONFIRM SECONDS")
             if not 1 <= int(seconds[:9]) <= MAX_TRIAL_S:
-                return False, f"a trial lasts 1 to {MAX_TRIAL_S} s"
+                return rejected(f"a trial lasts 1 to {MAX_TRIAL_S} s")
             trial_s = float(seconds)
         await self.up.wait()
         return await self._reload(MAX_READS_CALL, trial_s)
 
-    async def confirm(self, _: str) -> Answer:
+    async def confirm(self, _: str) -> AdminReply:
         """CONFIRM: keep what is on trial."""
         if not self.trial.active:
-            return False, "nothing is on trial"
+            return rejected("nothing is on trial")
         reason = self._why_fixed()
         if reason:
-            return False, reason
+            return rejected(reason)
         self.trial.end()
         in_force = self.in_force
         log.info("configuration %s is confirmed, revision %d", in_force.config.digest, in_force.revision)
-        return True, f"confirmed, revision {in_force.revision}"
+        return done(f"confirmed, revision {in_force.revision}")
 
-    async def rollback(self, _: str) -> Answer:
+    async def rollback(self, _: str) -> AdminReply:
         """ROLLBACK: put the last good configuration into force again."""
         await self.up.wait()
         async with self._lock:
@@ -154,7 +156,7 @@
         if reason:
             raise ConfigurationError([reason])
 
-    async def _reload(self, max_reads: int, trial_s: float | None) -> Answer:
+    async def _reload(self, max_reads: int, trial_s: float | None) -> AdminReply:
         """Read and apply the file; one that is truncated may be being written, and is read again."""
         reads = 0
         while True:
@@ -162,7 +164,7 @@
             async with self._lock:
                 try:
                     self._check_changeable()
-                    return True, await self._apply_file(trial_s)
+                    return done(await self._apply_file(trial_s))
                 except ConfigurationError as error:
                     if not error.is_transient or reads >= max_reads:
                         return self._reject(error)
@@ -203,28 +205,28 @@
         self.trial.end()
         return text
 
-    def _reject(self, error: ConfigurationError) -> Answer:
+    def _reject(self, error: ConfigurationError) -> AdminReply:
         """The answer to a change that can't be made; everything is as it was."""
         more = f" ({len(error.faults)} faults)" if len(error.faults) > 1 else ""
         reason = f"{error}"[:MAX_REASON_CHARS] + more
         self.last_rejection = f"{utc(time.time())}: {reason}"
         revision = self.in_force.revision
         log.error("configuration refused, revision %d stays: %s", revision, reason)
-        return False, f"refused, revision {revision} stays: {reason}"
+        return rejected(f"refused, revision {revision} stays: {reason}")
 
     # ---- Rollback
 
-    async def _roll_back(self, note: str) -> Answer:
+    async def _roll_back(self, note: str) -> AdminReply:
         """Change to the last good configuration; after that there is none to go back to."""
         target = self.in_force.rollback_target
         if target is None:
-            return False, "there is nothing to go back to"
+            return rejected("there is nothing to go back to")
         try:
             text = await self._change_to(target, note)
         except ConfigurationError as error:
             return self._reject(error)
         self.in_force.rollback_target = None
-        return True, text
+        return done(text)
 
     async def _roll_back_expired_trial(self) -> bool:
         """Whether nothing is left to do; false where a rollback is not possible now."""
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -33,14 +33,14 @@
 async def a_door(**more) -> admin.AdminEndpoint:
     asked = []
 
-    async def health(_: str) -> admin.Answer:
-        return True, "serving"
+    async def health(_: str) -> admin.AdminReply:
+        return admin.done("serving")
 
-    async def offline(name: str) -> admin.Answer:
+    async def offline(name: str) -> admin.AdminReply:
         asked.append(name)
-        return name == "s-1", "" if name == "s-1" else "nobody has this id"
+        return admin.done("") if name == "s-1" else admin.rejected("nobody has this id")
 
-    async def broken(_: str) -> admin.Answer:
+    async def broken(_: str) -> admin.AdminReply:
         raise ZeroDivisionError
 
     made = admin.AdminEndpoint(
@@ -131,9 +131,9 @@
     monkeypatch.setattr(admin, "ANSWER_TIMEOUT_S", 0.05)
 
     async def test():
-        async def never(_: str) -> admin.Answer:
+        async def never(_: str) -> admin.AdminReply:
             await asyncio.get_running_loop().create_future()
-            return True, ""
+            return admin.done("")
 
         door = await a_door(JOIN=admin.AdminCommand(never))
         assert (await (await Caller().open(door)).ask(b"JOIN\n")).startswith(b"NO not done in time")
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -568,7 +568,7 @@
     threading.Timer(1.0, os._exit, (7,)).start()
 if fault == "health":
     async def health(self, _):
-        return False, "the list of servers is not known yet"
+        return admin_commands.rejected("the list of servers is not known yet")
     admin_commands.AdminCommands.health = health
 if fault == "alone":
     async def take_over(self):
