--- a/quota_gateway/net/clients/registry.py
+++ b/quota_gateway/net/clients/registry.py
@@ -136,7 +136,7 @@
                 client.close_idle()
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def retell(self, settings: api.Settings, most_connections: int) -> None:
+    def reconfigure(self, settings: api.Settings, most_connections: int) -> None:
         """Apply new settings; beyond the limit idle connections are closed, the longest unused first.
 
         A connection with requests in flight is closed once they have been answered.
--- a/quota_gateway/net/servers/pool.py
+++ b/quota_gateway/net/servers/pool.py
@@ -54,12 +54,12 @@
         # During a hot restart: passes a connection on to the next process; false if that failed.
         self.transfer: Callable[[Connection, int], bool] | None = None
         self.on_linked: Callable[[api.IdleConnectionChanged], None] = lambda _: None  # set by the driver
-        self.retell(settings, most_connections)
+        self.reconfigure(settings, most_connections)
         self.retire_timer = self.loop.call_later(RETIRE_INTERVAL_S, self._retire_idle)
 
     # ---- Settings and the endpoint list
 
-    def retell(self, settings: api.Settings, most_connections: int) -> None:
+    def reconfigure(self, settings: api.Settings, most_connections: int) -> None:
         """Apply new settings; beyond the limit idle connections are closed, the longest idle first."""
         self.connect_timeout_s = settings.limits.connect_timeout_ms / 1000.0
         self.idle_limit_s = settings.limits.connection_idle_ms / 1000.0 * IDLE_LIMIT_RATIO
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -40,7 +40,7 @@
 CLOSES = {
     "stop": lambda clients: clients.stop_listening(),
     "drain": lambda clients: clients.admit(SetServing(False, 0.0)),
-    "fewer connections": lambda clients: clients.retell(SETTINGS, 1),
+    "fewer connections": lambda clients: clients.reconfigure(SETTINGS, 1),
 }
 
 
