--- a/quota_gateway/api/actions.py
+++ b/quota_gateway/api/actions.py
@@ -92,7 +92,7 @@
     """
 
     serving: bool
-    linger_ms: float = float("inf")
+    keep_idle_ms: float = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
--- a/quota_gateway/errors.py
+++ b/quota_gateway/errors.py
@@ -12,7 +12,7 @@
 
 
 class GatewayError(Exception):
-    """Base of every error that this package raises."""
+    """Base of the errors that this package raises for a reason of its own."""
 
 
 class ConfigurationError(GatewayError, ValueError):
@@ -54,6 +54,4 @@
         self.owner = owner
         self.state = state
         self.requested = requested
-        super().__init__(
-            f"{owner}: no transition from {state} to {requested}; it is carried out all the same"
-        )
+        super().__init__(f"{owner}: no transition from {state} to {requested}")
--- a/quota_gateway/failover/gateway.py
+++ b/quota_gateway/failover/gateway.py
@@ -15,7 +15,7 @@
 import socket
 from dataclasses import dataclass, replace
 
-from quota_gateway.failover.connection_record import ConnectionRecord
+from quota_gateway.failover.connection_record import NO_ROW, ConnectionRecord
 from quota_gateway.failover.connection_row import ROW_BYTES, ConnectionRow
 from quota_gateway.failover.inherited_connections import InheritedConnections
 from quota_gateway.failover.messages import (
@@ -31,7 +31,7 @@
     decode,
     encode,
 )
-from quota_gateway.net.clients import Client, Clients
+from quota_gateway.net.clients import Client, ClientRegistry
 from quota_gateway.net.heartbeat import HEARTBEAT_INTERVAL_S
 from quota_gateway.net.hot_restart.link import NO_DESCRIPTOR, Link, close_descriptors, connect
 from quota_gateway.net.tcp_info import bytes_consumed, bytes_written
@@ -44,16 +44,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordedConnection:
-    """A connection that is in the record: its place there, and its row as it was opened."""
+    """A connection that is in the record: the index of its row, and the row as it was opened."""
 
-    place: int
+    row_index: int
     opened: ConnectionRow
 
 
 class SupervisedGateway:
     """Reports each client connection to the supervisor, and waits for this process's turn to serve."""
 
-    def __init__(self, path: str, clients: Clients) -> None:
+    def __init__(self, path: str, clients: ClientRegistry) -> None:
         self.path = path
         self.clients = clients
         self.loop = asyncio.get_running_loop()
@@ -115,15 +115,15 @@
 
     # ---- This process's turn
 
-    async def turn(self, stop: asyncio.Event) -> bool:
-        """Wait for this process's turn; false if it is to end before."""
+    async def wait_for_turn(self, stop: asyncio.Event) -> bool:
+        """Wait for this process's turn, then record connections; false if it is to end before."""
         waits = [self.loop.create_task(event.wait()) for event in (self.turn_has_come, stop)]
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
         self.clients.on_opened = self._on_opened
         self.clients.on_closed = self._on_closed
-        self.clients.on_rest = self._on_rest
+        self.clients.on_all_answered = self._on_all_answered
         return not stop.is_set()
 
     def listener(self) -> socket.socket | None:
@@ -171,17 +171,17 @@
         self.last_number += 1
         try:
             row = ConnectionRow(
-                self.last_number, bytes_consumed(descriptor), bytes_written(descriptor), client.asked
+                self.last_number, bytes_consumed(descriptor), bytes_written(descriptor), client.has_requested
             )
         except OSError:  # it has ended already
             return
-        place = self.record.add_row(row.encode())
-        if place < 0:
+        row_index = self.record.add_row(row.encode())
+        if row_index == NO_ROW:
             return
-        self.recorded[client] = RecordedConnection(place, row)
+        self.recorded[client] = RecordedConnection(row_index, row)
         self._send(ConnectionCopy(row.number), descriptor)
 
-    def _on_rest(self, client: Client) -> None:
+    def _on_all_answered(self, client: Client) -> None:
         """Record that everything read is answered, and all answers are on their way into the kernel."""
         recorded = self.recorded.get(client)
         if recorded is None:
@@ -189,16 +189,16 @@
         opened = recorded.opened
         row = replace(
             opened,
-            read_bytes=opened.read_bytes + client.read_bytes,
-            written_bytes=opened.written_bytes + client.written_bytes,
-            has_requested=client.asked,
+            read_bytes=opened.read_bytes + client.total_read_bytes,
+            written_bytes=opened.written_bytes + client.total_written_bytes,
+            has_requested=client.has_requested,
         )
-        self.record.replace_row(recorded.place, row.encode())
+        self.record.replace_row(recorded.row_index, row.encode())
 
     def _on_closed(self, client: Client) -> None:
         recorded = self.recorded.pop(client, None)
         if recorded:
-            self.record.free_row(recorded.place)
+            self.record.free_row(recorded.row_index)
             self._send(ConnectionEnded(recorded.opened.number))
 
     def close(self) -> None:
--- a/quota_gateway/failover/inherited_connections.py
+++ b/quota_gateway/failover/inherited_connections.py
@@ -4,6 +4,7 @@
 
 import logging
 import socket
+import struct
 from contextlib import suppress
 
 from quota_gateway.failover.connection_record import ConnectionRecord, ConnectionRecordError
@@ -12,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_READS = 3  # of the kernel's counts, which an acknowledgement may change between the two
+MAX_READS = 3  # of both counts, between which an acknowledgement may arrive
 
 
 class InheritedConnections:
@@ -33,7 +34,11 @@
         if not record.claim():
             log.error("the record that was left is another's")
             return
-        rows = map(ConnectionRow.decode, record.read_rows().values())
+        try:
+            rows = [ConnectionRow.decode(body) for body in record.read_rows().values()]
+        except struct.error as error:  # rows of another version
+            log.error("the record that was left can't be read: %r", error)
+            return
         self.rows = {row.number: row for row in rows}
         record.close()
 
--- a/quota_gateway/failover/supervisor.py
+++ b/quota_gateway/failover/supervisor.py
@@ -72,10 +72,10 @@
 
     def __init__(self, job: Job) -> None:
         self.job = job
-        self.socket = os.path.expandvars(job.socket)
+        self.socket_path = os.path.expandvars(job.socket)
         self.loop = asyncio.get_running_loop()
         self.processes: dict[Link, SupervisedProcess] = {}  # the longest standing by first
-        self.left: SupervisedProcess | None = None  # that served and died, until another has what it left
+        self.dead_predecessor: SupervisedProcess | None = None  # served and died; not taken over yet
         self.children: dict[int, asyncio.subprocess.Process] = {}  # that have not come yet, or are here
         self.deaths: deque[float] = deque(maxlen=CRASH_LOOP_DEATHS)
         self.ending = asyncio.Event()
@@ -84,7 +84,7 @@
 
     async def run(self) -> None:
         """Supervise until SIGTERM. Raises OSError where another supervisor has the socket."""
-        path = Path(self.socket)
+        path = Path(self.socket_path)
         with _exclusive(path):
             is_replacement = path.exists()
             path.unlink(missing_ok=True)
@@ -138,7 +138,7 @@
             self.job.command,
             cwd=self.job.folder,
             start_new_session=True,
-            env={**os.environ, "EDGE_KEEPER": self.socket},
+            env={**os.environ, "EDGE_KEEPER": self.socket_path},
         )
         self.children[child.pid] = child
         task = self.loop.create_task(self._reap(child))
@@ -192,7 +192,7 @@
             earlier.close_all()
         process = SupervisedProcess(link, record, is_serving)
         self.processes[link] = process
-        process.heartbeat = Heartbeat(lambda: None, link.peer_process.kill)  # its end tells the rest
+        process.heartbeat = Heartbeat(lambda: None, link.peer_process.kill)  # sends nothing; see _on_death
         process.heartbeat.start()
         _log_event("here", pid=pid, serving=is_serving)
         self.changed.set()
@@ -200,9 +200,9 @@
     def _on_serving(self, process: SupervisedProcess) -> None:
         """It has taken over what was left: the copies of before are closed."""
         process.is_serving = True
-        if self.left:
-            self.left.close_all()
-            self.left = None
+        if self.dead_predecessor:
+            self.dead_predecessor.close_all()
+            self.dead_predecessor = None
 
     # ---- Deaths
 
@@ -225,17 +225,17 @@
             return
         self._forget(process)
         _log_event("died", pid=process.pid, serving=process.is_serving, connections=len(process.connections))
-        if not process.is_serving or self.ending.is_set() or self.left:
+        if not process.is_serving or self.ending.is_set() or self.dead_predecessor:
             process.close_all()
         else:
-            self.left = process
+            self.dead_predecessor = process
             self.loop.call_later(TAKEOVER_TIMEOUT_S, self._on_nobody_came, process)
         self._give_turn()
         self.changed.set()
 
     def _on_nobody_came(self, process: SupervisedProcess) -> None:
         """Close the connections: their clients are owed an end. The listener stays for the next process."""
-        if self.left is process:
+        if self.dead_predecessor is process:
             process.close_connections()
 
     def _give_turn(self) -> None:
@@ -249,12 +249,12 @@
     def _hand_over_to(self, process: SupervisedProcess) -> None:
         process.is_serving = True
         link = process.link
-        if self.left:
-            link.send(encode(LeftRecord()), self.left.record)
-            for number, descriptor in self.left.connections.items():
+        if self.dead_predecessor:
+            link.send(encode(LeftRecord()), self.dead_predecessor.record)
+            for number, descriptor in self.dead_predecessor.connections.items():
                 link.send(encode(ConnectionCopy(number)), descriptor)
-            if self.left.listener != NO_DESCRIPTOR:
-                link.send(encode(ListenerCopy()), self.left.listener)
+            if self.dead_predecessor.listener != NO_DESCRIPTOR:
+                link.send(encode(ListenerCopy()), self.dead_predecessor.listener)
         link.send(encode(TakeTurn()))
 
     # ---- The end
--- a/quota_gateway/net/admin_commands.py
+++ b/quota_gateway/net/admin_commands.py
@@ -11,7 +11,7 @@
 
 from quota_gateway import api
 from quota_gateway.net.admin import ONE_ID, AdminCommand, Answer
-from quota_gateway.net.clients import Clients
+from quota_gateway.net.clients import ClientRegistry
 from quota_gateway.net.driver import Driver
 from quota_gateway.net.endpoint_registry import EndpointRegistry
 from quota_gateway.net.hot_restart import HotRestart
@@ -30,7 +30,7 @@
     def __init__(
         self,
         driver: Driver,
-        clients: Clients,
+        clients: ClientRegistry,
         registry: EndpointRegistry,
         hot_restart: HotRestart,
     ) -> None:
@@ -76,7 +76,7 @@
 
     async def pools(self, _: str) -> Answer:
         """Connections to servers."""
-        return True, self._driver.servers.look()
+        return True, self._driver.servers.describe_and_reset()
 
     # ---- Servers that are administratively down
 
--- a/quota_gateway/net/clients/__init__.py
+++ b/quota_gateway/net/clients/__init__.py
@@ -1,6 +1,6 @@
 """Towards clients: the listener, connections, the command parser and the order of replies."""
 
 from quota_gateway.net.clients.connection import Client
-from quota_gateway.net.clients.registry import MAX_LINGERING, Clients
+from quota_gateway.net.clients.registry import MAX_LINGERING, ClientRegistry
 
-__all__ = ["MAX_LINGERING", "Client", "Clients"]
+__all__ = ["MAX_LINGERING", "Client", "ClientRegistry"]
--- a/quota_gateway/net/clients/command_stream.py
+++ b/quota_gateway/net/clients/command_stream.py
@@ -15,12 +15,12 @@
 class CommandStream:
     """The RESP parser of one connection, and how far its bytes have been checked and parsed."""
 
-    __slots__ = ("_reader", "_lengths", "unparsed_bytes", "is_out_of_bounds")
+    __slots__ = ("_reader", "_lengths", "bytes_since_command", "is_out_of_bounds")
 
     def __init__(self) -> None:
         self._reader = hiredis.Reader(replyError=CommandError)
         self._lengths = Lengths(MAX_WORD_BYTES)
-        self.unparsed_bytes = 0
+        self.bytes_since_command = 0  # fed since the last command; less by up to a read than what waits
         self.is_out_of_bounds = False  # what came behind the parsed bytes is no command
 
     def feed(self, data: bytes) -> None:
@@ -28,18 +28,18 @@
         good = self._lengths.good(data)
         self.is_out_of_bounds = good < len(data)
         self._reader.feed(data[:good] if self.is_out_of_bounds else data)
-        self.unparsed_bytes += good
+        self.bytes_since_command += good
 
     def next_command(self) -> object | None:
-        """The next complete command, None if there is none yet. Raises ProtocolError for what is not RESP."""
+        """The next complete command, None if there is none yet. Raises ProtocolError for what is no array."""
         try:
             command: object = self._reader.gets()
         except (hiredis.HiredisError, ValueError, MemoryError) as error:  # MemoryError: an array of billions
             raise ProtocolError(f"not RESP: {error!r}") from None
         if command is not False:
-            self.unparsed_bytes = 0
+            self.bytes_since_command = 0
             return command
-        if self.is_out_of_bounds or self.unparsed_bytes > MAX_COMMAND_BYTES:
+        if self.is_out_of_bounds or self.bytes_since_command > MAX_COMMAND_BYTES:
             raise ProtocolError("a command out of bounds")
         return None
 
--- a/quota_gateway/net/clients/connection.py
+++ b/quota_gateway/net/clients/connection.py
@@ -17,11 +17,11 @@
 from quota_gateway.state_machine import transition
 
 if TYPE_CHECKING:
-    from quota_gateway.net.clients.registry import Clients
+    from quota_gateway.net.clients.registry import ClientRegistry
 
 MAX_PIPELINED = 64  # commands of one connection in flight; more are read up to a bound, and wait
 READ_BYTES = 64 * 1024
-MAX_BODY_ROUNDS = 3  # times that a body may take as long as a command may, while its bytes come
+MAX_BODY_ROUNDS = 3  # further command timeouts granted to a body while its bytes come
 MAX_BAD_COMMANDS = 16  # in a row: a peer that sends more is no client
 MAX_DISCARDED_BYTES = 1024 * 1024  # read behind the last command: a peer that sends more is no client
 COMMAND_TIMEOUT_S = (
@@ -48,27 +48,27 @@
 
 
 class Client(asyncio.BufferedProtocol):
-    """One client's connection. Owned by ``Clients``, which counts it and decides when it may go."""
+    """One client's connection. Owned by ``ClientRegistry``, which counts it and decides when it may go."""
 
-    def __init__(self, clients: Clients) -> None:
+    def __init__(self, clients: ClientRegistry) -> None:
         self.clients = clients
         self.state = ClientState.OPEN
         self.transport: asyncio.Transport | None = None
-        self.made = clients.loop.time()
-        self.idle_since = self.made
-        self.asked = False  # a request has come: clients keep such connections between their requests
+        self.opened_at_s = clients.loop.time()
+        self.idle_since = self.opened_at_s
+        self.has_requested = False  # a request has come: clients keep such connections between their requests
         self.retained_id = 0  # the number under which the process before this one keeps a copy of it
 
         # Commands in
         self.stream = CommandStream()
         self.is_parsing = False
-        self.is_pipeline_full = False  # the most commands are in flight; what came behind them waits
+        self.is_parsing_blocked = False  # the most are in flight, or the client is stuck: commands wait
         self.is_reading_paused = False
         self.waiting_bytes = 0  # of commands that wait so
         self.discarded_bytes = 0  # that came behind the last command
-        self.received_ms = 0.0  # when the last bytes came, by the driver's clock
+        self.last_read_ms = 0.0  # when the last bytes came, by the driver's clock
         self.bad_commands = 0  # in a row
-        self.read_bytes = 0  # in all
+        self.total_read_bytes = 0  # in all
 
         # The time that a command has to come
         self.command_timer: asyncio.TimerHandle | None = None  # runs while a complete command is awaited
@@ -80,7 +80,7 @@
         self.slots: deque[ReplySlot] = deque()
         self.is_stuck = False  # the client does not take its replies
         self.unsent_bytes = 0
-        self.written_bytes = 0  # in all
+        self.total_written_bytes = 0  # in all
         self.stall_timer = StallTimer()
         self.linger_timer: asyncio.TimerHandle | None = None
 
@@ -91,10 +91,10 @@
         """Called by the event loop once the connection is up."""
         # uvloop's transports are not asyncio.Transport by class: no isinstance here
         self.transport = cast(asyncio.Transport, transport)
-        if not self.asked:
+        if not self.has_requested:
             self._start_command_timer()
         self.clients.opened(self)
-        if self.clients.leaving:  # adopted during the shutdown: no sweep of all connections is still to come
+        if self.clients.is_shutting_down:  # adopted late: the flush of all connections is over
             self.clients.loop.call_soon(self.flush)
 
     def connection_lost(self, _exc: Exception | None) -> None:
@@ -104,18 +104,18 @@
         self.stall_timer.cancel()
         if self.linger_timer:
             self.linger_timer.cancel()
-        self.clients.closed(self)
+        self.clients.uncount(self)
         self.clients.lingering.pop(self, None)
         self._drop_pending()
 
-    def is_open(self) -> bool:
+    def can_write_replies(self) -> bool:
         """Whether replies can be written."""
         return self.transport is not None and self.state is not ClientState.LINGERING
 
     @property
-    def is_ending(self) -> bool:
-        """Whether no further command is taken."""
-        return self.state is not ClientState.OPEN
+    def takes_commands(self) -> bool:
+        """Whether further commands are taken."""
+        return self.state is ClientState.OPEN
 
     def _drop_pending(self) -> None:
         """Nobody waits for the replies any more: the decisions learn that the client has gone."""
@@ -136,7 +136,7 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         """Called by the event loop once bytes are in the buffer."""
-        if self.is_ending or self.stream.is_out_of_bounds:
+        if not self.takes_commands or self.stream.is_out_of_bounds:
             self._discard(nbytes)
         else:
             self.data_received(bytes(self.clients.buffer[:nbytes]))
@@ -147,7 +147,7 @@
         Only so is the client's end seen, and a close does not reset the connection under the answers before
         it. A client that never stops sending is cut off at the bound.
         """
-        self.read_bytes += nbytes
+        self.total_read_bytes += nbytes
         self.discarded_bytes += nbytes
         is_endless = self.discarded_bytes > MAX_DISCARDED_BYTES
         if self.state is ClientState.LINGERING and is_endless and self.transport:
@@ -157,11 +157,11 @@
 
     def data_received(self, data: bytes) -> None:
         """Take bytes of commands."""
-        self.read_bytes += len(data)
+        self.total_read_bytes += len(data)
         self.clients.connections.move_to_end(self)  # the last to be evicted
         self.idle_since = self.clients.loop.time()
         self.has_moved = True
-        self.received_ms = self.clients.driver.clock()
+        self.last_read_ms = self.clients.driver.clock()
         self.stream.feed(data)
         self._parse()
 
@@ -172,7 +172,7 @@
         it.
         """
         self.is_parsing = True
-        while not self.is_ending and self.transport and not self._is_full():
+        while self.takes_commands and self.transport and not self._is_full():
             try:
                 command = self.stream.next_command()
             except ProtocolError:
@@ -183,28 +183,29 @@
             self._stop_command_timer()
             self._take(command)
         self.is_parsing = False
-        self.is_pipeline_full = self._is_full()
-        if self.command_timer is None and (self.stream.is_within_command() or not self.asked):
+        self.is_parsing_blocked = self._is_full()
+        if self.command_timer is None and (self.stream.is_within_command() or not self.has_requested):
             self._start_command_timer()
         self._update_reading()
-        self._report_rest()
+        self._report_all_answered()
         self._close_if_due()
 
     def _is_full(self) -> bool:
         return self.is_stuck or len(self.slots) >= MAX_PIPELINED
 
     def _update_reading(self) -> None:
-        """Read on as long as there is capacity for what comes.
+        """Keep reading as long as there is capacity for what comes.
 
-        The client's end stands behind it, and what the client left behind is not forwarded once that is seen.
+        The client's end is seen only behind its data; once it is seen, commands that are not forwarded yet
+        are dropped.
         """
         if self.transport is None or self.transport.is_closing():
             return
-        if self.is_ending or self.stream.is_out_of_bounds:
+        if not self.takes_commands or self.stream.is_out_of_bounds:
             pause = self.discarded_bytes > MAX_DISCARDED_BYTES
         else:
             is_waiting = len(self.slots) >= MAX_PIPELINED
-            self._count_waiting(self.stream.unparsed_bytes if is_waiting else 0)
+            self._count_waiting(self.stream.bytes_since_command if is_waiting else 0)
             is_over_budget = self.waiting_bytes >= READ_BYTES and self.clients.waiting.is_exhausted()
             pause = self.is_stuck or is_over_budget
         if pause == self.is_reading_paused:
@@ -233,13 +234,13 @@
 
     def _on_command_timeout(self) -> None:
         self.command_timer = None
-        body_is_coming = self.has_moved and self.asked and self.stream.is_in_body()
-        if self.is_pipeline_full:  # complete commands may wait behind those in flight: the peer is not late
+        body_is_coming = self.has_moved and self.has_requested and self.stream.is_in_body()
+        if self.is_parsing_blocked:  # complete commands may wait behind those in flight: the peer is not late
             self._start_command_timer()
         elif body_is_coming and self.body_rounds < MAX_BODY_ROUNDS:
             self.body_rounds += 1
             self._start_command_timer()
-        elif not self.is_ending:
+        elif self.takes_commands:
             self._enter(ClientState.ENDING)
             if self.stream.is_within_command():
                 self._reply(b"-ERR no whole command in time\r\n")
@@ -267,14 +268,14 @@
         driver = self.clients.driver
         try:
             # A command behind the most in flight has waited here since it came: its client counts that.
-            call = self.clients.commands.parse(command, driver.clock() - self.received_ms)
+            call = self.clients.commands.parse(command, driver.clock() - self.last_read_ms)
             request = call.request
             if request.request_id in driver.requests:
                 raise CommandError("a request of this id is in hand")
         except ValueError as error:  # CommandError, or a value that api.Request does not take
             self._reject_command(f"-ERR {error}\r\n".encode("ascii", "replace"))
             return
-        self.asked = True
+        self.has_requested = True
         self.bad_commands = 0
         slot = ReplySlot(self, None, request.request_id)
         self.slots.append(slot)
@@ -302,13 +303,13 @@
 
     def flush(self) -> None:
         """Write the replies that are due, in the order of their commands, then see what may be done next."""
-        if not self.is_open():
+        if not self.can_write_replies():
             return
         if not self._write_due_replies() or self.is_parsing:
             return
-        if self.is_pipeline_full:
+        if self.is_parsing_blocked:
             self._parse()
-        self._report_rest()
+        self._report_all_answered()
         self._close_if_due()
 
     def _write_due_replies(self) -> bool:
@@ -326,22 +327,22 @@
             else:
                 self.count_unsent(-len(slot.answer))
                 self.transport.write(slot.answer)
-                self.written_bytes += len(slot.answer)
+                self.total_written_bytes += len(slot.answer)
             self.slots.popleft()
             self.idle_since = self.clients.loop.time()
             if self.state is ClientState.LINGERING or self.transport.is_closing():
                 return False
         return True
 
-    def _report_rest(self) -> None:
+    def _report_all_answered(self) -> None:
         """Report that everything that was read has been answered."""
         if (
-            self.clients.on_rest
+            self.clients.on_all_answered
             and not self.slots
             and not self.stream.is_within_command()
-            and not self.is_ending
+            and self.takes_commands
         ):
-            self.clients.on_rest(self)
+            self.clients.on_all_answered(self)
 
     def _stream(self, value: StreamedValue) -> bool:
         """Write what there is of a streamed value; whether that was the last of it.
@@ -349,11 +350,12 @@
         A value that breaks off ends the connection: nothing else tells the client that it is incomplete.
         """
         assert self.transport
-        self.transport.set_write_buffer_limits(0)  # stuck as soon as the client does not take everything
+        # From now on the client is stuck as soon as it does not take everything.
+        self.transport.set_write_buffer_limits(0)
         held = value.take()
         if held:
             self.transport.write(held)
-            self.written_bytes += len(held)
+            self.total_written_bytes += len(held)
         if not value.has_ended:
             if not self.is_stuck:
                 value.source.resume()
@@ -363,7 +365,7 @@
         return True
 
     def count_unsent(self, added_bytes: int) -> None:
-        """Count what the client is owed and has not been written; see ``Clients.count_unsent``."""
+        """Count what the client is owed and has not been written; see ``ClientRegistry.count_unsent``."""
         self.unsent_bytes += added_bytes
         self.clients.count_unsent(added_bytes)
 
@@ -375,28 +377,29 @@
         Commands that were read but not taken yet, as the most were in flight, are taken first: closing then
         would lose them. During the shutdown, bytes that are here unread are read first.
         """
-        if self.slots or not self.is_open():
+        if self.slots or not self.can_write_replies():
             return
-        if self.is_ending or (self.clients.leaving and self._may_leave()):
+        if not self.takes_commands or (self.clients.is_shutting_down and self._may_close()):
             self.close()
         elif self.clients.transfer:
             self.clients.try_to_transfer(self)
-        elif self.asked and not self.stream.is_within_command() and self.clients.is_unwanted():
+        elif self.has_requested and not self.stream.is_within_command() and self.clients.is_unwanted():
             self.close_idle()
 
-    def _may_leave(self) -> bool:
-        return not self.has_unread_bytes() if self.clients.late else self.at_rest()
+    def _may_close(self) -> bool:
+        """Whether the shutdown may close it; in its grace a new one may have a command on its way."""
+        return not self.has_unread_bytes() if self.clients.grace_is_over else self.is_used_and_idle()
 
     def _is_between_commands(self) -> bool:
         return (
-            self.is_open()
+            self.can_write_replies()
             and not self.slots
-            and not self.is_ending
+            and self.takes_commands
             and not self.stream.is_within_command()
             and not self.stream.is_out_of_bounds
         )
 
-    def is_between_requests(self) -> bool:
+    def is_transferable(self) -> bool:
         """Whether nothing of a command has been read, and nothing of a reply is left."""
         transport = self.transport
         return (
@@ -410,9 +413,9 @@
         """Whether a close crosses nothing that is here already: no part of a command, read or unread."""
         return self._is_between_commands() and not self.has_unread_bytes()
 
-    def at_rest(self) -> bool:
+    def is_used_and_idle(self) -> bool:
         """Whether it is idle and has been used: a new one has its first command on its way."""
-        return self.asked and self.is_idle()
+        return self.has_requested and self.is_idle()
 
     def has_unread_bytes(self) -> bool:
         """Whether bytes, or the client's end, are here and were not read yet."""
@@ -424,17 +427,17 @@
     # ---- The end
 
     def close(self) -> None:
-        """End a connection on which something may be on its way; there is no other way to do it.
+        """Half-close behind the replies that were written; commands without a reply are dropped.
 
-        All replies are sent, then the end; what still comes is read and discarded for a short time. A socket
-        that is closed over unread bytes resets its connection, and replies that the client has not read yet
-        are lost with it.
+        The one way to end a connection in order. What still comes is read and discarded for a short time: a
+        socket that is closed over unread bytes resets its connection, and replies that the client has not
+        read yet are lost with it.
         """
         if self.transport is None or self.state is ClientState.LINGERING:
             return
         self._enter(ClientState.LINGERING)
         self.linger_timer = self.clients.loop.call_later(LINGER_S, self._on_lingered)
-        self.clients.closed(self)
+        self.clients.uncount(self)
         self.clients.lingering[self] = None
         self._drop_pending()
         self._update_reading()
@@ -452,7 +455,7 @@
 
     def detach(self) -> None:
         """Release the socket: another process has it by now."""
-        self.clients.closed(self)
+        self.clients.uncount(self)
         if self.transport:
             self.transport.pause_reading()
             self.transport.abort()
@@ -464,7 +467,7 @@
 
     def close_idle(self) -> None:
         """Close unless something is owed on it, or about to be."""
-        if self.is_open() and not self.slots and not self.has_unread_bytes():
+        if self.can_write_replies() and not self.slots and not self.has_unread_bytes():
             self.close()
 
     # ---- Slow clients
--- a/quota_gateway/net/clients/registry.py
+++ b/quota_gateway/net/clients/registry.py
@@ -18,7 +18,7 @@
 MAX_WAITING_BYTES = 2 * 1024 * 1024  # read behind the most commands that may be in flight
 MAX_UNSENT_BYTES = 8 * 1024 * 1024  # of replies that clients have not taken
 MAX_LINGERING = 16  # connections that only discard what still comes, beyond those that may be open
-LATE_S = 0.25  # at the shutdown, for a command that is on its way: half of it is here, or a new connection
+SHUTDOWN_GRACE_S = 0.25  # for half-read commands and new connections, once the shutdown closes the others
 SWEEP_INTERVAL_S = 0.1  # between two looks at idle connections while they are not wanted
 
 LOADING_REPLY = b"-LOADING the list of servers is not known yet\r\n"
@@ -26,7 +26,7 @@
 PONG_REPLY = b"+PONG\r\n"
 
 
-class Clients:
+class ClientRegistry:
     """The listener for clients and every connection that it accepted or that was adopted."""
 
     def __init__(self, driver: Driver, settings: api.Settings, most_connections: int) -> None:
@@ -50,15 +50,15 @@
         self.serving = True  # the load balancer may send clients
         self.idle_timeout_s = inf  # for which a connection is kept without a request
         self.sweep_timer: asyncio.TimerHandle | None = None
-        self.leaving = False  # the shutdown has begun
-        self.late = False  # the shutdown waits no longer for what is on its way
+        self.is_shutting_down = False  # the shutdown has begun
+        self.grace_is_over = False  # the shutdown waits no longer for what is on its way
 
-        # Hot restart and failover
+        # Hot restart and failover: never both, so each callback has one owner (process/builder.py)
         self.peer_connections = 0  # connections that the process before this one still holds
         self.transfer: Callable[[Client, int], bool] | None = None  # passes a connection to the next process
         self.on_opened: Callable[[Client], None] | None = None
         self.on_closed: Callable[[Client], None] | None = None
-        self.on_rest: Callable[[Client], None] | None = None  # everything read on it has been answered
+        self.on_all_answered: Callable[[Client], None] | None = None  # nothing read on it is pending
 
     # ---- Accepting
 
@@ -85,11 +85,11 @@
     ) -> asyncio.Task[None]:
         """Take over a connection that is accepted already.
 
-        ``asked``: whether a request had come on it; ``waited_s``: since when it is open; ``retained_id``: the
-        number under which the process that it comes from keeps a copy of it, 0 for none.
+        ``asked``: whether a request had come on it; ``waited_s``: for how long it has been open;
+        ``retained_id``: the number of the copy that the process before keeps, 0 for none.
         """
         client = Client(self)
-        client.asked = asked
+        client.has_requested = asked
         client.command_timeout_s = max(0.0, COMMAND_TIMEOUT_S - waited_s)
         client.retained_id = retained_id
         task = self.loop.create_task(self._bring_up(client, sock))
@@ -105,7 +105,7 @@
 
     def try_to_transfer(self, client: Client) -> None:
         """Pass a connection on to the next process, if it is between requests."""
-        if self.transfer and client.transport and client.is_between_requests():
+        if self.transfer and client.transport and client.is_transferable():
             sock = client.transport.get_extra_info("socket")
             if self.transfer(client, sock.fileno()):
                 client.detach()
@@ -118,25 +118,26 @@
             return LOADING_REPLY
         return PONG_REPLY if self.serving else DRAINING_REPLY
 
-    def admit(self, action: api.SetServing) -> None:
+    def set_serving(self, action: api.SetServing) -> None:
         """Tell the load balancer whether to send clients; close connections that are idle for longer."""
         self.serving = action.serving
-        self.idle_timeout_s = action.linger_ms / 1000.0
+        self.idle_timeout_s = action.keep_idle_ms / 1000.0
         if self.sweep_timer is None and self.idle_timeout_s < inf:
             self._sweep()
 
     def _sweep(self) -> None:
-        """Close what has been idle for too long; with a part of a command read, only at the last step."""
+        """Close what has been idle for too long; within a command only at a drain's last step."""
         self.sweep_timer = None
         if self.idle_timeout_s == inf:
             return
         latest = self.loop.time() - self.idle_timeout_s
+        is_last_drain_step = self.idle_timeout_s == 0.0
         for client in [one for one in self.connections if one.idle_since <= latest]:
-            if self.idle_timeout_s == 0.0 or not client.stream.is_within_command():
+            if is_last_drain_step or not client.stream.is_within_command():
                 client.close_idle()
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def retell(self, settings: api.Settings, most_connections: int) -> None:
+    def apply_settings(self, settings: api.Settings, most_connections: int) -> None:
         """Apply new settings; beyond the limit idle connections are closed, the longest unused first.
 
         A connection with requests in flight is closed once they have been answered.
@@ -204,8 +205,8 @@
             if most and most.transport:
                 most.transport.abort()
 
-    def closed(self, client: Client) -> None:
-        """Count a connection no more that has ended, or only discards what still comes."""
+    def uncount(self, client: Client) -> None:
+        """Remove a connection from the count: it has ended, or only discards what still comes."""
         self.connections.pop(client, None)
         if self.on_closed:
             self.on_closed(client)
@@ -220,10 +221,10 @@
             self.listener.close()
             self.listener = None
         self.stop_accepting()
-        self.leaving = True
+        self.is_shutting_down = True
         for client in list(self.connections):
             client.flush()
-        self.loop.call_later(LATE_S, self._close_late)
+        self.loop.call_later(SHUTDOWN_GRACE_S, self._end_grace)
 
     def _accept_queued(self, listener: socket.socket) -> None:
         """Accept all that wait in the listener's queue: closing it would reset them, requests and all."""
@@ -236,13 +237,13 @@
             sock.setblocking(False)
             self.adopt(sock, False, 0.0)
 
-    def _close_late(self) -> None:
+    def _end_grace(self) -> None:
         """Close each connection on which no complete command has come: its client retries elsewhere."""
-        self.late = True
+        self.grace_is_over = True
         for client in list(self.connections):
             client.flush()
 
-    def over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether every connection that was accepted has ended."""
         return not (self.connections or self.lingering or self.adopting)
 
--- a/quota_gateway/net/clients/replies.py
+++ b/quota_gateway/net/clients/replies.py
@@ -29,7 +29,7 @@
 
     def begin(self, length: int, source: Source) -> StreamedValue | None:
         """Begin the command's one reply as a streamed value; None if the client has gone."""
-        if not self.connection.is_open():
+        if not self.connection.can_write_replies():
             return None
         self.value = StreamedValue(self.connection, length, source)
         self.connection.flush()
@@ -46,17 +46,17 @@
     def __init__(self, connection: Client, length: int, source: Source) -> None:
         self.connection = connection
         self.source = source
-        self.held = b"$%d\r\n" % length
+        self.buffered = b"$%d\r\n" % length
         self.has_ended = False
         self.is_complete = False
 
     def write(self, data: bytes) -> None:
         """Take the next piece; nothing is kept for a client that has gone."""
-        if not self.connection.is_open():
+        if not self.connection.can_write_replies():
             return
-        self.held += data
+        self.buffered += data
         self.connection.flush()
-        if self.held or self.connection.is_stuck:
+        if self.buffered or self.connection.is_stuck:
             self.source.pause()
 
     def end(self, whole: bool) -> None:
@@ -64,11 +64,11 @@
         self.has_ended = True
         self.is_complete = whole
         if whole:
-            self.held += b"\r\n"
+            self.buffered += b"\r\n"
         self.connection.flush()
 
     def take(self) -> bytes:
         """Everything that may be written now; nothing of it is held any more."""
-        held = self.held
-        self.held = b""
+        held = self.buffered
+        self.buffered = b""
         return held
--- a/quota_gateway/net/configuration_in_force.py
+++ b/quota_gateway/net/configuration_in_force.py
@@ -79,8 +79,8 @@
     def _apply_to_sockets(self, config: Config, admin_server: asyncio.Server | None) -> None:
         max_connections = connection_budget(config)
         parts = self._parts
-        parts.servers.retell(config.settings, max_connections)
-        parts.clients.retell(config.settings, max_connections)
+        parts.servers.apply_settings(config.settings, max_connections)
+        parts.clients.apply_settings(config.settings, max_connections)
         parts.discovery.reconfigure(config.settings.gateways, config.settings.discovery)
         parts.discovery.move(config.discovery)
         if config.admin != self.config.admin:
--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -11,7 +11,7 @@
 from quota_gateway import api
 from quota_gateway.net.client_request import ClientRequest
 from quota_gateway.net.metrics import GatewayMetrics
-from quota_gateway.net.servers import Attempt, Reply, Servers, Sink, Source
+from quota_gateway.net.servers import Attempt, Reply, ServerPool, Sink, Source
 from quota_gateway.net.timer_queue import TimerQueue
 from quota_gateway.policy.gateway import Gateway
 
@@ -26,7 +26,7 @@
     The owners of the client connections and of the hot restart set ``on_admit`` and ``on_peer_usage``.
     """
 
-    def __init__(self, gateway: Gateway, servers: Servers, clock: Callable[[], float]) -> None:
+    def __init__(self, gateway: Gateway, servers: ServerPool, clock: Callable[[], float]) -> None:
         self.gateway = gateway
         self.servers = servers
         self.clock = clock
@@ -34,11 +34,11 @@
         self.metrics = GatewayMetrics()
         self.timers = TimerQueue(lambda: self.clock())
         self.on_peer_usage: Callable[[api.PeerUsage], None] = lambda _: None
-        self.on_admit: Callable[[api.SetServing], None] = lambda _: None
+        self.on_set_serving: Callable[[api.SetServing], None] = lambda _: None
         self._events: deque[api.Event] = deque()
         self._is_handling = False
         self._effects = self._effects_by_action()
-        servers.on_linked = self.post
+        servers.on_idle_changed = self.post
 
     def _effects_by_action(self) -> dict[type, Callable[[Any], None]]:
         """The one table of what each kind of action does."""
@@ -50,9 +50,9 @@
             api.SetTimer: self._set_timer,
             api.Log: lambda action: log.info("%s", action.text),
             api.CloseIdle: lambda action: self.servers.close_idle(action.server),
-            api.SetServerUsable: lambda action: self.servers.hold(action.server, not action.usable),
+            api.SetServerUsable: lambda action: self.servers.set_admin_down(action.server, not action.usable),
             api.Subscribe: lambda _: None,  # the watch on discovery is kept in any case
-            api.SetServing: lambda action: self.on_admit(action),
+            api.SetServing: lambda action: self.on_set_serving(action),
             api.PeerUsage: lambda action: self.on_peer_usage(action),
         }
 
@@ -133,19 +133,19 @@
             return  # it has failed at once
         self.timers.at(forwarded.ends_ms, self._time_out, forwarded)
         if forwarded.begin_by_ms < forwarded.ends_ms:
-            self.timers.at(forwarded.begin_by_ms, self.servers.stop_unsent, attempt)
+            self.timers.at(forwarded.begin_by_ms, self.servers.cancel_unsent, attempt)
 
     def _time_out(self, forwarded: ForwardedAttempt) -> None:
         """End an attempt, unless it streams: a value that has begun may take as long as it moves."""
         attempt = forwarded.request.attempts_in_flight.get(forwarded.number)
         if attempt and forwarded.request.streamed_attempt is not attempt:
-            self.servers.stop(attempt, api.Status.TIMEOUT)
+            self.servers.cancel(attempt, api.Status.TIMEOUT)
 
     def _cancel(self, action: api.Cancel) -> None:
         request = self.requests.get(action.request_id)
         attempt = request.attempts_in_flight.get(action.attempt) if request else None
         if attempt:
-            self.servers.stop(attempt, api.Status.CANCELLED)
+            self.servers.cancel(attempt, api.Status.CANCELLED)
 
     # ---- Answers
 
--- a/quota_gateway/net/hot_restart/connection_transfer.py
+++ b/quota_gateway/net/hot_restart/connection_transfer.py
@@ -17,7 +17,7 @@
 from quota_gateway.net.hot_restart.session import PeerSession
 from quota_gateway.net.process_parts import ProcessParts
 from quota_gateway.net.retained_connections import NOT_RETAINED, RetainedConnections
-from quota_gateway.net.servers import Connection
+from quota_gateway.net.servers import PooledConnection
 
 
 class ConnectionSender:
@@ -73,14 +73,14 @@
         session = self._session
         if session is None or not session.open:
             return False
-        retained_id = self.retained.retain(descriptor, client.asked, self._max_retained)
-        waited_s = self._loop.time() - client.made
-        session.send(ClientConnection(client.asked, waited_s, retained_id), descriptor)
+        retained_id = self.retained.retain(descriptor, client.has_requested, self._max_retained)
+        waited_s = self._loop.time() - client.opened_at_s
+        session.send(ClientConnection(client.has_requested, waited_s, retained_id), descriptor)
         if not session.open:  # it ended before the connection was on it: the connection stays here
             self.retained.release(retained_id)
         return session.open
 
-    def _transfer_server(self, connection: Connection, descriptor: int) -> bool:
+    def _transfer_server(self, connection: PooledConnection, descriptor: int) -> bool:
         """Whether the connection is the successor's now."""
         session = self._session
         server_id = self._parts.server_names().get(connection.host.number, "")
--- a/quota_gateway/net/hot_restart/predecessor.py
+++ b/quota_gateway/net/hot_restart/predecessor.py
@@ -225,7 +225,7 @@
         for connection in self.connections.retained.reclaim():
             connection.sock.setblocking(False)
             await clients.adopt(connection.sock, connection.has_requested, 0.0)
-        if clients.leaving:
+        if clients.is_shutting_down:
             return
         await clients.accept()
         self.offer()
--- a/quota_gateway/net/process_parts.py
+++ b/quota_gateway/net/process_parts.py
@@ -4,18 +4,18 @@
 
 from typing import NamedTuple
 
-from quota_gateway.net.clients import Clients
+from quota_gateway.net.clients import ClientRegistry
 from quota_gateway.net.discovery import Discovery
 from quota_gateway.net.driver import Driver
-from quota_gateway.net.servers import Servers
+from quota_gateway.net.servers import ServerPool
 
 
 class ProcessParts(NamedTuple):
     """The decisions' driver, the sockets and discovery's list."""
 
     driver: Driver
-    clients: Clients
-    servers: Servers
+    clients: ClientRegistry
+    servers: ServerPool
     discovery: Discovery
 
     def server_names(self) -> dict[int, str]:
--- a/quota_gateway/net/servers/__init__.py
+++ b/quota_gateway/net/servers/__init__.py
@@ -5,20 +5,20 @@
 """
 
 from quota_gateway.net.servers.attempt import Attempt, Sink, Source
-from quota_gateway.net.servers.connection import Connection
-from quota_gateway.net.servers.host import Address, Host
-from quota_gateway.net.servers.pool import Servers
+from quota_gateway.net.servers.connection import PooledConnection
+from quota_gateway.net.servers.endpoint import Address, ServerEndpoint
+from quota_gateway.net.servers.pool import ServerPool
 from quota_gateway.net.servers.replies import Reply, ReplyReader, ServerError
 
 __all__ = [
     "Address",
     "Attempt",
-    "Connection",
-    "Host",
+    "PooledConnection",
+    "ServerEndpoint",
     "ReplyReader",
     "Reply",
     "ServerError",
-    "Servers",
+    "ServerPool",
     "Sink",
     "Source",
 ]
--- a/quota_gateway/net/servers/attempt.py
+++ b/quota_gateway/net/servers/attempt.py
@@ -8,7 +8,7 @@
 from quota_gateway.net.servers.replies import Reply
 
 if TYPE_CHECKING:
-    from quota_gateway.net.servers.connection import Connection
+    from quota_gateway.net.servers.connection import PooledConnection
 
 
 class Sink(Protocol):
@@ -58,7 +58,7 @@
         self.payload = payload
         self.begun = begun
         self.done: Callable[[Reply], None] | None = done
-        self.connection: Connection | None = None
+        self.connection: PooledConnection | None = None
 
     def finish(self, reply: Reply) -> None:
         """Report the outcome; only the first call does anything."""
--- a/quota_gateway/net/servers/connection.py
+++ b/quota_gateway/net/servers/connection.py
@@ -14,13 +14,13 @@
 from quota_gateway import api
 from quota_gateway.net.declared_lengths import END, LONG, Lengths, long_value
 from quota_gateway.net.servers.attempt import Attempt, Sink
-from quota_gateway.net.servers.host import Host
+from quota_gateway.net.servers.endpoint import ServerEndpoint
 from quota_gateway.net.servers.replies import Reply, ServerError
 from quota_gateway.net.sockets import has_unread_bytes
 from quota_gateway.state_machine import transition
 
 if TYPE_CHECKING:
-    from quota_gateway.net.servers.pool import Servers
+    from quota_gateway.net.servers.pool import ServerPool
 
 log = logging.getLogger(__name__)
 
@@ -51,10 +51,10 @@
 }
 
 
-class Connection(asyncio.BufferedProtocol):
-    """One connection to a server. Owned by ``Servers``, which closes it or keeps it idle."""
+class PooledConnection(asyncio.BufferedProtocol):
+    """One connection to a server. Owned by ``ServerPool``, which closes it or keeps it idle."""
 
-    def __init__(self, servers: Servers, host: Host, attempt: Attempt | None) -> None:
+    def __init__(self, servers: ServerPool, host: ServerEndpoint, attempt: Attempt | None) -> None:
         self.servers = servers
         self.host = host
         self.epoch = host.epoch
@@ -133,7 +133,7 @@
         if self.closed:
             self.transport.abort()
         elif self.attempt is None:
-            self.servers.give_back(self)
+            self.servers.release(self)
         else:
             self._begin_attempt(self.attempt)
 
@@ -237,7 +237,7 @@
         if reply is None or not connection_is_clean or reply.malformed:
             self.close(api.Status.RESET)  # what follows can't be told apart from the next reply
         else:
-            self.servers.give_back(self)
+            self.servers.release(self)
         if attempt and reply:
             attempt.finish(reply)
 
@@ -343,7 +343,7 @@
             if self.silence_timer:
                 self.silence_timer.cancel()
             self._end_stream(False)
-            self.servers.forget(self)
+            self.servers.discard(self)
             if self.socket is None and self.task:
                 self.task.cancel()
             if self.transport:
@@ -357,6 +357,6 @@
     def detach(self) -> None:
         """Release the socket without shutting it down: another process has it by now."""
         self._enter(ConnectionState.CLOSED)
-        self.servers.forget(self)
+        self.servers.discard(self)
         if self.transport:
             self.transport.abort()
--- a/quota_gateway/net/servers/host.py
+++ b/quota_gateway/net/servers/endpoint.py
@@ -5,12 +5,12 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from quota_gateway.net.servers.connection import Connection
+    from quota_gateway.net.servers.connection import PooledConnection
 
 Address = tuple[str, int]
 
 
-class Host:
+class ServerEndpoint:
     """A server by its last entry in the endpoint list.
 
     ``epoch`` counts the changes that make older connections unusable: a connection whose epoch differs is
@@ -26,5 +26,5 @@
         self.epoch = 0
         self.listed = False  # listed as ready
         self.ready = False  # listed as ready, and not taken out by an operator
-        self.idle: list[Connection] = []  # the most recently used last
+        self.idle: list[PooledConnection] = []  # the most recently used last
         self.reported_idle = False  # whether the decisions believe that a connection is idle
--- a/quota_gateway/net/servers/pool.py
+++ b/quota_gateway/net/servers/pool.py
@@ -10,8 +10,8 @@
 
 from quota_gateway import api
 from quota_gateway.net.servers.attempt import Attempt
-from quota_gateway.net.servers.connection import Connection
-from quota_gateway.net.servers.host import Address, Host
+from quota_gateway.net.servers.connection import PooledConnection
+from quota_gateway.net.servers.endpoint import Address, ServerEndpoint
 from quota_gateway.net.servers.replies import Reply, ReplyReader
 
 IDLE_LIMIT_RATIO = 0.4  # of the servers' idle limit: connections are retired well before servers close them
@@ -19,7 +19,7 @@
 MIN_READ_BYTES = 4 * 1024
 MAX_STREAMED_BYTES = 8 * 1024 * 1024  # of streamed values held by slow clients, over all connections
 RETIRE_INTERVAL_S = 1.0
-REST_S = 0.01  # after a reply before the next command: a second reply may come some milliseconds behind
+REUSE_DELAY_S = 0.01  # after a reply: a second one may come some milliseconds behind it
 
 
 @dataclass(slots=True)
@@ -39,27 +39,28 @@
         )
 
 
-class Servers:
+class ServerPool:
     """The servers of the endpoint list, and every connection to one of them."""
 
     def __init__(self, settings: api.Settings, most_connections: int) -> None:
         self.loop = asyncio.get_running_loop()
-        self.hosts: dict[int, Host] = {}
-        self.held: set[int] = set()  # administratively down, whatever discovery lists
-        self.connections: set[Connection] = set()
+        self.hosts: dict[int, ServerEndpoint] = {}
+        self.admin_down: set[int] = set()  # servers that operators took out, whatever discovery lists
+        self.connections: set[PooledConnection] = set()
         self.buffer = memoryview(bytearray(READ_BYTES))
         self.streams = 0  # values being streamed
         self.counts = PoolCounts()
         self.peer_connections = 0  # connections that the process before this one still holds
         # During a hot restart: passes a connection on to the next process; false if that failed.
-        self.transfer: Callable[[Connection, int], bool] | None = None
-        self.on_linked: Callable[[api.IdleConnectionChanged], None] = lambda _: None  # set by the driver
-        self.retell(settings, most_connections)
+        self.transfer: Callable[[PooledConnection, int], bool] | None = None
+        # Set by the driver: the first connection to a server became idle, or none is any more.
+        self.on_idle_changed: Callable[[api.IdleConnectionChanged], None] = lambda _: None
+        self.apply_settings(settings, most_connections)
         self.retire_timer = self.loop.call_later(RETIRE_INTERVAL_S, self._retire_idle)
 
     # ---- Settings and the endpoint list
 
-    def retell(self, settings: api.Settings, most_connections: int) -> None:
+    def apply_settings(self, settings: api.Settings, most_connections: int) -> None:
         """Apply new settings; beyond the limit idle connections are closed, the longest idle first."""
         self.connect_timeout_s = settings.limits.connect_timeout_ms / 1000.0
         self.idle_limit_s = settings.limits.connection_idle_ms / 1000.0 * IDLE_LIMIT_RATIO
@@ -81,25 +82,25 @@
                 self._update_host(entry, addresses[entry.server])
 
     def _update_host(self, entry: api.ServerEntry, address: Address) -> None:
-        host = self.hosts.setdefault(entry.server, Host(entry.server))
+        host = self.hosts.setdefault(entry.server, ServerEndpoint(entry.server))
         # A server that restarted or moved must not be sent anything on a connection from before.
         is_same_process = host.address == address and host.started_ms == entry.started_ms
         host.address = address
         host.started_ms = entry.started_ms
         host.listed = entry.state is api.ServerState.READY
-        host.ready = host.listed and entry.server not in self.held
+        host.ready = host.listed and entry.server not in self.admin_down
         if not (is_same_process and host.ready):
             self._invalidate(host)
 
-    def hold(self, server: int, held: bool) -> None:
+    def set_admin_down(self, server: int, admin_down: bool) -> None:
         """Use no connection to a server any more, or use it again; attempts in flight go on."""
-        if held:
-            self.held.add(server)
+        if admin_down:
+            self.admin_down.add(server)
         else:
-            self.held.discard(server)
+            self.admin_down.discard(server)
         host = self.hosts.get(server)
         if host:
-            host.ready = host.listed and not held
+            host.ready = host.listed and not admin_down
             self._invalidate(host)
 
     def _remove(self, server: int) -> None:
@@ -108,7 +109,7 @@
             host.ready = False
             self._invalidate(host)
 
-    def _invalidate(self, host: Host) -> None:
+    def _invalidate(self, host: ServerEndpoint) -> None:
         """Make every connection to the server unusable; idle ones are closed."""
         host.epoch += 1
         for connection in list(host.idle):
@@ -132,32 +133,32 @@
             connection.close(api.Status.RESET)
         self._connect(host, attempt)
 
-    def _reusable(self, host: Host) -> Connection | None:
+    def _reusable(self, host: ServerEndpoint) -> PooledConnection | None:
         """The idle connection used last, of those that have been quiet for a moment since their reply.
 
         A server may send a reply twice. Behind the next command the second one would be taken for that
         command's reply; while the connection is idle, whatever comes closes it.
         """
-        latest = self.loop.time() - REST_S
+        latest = self.loop.time() - REUSE_DELAY_S
         return next((one for one in reversed(host.idle) if one.idle_since <= latest), None)
 
-    def _connect(self, host: Host, attempt: Attempt) -> None:
+    def _connect(self, host: ServerEndpoint, attempt: Attempt) -> None:
         if self._is_at_limit() and not self._evict():
             self.counts.rejected += 1
             attempt.finish(Reply(api.Status.CONNECT_FAILED))
             return
         self.counts.handshakes += 1
-        connection = Connection(self, host, attempt)
+        connection = PooledConnection(self, host, attempt)
         self.connections.add(connection)
         connection.task = self.loop.create_task(connection.open())
 
-    def stop(self, attempt: Attempt, status: api.Status) -> None:
+    def cancel(self, attempt: Attempt, status: api.Status) -> None:
         """Close the attempt's connection, then report the outcome. Without its last byte it never ran."""
         connection = attempt.connection
         if attempt.done and connection:
             connection.close(status if connection.last_byte_sent else api.Status.CONNECT_FAILED)
 
-    def stop_unsent(self, attempt: Attempt) -> None:
+    def cancel_unsent(self, attempt: Attempt) -> None:
         """Stop an attempt whose last byte has not gone out; one that is on its way is waited for."""
         connection = attempt.connection
         if attempt.done and connection and not connection.last_byte_sent:
@@ -176,13 +177,13 @@
         size = max(MIN_READ_BYTES, min(READ_BYTES, MAX_STREAMED_BYTES // max(1, self.streams)))
         return self.buffer[:size]
 
-    def give_back(self, connection: Connection) -> None:
+    def release(self, connection: PooledConnection) -> None:
         """Keep a connection whose attempt has ended well, unless its server has changed meanwhile."""
         if connection.closed or connection.epoch != connection.host.epoch or self._is_over_limit():
             connection.close(api.Status.RESET)
             return
         if self.transfer:
-            self._pass(connection)
+            self._transfer_or_close(connection)
             return
         connection.become_idle()
         connection.host.idle.append(connection)
@@ -212,14 +213,14 @@
                 connection.close(api.Status.RESET)
         self.retire_timer = self.loop.call_later(RETIRE_INTERVAL_S, self._retire_idle)
 
-    def _report_idle(self, host: Host) -> None:
+    def _report_idle(self, host: ServerEndpoint) -> None:
         """Tell the decisions when the first connection becomes idle, or none is any more."""
         if host.reported_idle != bool(host.idle):
             host.reported_idle = not host.reported_idle
-            self.on_linked(api.IdleConnectionChanged(host.number, host.reported_idle))
+            self.on_idle_changed(api.IdleConnectionChanged(host.number, host.reported_idle))
 
-    def forget(self, connection: Connection) -> None:
-        """Count a connection that is closing no more."""
+    def discard(self, connection: PooledConnection) -> None:
+        """Remove a connection that is closing from the pool."""
         self.connections.discard(connection)
         with suppress(ValueError):
             connection.host.idle.remove(connection)
@@ -231,9 +232,9 @@
         """Pass every idle connection on to the next process."""
         for host in self.hosts.values():
             for connection in list(host.idle):
-                self._pass(connection)
+                self._transfer_or_close(connection)
 
-    def _pass(self, connection: Connection) -> None:
+    def _transfer_or_close(self, connection: PooledConnection) -> None:
         assert connection.socket
         if self.transfer and connection.is_usable() and self.transfer(connection, connection.socket.fileno()):
             connection.detach()
@@ -246,14 +247,14 @@
         if host is None or not host.ready or self._is_at_limit():
             sock.close()
             return
-        connection = Connection(self, host, None)
+        connection = PooledConnection(self, host, None)
         connection.socket = sock
         self.connections.add(connection)
         await connection.come_up(sock)
 
     # ---- Operators, and the end
 
-    def look(self) -> str:
+    def describe_and_reset(self) -> str:
         """What the pool holds, and what it has done since the last look."""
         open_count = len(self.connections)
         idle = sum(len(host.idle) for host in self.hosts.values())
--- a/quota_gateway/process/builder.py
+++ b/quota_gateway/process/builder.py
@@ -9,7 +9,7 @@
 from quota_gateway.config import Config
 from quota_gateway.net.admin import AdminEndpoint
 from quota_gateway.net.admin_commands import AdminCommands
-from quota_gateway.net.clients import Clients
+from quota_gateway.net.clients import ClientRegistry
 from quota_gateway.net.clock import Clock
 from quota_gateway.net.connection_budget import connection_budget
 from quota_gateway.net.discovery import Discovery
@@ -17,7 +17,7 @@
 from quota_gateway.net.hot_restart import GatewayIdentity, HotRestart
 from quota_gateway.net.process_parts import ProcessParts
 from quota_gateway.net.reload import ConfigurationReload
-from quota_gateway.net.servers import Address, Servers
+from quota_gateway.net.servers import Address, ServerPool
 from quota_gateway.policy.gateway import Gateway
 
 if TYPE_CHECKING:
@@ -28,8 +28,8 @@
     """The parts of one process, each owned by it for as long as it runs."""
 
     driver: Driver
-    servers: Servers
-    clients: Clients
+    servers: ServerPool
+    clients: ClientRegistry
     discovery: Discovery
     hot_restart: HotRestart
     standby: SupervisedGateway | None  # where a supervisor runs it
@@ -41,10 +41,10 @@
 def build(config: Config) -> GatewayParts:
     """All parts of the process, connected as the configuration and the environment want it."""
     max_connections = connection_budget(config)
-    servers = Servers(config.settings, max_connections)
+    servers = ServerPool(config.settings, max_connections)
     driver = Driver(Gateway(config.settings, config.seed), servers, Clock())
-    clients = Clients(driver, config.settings, max_connections)
-    driver.on_admit = clients.admit
+    clients = ClientRegistry(driver, config.settings, max_connections)
+    driver.on_set_serving = clients.set_serving
     discovery = _discovery(config, driver, servers, clients)
     standby = _standby(clients)
     process_parts = ProcessParts(driver, clients, servers, discovery)
@@ -67,7 +67,7 @@
     )
 
 
-def _discovery(config: Config, driver: Driver, servers: Servers, clients: Clients) -> Discovery:
+def _discovery(config: Config, driver: Driver, servers: ServerPool, clients: ClientRegistry) -> Discovery:
     """The watch on discovery; each list goes to the sockets first, then to the decisions."""
 
     def apply_list(listing: api.ServerList, addresses: dict[int, Address]) -> None:
@@ -80,7 +80,7 @@
     return Discovery(config.discovery, apply_list, config.seed, settings.gateways, settings.discovery)
 
 
-def _standby(clients: Clients) -> SupervisedGateway | None:
+def _standby(clients: ClientRegistry) -> SupervisedGateway | None:
     """This process's end of the supervisor, where the environment names one; else its code is not loaded."""
     path = os.environ.get("EDGE_KEEPER")
     if not path:
--- a/quota_gateway/process/lifecycle.py
+++ b/quota_gateway/process/lifecycle.py
@@ -61,7 +61,7 @@
             return True
         self._use_configured_list()
         self._watch_discovery()  # the list is known as the turn comes
-        return await standby.turn(self._stop)
+        return await standby.wait_for_turn(self._stop)
 
     async def _take_over(self) -> socket.socket | None:
         """Take over from the process before, where there is one; the listener that was passed on, if any."""
--- a/quota_gateway/process/shutdown.py
+++ b/quota_gateway/process/shutdown.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from quota_gateway import api
-from quota_gateway.net.clients import Clients
+from quota_gateway.net.clients import ClientRegistry
 from quota_gateway.net.driver import Driver
 
 log = logging.getLogger("quota_gateway")
@@ -40,7 +40,7 @@
         self,
         settings: api.Settings,
         driver: Driver,
-        clients: Clients,
+        clients: ClientRegistry,
         successor: Successor | None = None,
     ) -> None:
         self._driver = driver
@@ -79,7 +79,7 @@
         """
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
-            if self._clients.over() or self._loop.time() >= self._answered_by_s + FLUSH_S:
+            if self._clients.has_ended() or self._loop.time() >= self._answered_by_s + FLUSH_S:
                 return
 
 
--- a/quota_gateway/recording/names.py
+++ b/quota_gateway/recording/names.py
@@ -59,6 +59,7 @@
         "priority_weight": "worth",
     },
     api.ServerAdminDown: {"admin_down": "out"},
+    api.SetServing: {"keep_idle_ms": "linger_ms"},
     api.IdleConnectionChanged: {"has_idle": "idle"},
 }
 
--- a/quota_gateway/state_machine.py
+++ b/quota_gateway/state_machine.py
@@ -24,17 +24,17 @@
     """What happens to transitions that no table has; one object for the process."""
 
     def __init__(self) -> None:
-        self.raised = False  # tests set it
+        self.raises = False  # tests set it
         self.counts: Counter[tuple[str, Enum, Enum]] = Counter()  # by owner, state and requested state
 
     def report(self, owner: str, state: Enum, requested: Enum) -> None:
         """Count it and log the first. Raises IllegalTransitionError in tests."""
         error = IllegalTransitionError(owner, state, requested)
-        if self.raised:
+        if self.raises:
             raise error
         self.counts[owner, state, requested] += 1
         if self.counts[owner, state, requested] == 1:
-            log.error("%s", error)
+            log.error("%s; it is carried out all the same", error)
 
 
 illegal_transitions = IllegalTransitions()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -84,7 +84,7 @@
 @pytest.fixture(autouse=True)
 def illegal_transitions_raise(monkeypatch):
     """In tests a transition that no table has is an error; in service it is logged and counted."""
-    monkeypatch.setattr(illegal_transitions, "raised", True)
+    monkeypatch.setattr(illegal_transitions, "raises", True)
 
 
 class Rig:
@@ -147,7 +147,7 @@
 @pytest.fixture
 def no_rest(monkeypatch) -> None:
     """Connections to servers may be used again as soon as their answer has come."""
-    monkeypatch.setattr(pool, "REST_S", 0.0)
+    monkeypatch.setattr(pool, "REUSE_DELAY_S", 0.0)
 
 
 @pytest.fixture
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -26,10 +26,10 @@
     ServerList,
     Settings,
 )
-from quota_gateway.net.clients import Clients
+from quota_gateway.net.clients import ClientRegistry
 from quota_gateway.net.clock import Clock
 from quota_gateway.net.driver import Driver
-from quota_gateway.net.servers import Servers
+from quota_gateway.net.servers import ServerPool
 
 LIMIT_S = 60.0  # generous: a test that takes so long hangs
 SETTINGS = Settings(
@@ -172,9 +172,9 @@
     """The gateway's parts, wired up as the program does, but without discovery."""
 
     def __init__(self, settings: Settings, most_connections: int) -> None:
-        self.servers = Servers(settings, most_connections)
+        self.servers = ServerPool(settings, most_connections)
         self.driver = Driver(Gateway(settings, 1), self.servers, Clock())
-        self.clients = Clients(self.driver, settings, most_connections)
+        self.clients = ClientRegistry(self.driver, settings, most_connections)
         self.clients.ready = True
 
     def told(self, *rows: tuple[ServerEntry, tuple[str, int]], kind: ListKind = ListKind.COMPLETE) -> None:
--- a/tests/test_admin_down.py
+++ b/tests/test_admin_down.py
@@ -129,7 +129,7 @@
     rig.finish(rig.ask())
     rig.run(1999.0)
     assert [admit.serving for admit in notified] == [False] * 3
-    assert notified[-1].linger_ms == 0.0
+    assert notified[-1].keep_idle_ms == 0.0
     assert not rig.do(DrainChanged(True))
 
 
@@ -159,7 +159,7 @@
     async def test():
         server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(words[2]))
         async with node(server) as gateway:
-            gateway.driver.on_admit = gateway.clients.admit
+            gateway.driver.on_set_serving = gateway.clients.set_serving
             front, busy, idle, half = [await gateway.peer() for _ in range(4)]
             assert await front.ask(resp("PING")) == b"PONG"
             assert await idle.ask(call(2)) == b"0000000000000002"
--- a/tests/test_connection_news.py
+++ b/tests/test_connection_news.py
@@ -74,8 +74,8 @@
         server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(b"v"))
         async with node(server) as gateway:
             known, told = gateway.driver.gateway.endpoints.servers, []
-            post = gateway.servers.on_linked
-            gateway.servers.on_linked = lambda news: (told.append(news.has_idle), post(news))
+            post = gateway.servers.on_idle_changed
+            gateway.servers.on_idle_changed = lambda news: (told.append(news.has_idle), post(news))
             peer, other = await gateway.peer(), await gateway.peer()
             assert await peer.ask(call(2)) == b"v"
             assert told == [True]
@@ -141,9 +141,9 @@
             peer = await gateway.peer()
             assert await peer.ask(call(2)) == b"v"
             gateway.driver.post(ServerAdminDown(1, False))
-            gateway.servers.look()
+            gateway.servers.describe_and_reset()
             ping = module.Attempt(lambda: b"*1\r\n$4\r\nPING\r\n", lambda reply: None)
             gateway.servers.start(1, ping)
-            assert "1 handshakes, 0 reuses, 1 evicted" in gateway.servers.look()
+            assert "1 handshakes, 0 reuses, 1 evicted" in gateway.servers.describe_and_reset()
 
     run(test())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -39,8 +39,8 @@
 
 CLOSES = {
     "stop": lambda clients: clients.stop_listening(),
-    "drain": lambda clients: clients.admit(SetServing(False, 0.0)),
-    "fewer connections": lambda clients: clients.retell(SETTINGS, 1),
+    "drain": lambda clients: clients.set_serving(SetServing(False, 0.0)),
+    "fewer connections": lambda clients: clients.apply_settings(SETTINGS, 1),
 }
 
 
@@ -85,13 +85,13 @@
             behind.send(call(2))
             gateway.clients.stop_listening()
             assert await behind.rest() == (bulk(b"v"), "end")
-            await until(gateway.clients.over)
+            await until(gateway.clients.has_ended)
 
     run(test())
 
 
 def test_new_connection_without_a_request_at_the_stop_may_still_send_it_for_a_moment(monkeypatch):
-    monkeypatch.setattr(registry_module, "LATE_S", 3600.0)
+    monkeypatch.setattr(registry_module, "SHUTDOWN_GRACE_S", 3600.0)
 
     async def test():
         async with node(server()) as gateway:
@@ -105,7 +105,7 @@
 
 
 def test_half_a_command_at_the_stop_is_served_if_its_rest_comes_soon(monkeypatch):
-    monkeypatch.setattr(registry_module, "LATE_S", 3600.0)
+    monkeypatch.setattr(registry_module, "SHUTDOWN_GRACE_S", 3600.0)
 
     async def test():
         async with node(server()) as gateway:
@@ -122,7 +122,7 @@
 
 
 def test_request_that_is_here_unread_at_the_last_moment_of_the_stop_is_served(monkeypatch):
-    monkeypatch.setattr(registry_module, "LATE_S", 3600.0)
+    monkeypatch.setattr(registry_module, "SHUTDOWN_GRACE_S", 3600.0)
 
     async def test():
         async with node(server()) as gateway:
@@ -135,7 +135,7 @@
             await until(lambda: len(gateway.clients.connections) == 2)
             raws[0].send(call(2))
             raws[1].send(call(1)[20:])
-            gateway.clients._close_late()  # before the loop could read any of them
+            gateway.clients._end_grace()  # before the loop could read any of them
             for raw in raws:
                 assert await raw.rest() == (bulk(b"v"), "end")
 
@@ -145,29 +145,29 @@
 @pytest.mark.parametrize("asked", [True, False])
 @pytest.mark.parametrize("late", [False, True])
 def test_connection_that_is_taken_over_at_the_stop_is_served_and_ends(monkeypatch, asked, late):
-    monkeypatch.setattr(registry_module, "LATE_S", 3600.0)
+    monkeypatch.setattr(registry_module, "SHUTDOWN_GRACE_S", 3600.0)
 
     async def test():
         async with node(server()) as gateway:
             gateway.clients.stop_listening()
             if late:
-                gateway.clients._close_late()
+                gateway.clients._end_grace()
             with socket.create_server(("127.0.0.1", 0)) as listener:
                 raw = Raw(listener.getsockname()[1])
                 sock, _ = listener.accept()
             sock.setblocking(False)
             raw.send(call(1))
             gateway.clients.adopt(sock, asked, 0.0)
-            assert not gateway.clients.over()
+            assert not gateway.clients.has_ended()
             assert await raw.rest() == (bulk(b"v"), "end")
-            await until(gateway.clients.over)
+            await until(gateway.clients.has_ended)
 
     run(test())
 
 
 @pytest.mark.parametrize("parts", [1, 0])
 def test_command_whose_rest_comes_after_the_last_moment_of_the_stop_is_never_sent_on(monkeypatch, parts):
-    monkeypatch.setattr(registry_module, "LATE_S", 0.0)
+    monkeypatch.setattr(registry_module, "SHUTDOWN_GRACE_S", 0.0)
     monkeypatch.setattr(connection_module, "LINGER_S", 3600.0)
 
     async def test():
@@ -341,7 +341,7 @@
             )
             await fake.until(lambda: len(fake.commands) == MAX_PIPELINED)
             (client,) = gateway.clients.connections
-            assert client.is_pipeline_full  # both are read, and wait
+            assert client.is_parsing_blocked  # both are read, and wait
             clock = gateway.driver.clock
             gateway.driver.clock = lambda: clock() + 2000.0
             for number in (0, 1):
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -112,7 +112,7 @@
                 await asyncio.sleep(0)
             if crossing == "drain":
                 gateway.told(fake.entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
-            gateway.servers.stop(attempt, Status.CANCELLED)
+            gateway.servers.cancel(attempt, Status.CANCELLED)
             assert await ends.status() in (Status.CANCELLED, Status.CONNECT_FAILED)
             assert not gateway.servers.connections
             await let_go(gate)
@@ -171,7 +171,7 @@
             gateway.servers.start(1, long)
             await until(lambda: bool(long.connection.transport))
             for attempt in (out, long):
-                gateway.servers.stop_unsent(attempt)
+                gateway.servers.cancel_unsent(attempt)
             assert await held.status() is Status.CONNECT_FAILED
             assert sent.empty()
 
@@ -236,7 +236,7 @@
 
 
 def test_second_answer_that_comes_behind_the_next_command_is_not_taken_for_its_answer(monkeypatch):
-    monkeypatch.setattr(pool_module, "REST_S", 3600.0)
+    monkeypatch.setattr(pool_module, "REUSE_DELAY_S", 3600.0)
 
     async def test():
         def answer(words):
@@ -256,7 +256,7 @@
 
 
 def test_connection_that_has_rested_is_used_again_before_an_older_one(monkeypatch):
-    monkeypatch.setattr(pool_module, "REST_S", 0.0)
+    monkeypatch.setattr(pool_module, "REUSE_DELAY_S", 0.0)
 
     async def test():
         fake = FakeServer()
@@ -324,7 +324,7 @@
     ],
 )
 def test_connection_of_a_broken_answer_is_never_used_again(monkeypatch, broken):
-    monkeypatch.setattr(pool_module, "REST_S", 0.0)
+    monkeypatch.setattr(pool_module, "REUSE_DELAY_S", 0.0)
 
     async def test():
         answers = iter([broken])
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -204,7 +204,7 @@
     """A process of the gateway; it has not yet tried to take over."""
     async with node(**more) as gateway:
         driver, clients, servers = gateway.driver, gateway.clients, gateway.servers
-        driver.on_admit = clients.admit
+        driver.on_set_serving = clients.set_serving
 
         def news(listing, addresses):
             servers.update(listing, addresses)
@@ -612,7 +612,7 @@
             raw.send(call(3))
             old.clients.stop_listening()
             if late:
-                old.clients._close_late()
+                old.clients._end_grace()
             await predecessor.reclaim()
             assert await raw.rest() == (answer(3), "end")
             assert not predecessor.offering  # nobody takes over from a process that stops
--- a/tests/test_net_servers.py
+++ b/tests/test_net_servers.py
@@ -341,7 +341,7 @@
                 told.append(reply)
 
             attempt.done = done
-            gateway.servers.stop(attempt, Status.CANCELLED)
+            gateway.servers.cancel(attempt, Status.CANCELLED)
             assert [reply.status for reply in told] == [Status.CANCELLED]
             await server.until(lambda: server.ended == 1)
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -413,7 +413,7 @@
 def test_trial_that_ends_during_a_drain_goes_back_and_the_drain_stays(tmp_path):
     async def test():
         async with configured(tmp_path) as made:
-            made.driver.on_admit = made.gateway.clients.admit
+            made.driver.on_set_serving = made.gateway.clients.set_serving
             first = made.reload.in_force.config
             made.plan(refill=3.0, most_at_once=5.0)
             await made.tell("RELOAD CONFIRM 30")
--- a/tests/test_state_machine.py
+++ b/tests/test_state_machine.py
@@ -35,7 +35,7 @@
 
 
 def test_in_service_an_illegal_transition_is_carried_out_logged_once_and_counted(monkeypatch, caplog):
-    monkeypatch.setattr(illegal_transitions, "raised", False)
+    monkeypatch.setattr(illegal_transitions, "raises", False)
     monkeypatch.setattr(illegal_transitions, "counts", IllegalTransitions().counts)
     with caplog.at_level(logging.ERROR):
         states = [transition("lamp", TABLE, Lamp.BROKEN, Lamp.ON) for _ in range(3)]
