--- a/quota_gateway/recording/names.py
+++ b/quota_gateway/recording/names.py
@@ -59,6 +59,7 @@
         "priority_weight": "worth",
     },
     api.ServerAdminDown: {"admin_down": "out"},
+    api.SetServing: {"keep_idle_ms": "linger_ms"},
     api.IdleConnectionChanged: {"has_idle": "idle"},
 }
 
@@ -93,7 +94,7 @@
 
     Raises msgspec.ValidationError, TypeError or ValueError if it is no such value.
     """
-    if is_dataclass(kind) and isinstance(value, dict):
+    if isinstance(kind, type) and is_dataclass(kind) and isinstance(value, dict):
         recorded_fields = _recorded_fields(kind)
         attributes = {}
         for name, item in value.items():
