--- a/quota_gateway/recording/names.py
+++ b/quota_gateway/recording/names.py
@@ -93,7 +93,7 @@
 
     Raises msgspec.ValidationError, TypeError or ValueError if it is no such value.
     """
-    if is_dataclass(kind) and isinstance(value, dict):
+    if isinstance(kind, type) and is_dataclass(kind) and isinstance(value, dict):
         recorded_fields = _recorded_fields(kind)
         attributes = {}
         for name, item in value.items():
