--- a/tests/test_rollout_journal.py
+++ b/tests/test_rollout_journal.py
@@ -179,7 +179,7 @@
     """
     with pytest.raises(IllegalTransitionError):
         state_after(*TO_WATCHING, "ended")
-    monkeypatch.setattr(illegal_transitions, "raised", False)
+    monkeypatch.setattr(illegal_transitions, "raises", False)
     monkeypatch.setattr(illegal_transitions, "counts", Counter())
     state = state_after(*TO_WATCHING, "ended")
     assert state.phase is RolloutPhase.ENDED
