--- a/quota_gateway/rollout/admin_clients.py
+++ b/quota_gateway/rollout/admin_clients.py
@@ -10,6 +10,7 @@
 import msgspec
 
 from quota_gateway.errors import RolloutError
+from quota_gateway.rollout.answers import ACCEPTED, OLDER_TOKEN, ON_TRIAL, REJECTED
 from quota_gateway.rollout.figures import GatewayFigures
 from quota_gateway.rollout.plan import Target
 from quota_gateway.rollout.retry import NotYetError
@@ -18,9 +19,6 @@
 MAX_ANSWER_BYTES = 64 * 1024
 MAX_CONCURRENT_CALLS = 32  # over all targets
 CONFIGURATION_DIGEST = re.compile(r"digest ([0-9a-f]+)")
-ACCEPTED = "YES"
-REJECTED = "NO"
-OLDER_TOKEN = "an older token"  # how a rejection begins that is due to the token
 
 
 class UnreachableError(NotYetError):
@@ -129,7 +127,7 @@
         found = CONFIGURATION_DIGEST.search(answer.text)
         if not answer.accepted or found is None:
             raise UnreachableError(f"{target}: {answer.text}")
-        return ConfigurationInForce(found[1], "on trial" in answer.text)
+        return ConfigurationInForce(found[1], ON_TRIAL in answer.text)
 
     async def figures(self, target: str) -> GatewayFigures:
         """Its counts since its start. Raises UnreachableError or FencedError."""
--- a/quota_gateway/rollout/canary_simulation.py
+++ b/quota_gateway/rollout/canary_simulation.py
@@ -11,6 +11,7 @@
 
 import numpy as np
 
+from quota_gateway.net.metrics import LATENCY_BUCKETS_PER_DOUBLING, MAX_LATENCY_BUCKET
 from quota_gateway.rollout.canary_analysis import (
     BASELINE_GROWTH_RATIO,
     CanaryAnalysis,
@@ -27,8 +28,6 @@
 OWN_SIGMA = 0.2  # the same, of each target's own seconds
 LATENCY_MS_LOG_MEAN = 3.0
 LATENCY_MS_LOG_SIGMA = 0.8
-LATENCY_BUCKETS_PER_DOUBLING = 4.0
-MAX_LATENCY_BUCKET = 68
 
 
 @dataclass(frozen=True, slots=True)
--- a/quota_gateway/rollout/change_strategy.py
+++ b/quota_gateway/rollout/change_strategy.py
@@ -9,15 +9,13 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from quota_gateway.config import file_digest
+from quota_gateway.config import MAX_FILE_BYTES, file_digest
 from quota_gateway.errors import RolloutError
 from quota_gateway.rollout.admin_clients import AdminClients, UnreachableError
 from quota_gateway.rollout.journal_records import RolloutStarted
 from quota_gateway.rollout.plan import Plan, PlanError, Target
 from quota_gateway.rollout.rollout_state import RolloutState
 
-MAX_CONFIG_FILE_BYTES = 1024 * 1024  # what a gateway reads
-
 
 class ChangeRejectedError(RolloutError):
     """A target rejects the change itself, or fails under it; everything is rolled back."""
@@ -56,8 +54,8 @@
             data = self.plan.path(path, target).read_bytes()
         except OSError as error:
             raise PlanError(f"{target}: {error}") from None
-        if len(data) > MAX_CONFIG_FILE_BYTES:
-            raise PlanError(f"{target}: {path}: more than {MAX_CONFIG_FILE_BYTES} bytes")
+        if len(data) > MAX_FILE_BYTES:
+            raise PlanError(f"{target}: {path}: more than {MAX_FILE_BYTES} bytes")
         return data
 
     async def require_file_in_force(self, target: str) -> None:
--- a/quota_gateway/rollout/figures.py
+++ b/quota_gateway/rollout/figures.py
@@ -47,8 +47,9 @@
 class GatewayFigures(Struct, frozen=True, rename=JSON_KEYS):
     """A report: the counts of one gateway process since its start.
 
-    Latency bucket ``n`` begins at 2^(n/4) ms and counts served requests only. `client_left`, `in_flight`,
-    `config_digest` and `rejections_by_reason` are checked as a report is decoded, and not used by rollouts.
+    The keys and the latency buckets are those of `net.metrics`; buckets count served requests only.
+    `client_left`, `in_flight`, `config_digest` and `rejections_by_reason` are checked as a report is decoded,
+    and not used by rollouts.
     """
 
     pid: int = 0
--- a/quota_gateway/rollout/launcher.py
+++ b/quota_gateway/rollout/launcher.py
@@ -25,15 +25,19 @@
 
 import click
 
+from quota_gateway.rollout.answers import ACCEPTED, OLDER_TOKEN, REJECTED, RUNNING, STARTED
 from quota_gateway.rollout.program_output import last_line_of_log
 
 FAILED_EXIT_CODE = 1
 POLL_INTERVAL_S = 0.02
 START_TIMEOUT_S = 20.0  # for an admin endpoint to answer
-TERMINATION_GRACE_S = 4.5  # from SIGTERM to SIGKILL: as the platform has it, and a little more
+# From SIGTERM to SIGKILL of one process: more than the 3.7 s at most that a gateway counts on, see
+# process/shutdown.py. The supervisor's 5.0 s (failover/supervisor.py) are for all its processes together.
+TERMINATION_GRACE_S = 4.5
 CALL_TIMEOUT_S = 1.0
 NUMBER_BYTES = 32  # of a file that holds a number, more than it can have
 NO_PROCESS = -1
+ANSWER_STARTS = (ACCEPTED[:2].encode(), REJECTED[:2].encode())  # of the admin endpoint
 
 
 class RejectedError(click.ClickException):
@@ -56,14 +60,14 @@
 
 
 @contextmanager
-def exclusive_access(runtime_folder: Path, token: int) -> Iterator[None]:
+def fenced_lock(runtime_folder: Path, token: int) -> Iterator[None]:
     """Admit one caller at a time to a folder, and none with a token below one that was seen."""
     file = _open_file(runtime_folder / "launch")
     try:
         fcntl.flock(file, fcntl.LOCK_EX)
         seen = _read_number(file)
         if token < seen:
-            raise RejectedError(f"an older token: {seen} has called")
+            raise RejectedError(f"{OLDER_TOKEN}: {seen} has called")
         _write_number(file, token)
         os.fsync(file)
         yield
@@ -106,7 +110,7 @@
         try:
             with socket.create_connection(self.address, CALL_TIMEOUT_S) as connection:
                 connection.sendall(b"HEALTH\n")
-                return connection.recv(3)[:2] in (b"YE", b"NO")
+                return connection.recv(3)[:2] in ANSWER_STARTS
         except OSError:
             return False
 
@@ -175,13 +179,13 @@
     if not slot.acquire_if_free():
         if not slot.wait_until_it_answers():
             raise RejectedError(f"a process has {gateway.admin_address} and says nothing")
-        return "running"
+        return RUNNING
     child = gateway.spawn(slot)
     if not slot.wait_until_it_answers(child):
         child.kill()
         child.wait()
         raise RejectedError(f"it ended with {child.returncode}: {last_line_of_log(gateway.log_path)}")
-    return "started"
+    return STARTED
 
 
 def stop_process(slot: ProcessSlot) -> str:
@@ -228,7 +232,7 @@
 ) -> None:
     """Start a process; its log stands beside its configuration, as FILE.log."""
     gateway = GatewayCommand(name, admin_address, config_path, runtime_folder, program_folder, command)
-    with exclusive_access(runtime_folder, token):
+    with fenced_lock(runtime_folder, token):
         click.echo(start_process(gateway))
 
 
@@ -238,7 +242,7 @@
 @click.option("--token", type=int, required=True)
 def stop(admin_address: str, runtime_folder: Path, token: int) -> None:
     """End the process that has this door, if there is one."""
-    with exclusive_access(runtime_folder, token):
+    with fenced_lock(runtime_folder, token):
         click.echo(stop_process(ProcessSlot(runtime_folder, admin_address)))
 
 
--- a/quota_gateway/rollout/plan.py
+++ b/quota_gateway/rollout/plan.py
@@ -75,7 +75,7 @@
         before: the version that runs.
         after: the version that is rolled out.
         start: the platform's command that starts a target's process at an admin address of its own; its words
-            may hold the fields of `plan_file.PLATFORM_FIELDS` in braces, see docs/on-call.md. Empty: a
+            may hold the fields of `platform_commands.PlatformFields` in braces, see docs/on-call.md. Empty: a
             process on this machine.
         stop: the platform's command that ends the process at an admin address.
     """
--- a/quota_gateway/rollout/plan_file.py
+++ b/quota_gateway/rollout/plan_file.py
@@ -11,10 +11,9 @@
 import msgspec
 
 from quota_gateway.rollout.plan import Plan, PlanError, ProgramChange
+from quota_gateway.rollout.platform_commands import PlatformFields
 
 ADMIN_ADDRESS = re.compile(r"[^\s:]+:\d{1,5}")
-# What may stand in braces in the platform's commands, see docs/on-call.md.
-PLATFORM_FIELDS = ("name", "zone", "door", "token", "config", "tmp", "folder", "command")
 
 
 def load(path: Path) -> Plan:
@@ -97,9 +96,9 @@
     if bool(change.start) != bool(change.stop):
         return "start and stop go together - at `$.program`"
     words = change.start + change.stop
-    invalid = next((word for word in words if not _can_be_filled(word, PLATFORM_FIELDS)), None)
+    invalid = next((word for word in words if not _can_be_filled(word, PlatformFields._fields)), None)
     if invalid is not None:
-        return f"{invalid!r}: only {', '.join(PLATFORM_FIELDS)} may stand in braces - at `$.program`"
+        return f"{invalid!r}: only {', '.join(PlatformFields._fields)} may stand in braces - at `$.program`"
     return "" if change.before != change.after else "before and after are the same - at `$.program`"
 
 
--- a/quota_gateway/rollout/platform_commands.py
+++ b/quota_gateway/rollout/platform_commands.py
@@ -4,6 +4,8 @@
 
 import sys
 from collections.abc import Sequence
+from pathlib import Path
+from typing import NamedTuple
 
 from quota_gateway.rollout.command_runner import CommandResult, run_command
 from quota_gateway.rollout.plan import Plan, ProgramChange, ProgramVersion, Target
@@ -23,7 +25,30 @@
 )
 LOCAL_START = (*LAUNCHER, "start", *LAUNCHER_SLOT, *LAUNCHER_PROCESS)
 LOCAL_STOP = (*LAUNCHER, "stop", *LAUNCHER_SLOT)
-STARTED = "started"  # printed by a start that found no process with this admin address
+
+
+class PlatformFields(NamedTuple):
+    """What may stand in braces in the platform's commands, by the names that plans use; see docs/on-call.md.
+
+    Attributes:
+        name: the target's.
+        zone: the target's.
+        door: address of the process's admin endpoint.
+        token: the controller's.
+        config: the target's configuration file.
+        tmp: the TMPDIR that both processes of the target share.
+        folder: of the version.
+        command: of the version.
+    """
+
+    name: str
+    zone: str
+    door: str
+    token: int
+    config: Path
+    tmp: Path
+    folder: Path
+    command: str
 
 
 class PlatformCommands:
@@ -46,14 +71,15 @@
     async def _run(
         self, command: Sequence[str], target: Target, version: ProgramVersion, address: str
     ) -> CommandResult:
-        fields = {
-            "name": target.name,
-            "zone": target.zone,
-            "door": address,
-            "token": self.token,
-            "config": self.plan.path(target.config_file, target.name),
-            "tmp": self.plan.path(target.runtime_folder, target.name),
-            "folder": self.plan.path(version.folder),
-            "command": version.command,
-        }
-        return await run_command([word.format(**fields) for word in command], COMMAND_TIMEOUT_S)
+        fields = PlatformFields(
+            name=target.name,
+            zone=target.zone,
+            door=address,
+            token=self.token,
+            config=self.plan.path(target.config_file, target.name),
+            tmp=self.plan.path(target.runtime_folder, target.name),
+            folder=self.plan.path(version.folder),
+            command=version.command,
+        )
+        words = [word.format(**fields._asdict()) for word in command]
+        return await run_command(words, COMMAND_TIMEOUT_S)
--- a/quota_gateway/rollout/process_pair.py
+++ b/quota_gateway/rollout/process_pair.py
@@ -6,14 +6,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from quota_gateway.rollout import answers
 from quota_gateway.rollout.admin_clients import AdminAnswer, AdminClients, UnreachableError
 from quota_gateway.rollout.plan import PlanError, Target
 from quota_gateway.rollout.retry import NotYetError
 
-HANDED_OVER_ANSWER = "has taken over"  # within a rejected HEALTH
-ALONE_ANSWER = "no process beside"  # within a rejected RETIRE
-UNKNOWN_COMMAND_ANSWER = "no such call"
-
 
 class ProcessState(Enum):
     """What the admin endpoint at an address says about its process; the values stand in reasons."""
@@ -51,7 +48,7 @@
             return ProcessState.SILENT
         if answer.accepted:
             return ProcessState.SERVING
-        return ProcessState.HANDED_OVER if HANDED_OVER_ANSWER in answer.text else ProcessState.NOT_SERVING
+        return ProcessState.HANDED_OVER if answers.HANDED_OVER in answer.text else ProcessState.NOT_SERVING
 
     async def read(self, target: str, predecessor_address: str, successor_address: str) -> ProcessPair:
         """State of both processes."""
@@ -82,8 +79,8 @@
         successor_answer = await self._retire(target, successor_address)
         predecessor_answer = await self._retire(target, predecessor_address)
         # It says so itself; or it is of a version that can't say it, and the predecessor is silent.
-        is_alone = ALONE_ANSWER in successor_answer or (
-            not predecessor_answer and UNKNOWN_COMMAND_ANSWER in successor_answer
+        is_alone = answers.NO_PREDECESSOR in successor_answer or (
+            not predecessor_answer and answers.UNKNOWN_COMMAND in successor_answer
         )
         if not is_alone:
             reason = successor_answer or predecessor_answer or "no answer"
--- a/quota_gateway/rollout/program_rollout.py
+++ b/quota_gateway/rollout/program_rollout.py
@@ -16,9 +16,10 @@
 from pathlib import Path
 
 from quota_gateway.rollout.admin_clients import AdminClients
+from quota_gateway.rollout.answers import STARTED
 from quota_gateway.rollout.change_strategy import ChangeRejectedError, ChangeStrategy, CheckedTargets
 from quota_gateway.rollout.plan import Plan, PlanError, ProgramChange, ProgramVersion
-from quota_gateway.rollout.platform_commands import STARTED, PlatformCommands
+from quota_gateway.rollout.platform_commands import PlatformCommands
 from quota_gateway.rollout.process_pair import ProcessPair, ProcessPairReader, ProcessState
 from quota_gateway.rollout.retry import NotYetError
 from quota_gateway.rollout.rollout_state import RolloutState
--- a/quota_gateway/rollout/settings_rollout.py
+++ b/quota_gateway/rollout/settings_rollout.py
@@ -9,6 +9,7 @@
 from quota_gateway.config import read as read_config
 from quota_gateway.errors import ConfigurationError
 from quota_gateway.rollout.admin_clients import UnreachableError
+from quota_gateway.rollout.answers import NOT_DONE
 from quota_gateway.rollout.atomic_file import replace_file
 from quota_gateway.rollout.change_strategy import ChangeRejectedError, ChangeStrategy, CheckedTargets
 from quota_gateway.rollout.plan import PlanError
@@ -52,7 +53,7 @@
         digest = self.started.after[target]
         self._write_new_file(target, digest)
         answer = await self.clients.reload_on_trial(target, self.plan.trial_s)
-        if not answer.accepted and not answer.text.startswith("not done"):
+        if not answer.accepted and not answer.text.startswith(NOT_DONE):
             raise ChangeRejectedError(f"{target}: {answer.text}")
         await self._require_in_force(target, digest)
         return (await self.clients.figures(target)).pid
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -21,13 +21,14 @@
 from quota_gateway.fault_bench.bench import Rig, own_host
 from quota_gateway.fault_bench.processes import Program, call
 from quota_gateway.fault_bench.rollouts import CONTROLLER, Rollouts
-from quota_gateway.rollout import journal, journal_records
+from quota_gateway.net.metrics import GatewayMetrics
+from quota_gateway.rollout import answers, journal, journal_records
 from quota_gateway.rollout.admin_clients import AdminClients, FencedError
 from quota_gateway.rollout.canary_analysis import CanaryAnalysis, Verdict, measure_baseline
 from quota_gateway.rollout.canary_limits import CanaryLimits
 from quota_gateway.rollout.canary_simulation import HARMS, SimulatedRollout, SimulationPlan, simulate_rollout
 from quota_gateway.rollout.concurrency_rule import ConcurrencyRule
-from quota_gateway.rollout.figures import FiguresWindow
+from quota_gateway.rollout.figures import FiguresWindow, GatewayFigures
 from quota_gateway.rollout.plan import Plan, PlanError, Target
 from quota_gateway.rollout.plan_file import load
 from quota_gateway.rollout.status import target_standings
@@ -100,6 +101,33 @@
     assert reason in found.reason
 
 
+# ---- What a rollout reads of a gateway
+
+PRINTED_IN = {
+    answers.OLDER_TOKEN: "net/admin.py",
+    answers.NOT_DONE: "net/admin.py",
+    answers.UNKNOWN_COMMAND: "net/admin.py",
+    answers.HANDED_OVER: "net/admin_commands.py",
+    answers.NO_PREDECESSOR: "net/hot_restart/hot_restart.py",
+    answers.ON_TRIAL: "net/reload.py",
+}
+
+
+@pytest.mark.parametrize(("words", "file"), PRINTED_IN.items())
+def test_words_that_decide_a_rollout_are_printed_by_the_gateway(words, file):
+    """A gateway's answer is reworded, and the rollout no longer knows it.
+
+    A controller would go on after it was fenced, or roll a good change back.
+    """
+    assert words in (ROOT / "quota_gateway" / file).read_text()
+
+
+def test_figures_are_read_by_the_keys_that_the_gateway_reports():
+    """A key is renamed at one end only: the rollout would judge by zeros."""
+    reported = json.loads(GatewayMetrics().to_json(Counter(), 0, ""))
+    assert {known.encode_name for known in msgspec.structs.fields(GatewayFigures)} == set(reported)
+
+
 # ---- The plan
 
 MEMBERS = st.lists(st.sampled_from("abc"), min_size=2, max_size=40)
