--- a/quota_gateway/rollout/__main__.py
+++ b/quota_gateway/rollout/__main__.py
@@ -15,7 +15,8 @@
 from quota_gateway.rollout import journal
 from quota_gateway.rollout.admin_clients import FencedError
 from quota_gateway.rollout.canary_simulation import HARMS
-from quota_gateway.rollout.controller import DONE_OUTCOME, Controller
+from quota_gateway.rollout.controller import Controller
+from quota_gateway.rollout.journal_records import Outcome
 from quota_gateway.rollout.operator_commands import OperatorCommand, OperatorCommandFile
 from quota_gateway.rollout.plan import Plan, PlanError
 from quota_gateway.rollout.plan_file import load
@@ -76,7 +77,7 @@
         _fail(f"stopped, the journal says where: {error}")
     else:
         click.echo(outcome)
-        sys.exit(DONE_CODE if outcome == DONE_OUTCOME else ROLLED_BACK_CODE)
+        sys.exit(DONE_CODE if outcome == Outcome.DONE else ROLLED_BACK_CODE)
 
 
 async def _run_controller(plan: Plan) -> str:
--- a/quota_gateway/rollout/canary_analysis.py
+++ b/quota_gateway/rollout/canary_analysis.py
@@ -12,18 +12,21 @@
 from enum import Enum
 from itertools import chain
 from math import inf, sqrt
+from typing import Generic, TypeVar
 
 from msgspec import Struct
 
 from quota_gateway.rollout.canary_limits import CanaryLimits, Measure
 from quota_gateway.rollout.figures import FiguresWindow, sum_of_windows
 from quota_gateway.rollout.sequential_test import log_likelihood_ratio, log_threshold, upper_bound
-from quota_gateway.rollout.window_counts import GroupCounts, count_windows, dispersion, first_slow_bucket
+from quota_gateway.rollout.window_counts import MeasureCounts, count_windows, dispersion, first_slow_bucket
 
 MIN_EVENTS = 20  # before anything is blamed: fewer are not normally distributed
 BASELINE_GROWTH_RATIO = 1.25  # of the time measured, from one check for enough requests to the next
 BASELINE_TOLERANCE_RATIO = 0.6  # of the tolerance that the baseline may use up; the rest is the stage's
 
+Count = TypeVar("Count", int, dict[Measure, int])
+
 
 class Verdict(Enum):
     """What an evaluation comes to; the values are column heads of the simulation's table."""
@@ -53,6 +56,13 @@
     evidence: Evidence | None = None
 
 
+class ByGroup(Struct, Generic[Count], frozen=True, array_like=True, forbid_unknown_fields=True):
+    """A count of either group of targets; stored as an array in this order."""
+
+    judged: Count
+    others: Count
+
+
 class Baseline(
     Struct,
     frozen=True,
@@ -65,8 +75,6 @@
 ):
     """What the targets did before a stage; stored, so that another process can go on judging.
 
-    The pairs are of the judged targets and of the others, in this order.
-
     Attributes:
         target_dispersion: of single targets' windows.
         common_dispersion: of the others' windows added up, which vary as what hits all targets does.
@@ -75,15 +83,15 @@
     first_slow_bucket: int
     target_dispersion: dict[Measure, float]
     common_dispersion: dict[Measure, float]
-    answered: tuple[int, int]
-    events: tuple[dict[Measure, int], dict[Measure, int]]
+    answered: ByGroup[int]
+    events: ByGroup[dict[Measure, int]]
 
 
 def measure_baseline(judged: Collection[str], windows: Mapping[str, Sequence[FiguresWindow]]) -> Baseline:
     """The baseline from each target's windows before the change."""
     slow_bucket = first_slow_bucket(list(chain.from_iterable(windows.values())))
-    judged_counts = GroupCounts()
-    other_counts = GroupCounts()
+    judged_counts = MeasureCounts()
+    other_counts = MeasureCounts()
     for name, target_windows in windows.items():
         counts = judged_counts if name in judged else other_counts
         for window in target_windows:
@@ -96,8 +104,8 @@
         slow_bucket,
         {measure: dispersion(single, measure) for measure in Measure},
         {measure: dispersion(common, measure) for measure in Measure},
-        (judged_counts.answered, other_counts.answered),
-        (judged_counts.events, other_counts.events),
+        ByGroup(judged_counts.answered, other_counts.answered),
+        ByGroup(judged_counts.events, other_counts.events),
     )
 
 
@@ -113,8 +121,8 @@
 class Group:
     """Counts of the judged targets, or of the others."""
 
-    before: GroupCounts
-    after: GroupCounts = field(default_factory=GroupCounts)
+    before: MeasureCounts
+    after: MeasureCounts = field(default_factory=MeasureCounts)
 
     def increase(self, measure: Measure) -> ShareIncrease:
         """By how much a measure's share has grown."""
@@ -167,10 +175,10 @@
         self.min_requests = min_requests
         self.threshold = log_threshold(limits.false_stop_ratio, len(limits.measures) * stages)
         self.baseline = baseline
-        judged_answered, others_answered = baseline.answered
-        judged_events, others_events = baseline.events
-        self.judged_group = Group(GroupCounts(judged_answered, dict(judged_events)))
-        self.other_group = Group(GroupCounts(others_answered, dict(others_events)))
+        answered = baseline.answered
+        events = baseline.events
+        self.judged_group = Group(MeasureCounts(answered.judged, dict(events.judged)))
+        self.other_group = Group(MeasureCounts(answered.others, dict(events.others)))
 
     def is_baseline_sufficient(self) -> bool:
         """Whether the baseline leaves room for a verdict: it is not known any better later on."""
--- a/quota_gateway/rollout/controller.py
+++ b/quota_gateway/rollout/controller.py
@@ -11,7 +11,13 @@
 from collections.abc import Awaitable, Callable, Mapping
 
 from quota_gateway.rollout.journal import Journal
-from quota_gateway.rollout.journal_records import RolloutEnded, RolloutResumed, RolloutStarted, TargetChanged
+from quota_gateway.rollout.journal_records import (
+    Outcome,
+    RolloutEnded,
+    RolloutResumed,
+    RolloutStarted,
+    TargetChanged,
+)
 from quota_gateway.rollout.operator_commands import OperatorCommand
 from quota_gateway.rollout.plan import Plan, PlanError, fingerprint
 from quota_gateway.rollout.rollback import Rollback
@@ -19,8 +25,6 @@
 from quota_gateway.rollout.rollout_state import RolloutPhase
 from quota_gateway.rollout.stage_runner import StageRunner
 
-DONE_OUTCOME = "done"
-
 
 class Controller:
     """Runs one rollout."""
@@ -83,7 +87,7 @@
             raise PlanError("the journal is of other new settings, and is over: name another journal")
 
     async def _complete(self) -> None:
-        self.context.record(RolloutEnded(self.context.now_s(), DONE_OUTCOME))
+        self.context.record(RolloutEnded(self.context.now_s(), Outcome.DONE.value))
 
     async def _wait_for_operator(self) -> None:
         """Keep the trials up until an operator says how to go on."""
--- a/quota_gateway/rollout/journal_records.py
+++ b/quota_gateway/rollout/journal_records.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 from msgspec import Struct
 
 from quota_gateway.rollout.canary_analysis import Baseline
@@ -89,8 +91,15 @@
     reason: str
 
 
+class Outcome(StrEnum):
+    """How a rollout ends; the values stand in journals and are printed."""
+
+    DONE = "done"
+    ROLLED_BACK = "back"  # followed by the targets that were given up, if there are any
+
+
 class RolloutEnded(Record, tag="ended", frozen=True):
-    """The rollout is over: done, or rolled back."""
+    """The rollout is over; the text begins with an `Outcome`."""
 
     outcome: str
 
--- a/quota_gateway/rollout/rollback.py
+++ b/quota_gateway/rollout/rollback.py
@@ -2,12 +2,11 @@
 
 from __future__ import annotations
 
-from quota_gateway.rollout.journal_records import RolloutEnded, TargetChanged, TargetChanging
+from quota_gateway.rollout.journal_records import Outcome, RolloutEnded, TargetChanged, TargetChanging
 from quota_gateway.rollout.retry import NotYetError, retry_while_not_yet
 from quota_gateway.rollout.rollout_context import RolloutContext
 from quota_gateway.rollout.rollout_log import log_rollback_given_up
-
-ROLLED_BACK_OUTCOME = "back"  # how the outcome begins; it stands in journals and is printed
+from quota_gateway.rollout.rollout_state import RollbackResult
 
 
 class Rollback:
@@ -20,11 +19,12 @@
     async def run(self) -> None:
         """Roll back what is left, and end the rollout."""
         remaining = [
-            name for name in reversed(self.state.attempted_targets) if name not in self.state.rolled_back
+            name for name in reversed(self.state.attempted_targets) if name not in self.state.rollback_results
         ]
         await self.context.step_runner.run(remaining, self._roll_back_target)
-        outcome = ROLLED_BACK_OUTCOME
-        given_up = sorted(name for name, is_back in self.state.rolled_back.items() if not is_back)
+        outcome = Outcome.ROLLED_BACK.value
+        results = self.state.rollback_results
+        given_up = sorted(name for name, result in results.items() if result is RollbackResult.GIVEN_UP)
         if given_up:
             outcome += f", given up: {', '.join(given_up)}"
         self.context.record(RolloutEnded(self.context.now_s(), outcome))
--- a/quota_gateway/rollout/rollout_state.py
+++ b/quota_gateway/rollout/rollout_state.py
@@ -56,6 +56,13 @@
 }
 
 
+class RollbackResult(Enum):
+    """What became of the rollback of a target."""
+
+    DONE = "done"
+    GIVEN_UP = "given up"  # it stayed unreachable
+
+
 class RolloutState:
     """The sum of a journal's records.
 
@@ -66,9 +73,9 @@
         attempted_targets: whose change was begun, in order.
         rollback_started: targets whose rollback was begun.
         changed_pids: targets that have the change, with their processes.
-        rolled_back: targets that are rolled back; false where that was given up.
+        rollback_results: by target whose rollback is over.
         baselines: by stage.
-        passed_stage: the last one that the canary analysis passed; -1 before any.
+        passed_stage: the last one that the canary analysis passed.
         halt_reason: why it is halted; empty if it is not.
         rollback_reason: why it is rolled back; empty if it is not.
         outcome: how it ended; empty before.
@@ -82,9 +89,9 @@
         self.attempted_targets: list[str] = []
         self.rollback_started: set[str] = set()
         self.changed_pids: dict[str, int] = {}
-        self.rolled_back: dict[str, bool] = {}
+        self.rollback_results: dict[str, RollbackResult] = {}
         self.baselines: dict[int, Baseline] = {}
-        self.passed_stage = -1
+        self.passed_stage: int | None = None
         self.halt_reason = ""
         self.rollback_reason = ""
         self.outcome = ""
@@ -105,10 +112,14 @@
             return RolloutPhase.COMPLETING
         return self._stage_phase(self.started.stages[self.stage])
 
+    def has_passed(self, stage: int) -> bool:
+        """Whether the canary analysis has passed a stage."""
+        return self.passed_stage is not None and self.passed_stage >= stage
+
     def _stage_phase(self, targets: list[str]) -> RolloutPhase:
         if self.stage not in self.baselines:
             return RolloutPhase.MEASURING
-        if self.passed_stage >= self.stage:
+        if self.has_passed(self.stage):
             return RolloutPhase.CONFIRMING
         if any(name not in self.changed_pids for name in targets):
             return RolloutPhase.CHANGING
@@ -162,14 +173,16 @@
         if record.rollback:
             self.rollback_started.add(record.target)
             return
-        self.passed_stage = min(self.passed_stage, self.stage - 1)  # changed again means watched again
+        if self.has_passed(self.stage):  # changed again means watched again
+            self.passed_stage = self.stage - 1 if self.stage else None
         self.changed_pids.pop(record.target, None)
         if record.target not in self.attempted_targets:
             self.attempted_targets.append(record.target)
 
     def _apply_changed(self, record: TargetChanged) -> None:
         if record.rollback:
-            self.rolled_back[record.target] = not record.given_up
+            result = RollbackResult.GIVEN_UP if record.given_up else RollbackResult.DONE
+            self.rollback_results[record.target] = result
             self.changed_pids.pop(record.target, None)
         else:
             self.changed_pids[record.target] = record.pid
--- a/quota_gateway/rollout/stage_runner.py
+++ b/quota_gateway/rollout/stage_runner.py
@@ -116,7 +116,7 @@
         await self.metrics.begin_watch()
         loop = asyncio.get_running_loop()
         started_at_s = loop.time()
-        while self.state.passed_stage < stage and not self.context.interrupt_if_asked():
+        while not self.state.has_passed(stage) and not self.context.interrupt_if_asked():
             await asyncio.sleep(self.plan.poll_interval_s)
             windows = await self.metrics.read()
             if loop.time() - started_at_s >= self.plan.settle_s:
--- a/quota_gateway/rollout/status.py
+++ b/quota_gateway/rollout/status.py
@@ -6,7 +6,7 @@
 from rich.table import Table
 
 from quota_gateway.rollout.plan import Plan
-from quota_gateway.rollout.rollout_state import RolloutState
+from quota_gateway.rollout.rollout_state import RollbackResult, RolloutState
 
 
 def target_standings(plan: Plan, state: RolloutState) -> dict[str, str]:
@@ -17,8 +17,8 @@
     confirmed_stages = state.started.stages[: state.stage] if state.started else []
     for targets in confirmed_stages:
         standings |= {name: "kept" for name in targets if name in state.changed_pids}
-    for name, is_back in state.rolled_back.items():
-        standings[name] = "back" if is_back else "given up"
+    for name, result in state.rollback_results.items():
+        standings[name] = "back" if result is RollbackResult.DONE else "given up"
     return standings
 
 
--- a/quota_gateway/rollout/window_counts.py
+++ b/quota_gateway/rollout/window_counts.py
@@ -42,9 +42,17 @@
     return 0
 
 
+@dataclass(frozen=True, slots=True)
+class EventCount:
+    """Events of one measure among the answered requests of some windows."""
+
+    events: int
+    answered: int
+
+
 @dataclass(slots=True)
-class GroupCounts:
-    """Counts of one group of targets, before or after the change."""
+class MeasureCounts:
+    """Answered requests of some windows, and how many of them each measure counts."""
 
     answered: int = 0
     events: dict[Measure, int] = field(default_factory=lambda: dict.fromkeys(Measure, 0))
@@ -55,6 +63,10 @@
         for measure, count in count_events(window, first_slow_bucket).items():
             self.events[measure] += count
 
+    def of(self, measure: Measure) -> EventCount:
+        """The count of one measure."""
+        return EventCount(self.events[measure], self.answered)
+
     def share(self, measure: Measure) -> float:
         """The measure's share of the answered requests."""
         return self.events[measure] / self.answered if self.answered else 0.0
@@ -71,37 +83,17 @@
     return share * (1.0 - min(share, 0.5))
 
 
-@dataclass(frozen=True, slots=True)
-class EventCount:
-    """Events of one measure among the answered requests of some windows."""
-
-    events: int
-    answered: int
-
-
-@dataclass(frozen=True, slots=True)
-class WindowCount:
-    """One window's events, counted once for all measures."""
-
-    events: dict[Measure, int]
-    answered: int
-
-    def of(self, measure: Measure) -> EventCount:
-        """The count of one measure."""
-        return EventCount(self.events[measure], self.answered)
-
-
 def count_windows(
     targets: Iterable[Sequence[FiguresWindow]], first_slow_bucket: int
-) -> list[list[WindowCount]]:
+) -> list[list[MeasureCounts]]:
     """Each target's windows, counted."""
     return [
-        [WindowCount(count_events(window, first_slow_bucket), window.answered) for window in windows]
+        [MeasureCounts(window.answered, count_events(window, first_slow_bucket)) for window in windows]
         for windows in targets
     ]
 
 
-def dispersion(targets: Sequence[Sequence[WindowCount]], measure: Measure) -> float:
+def dispersion(targets: Sequence[Sequence[MeasureCounts]], measure: Measure) -> float:
     """Variance of windows, as a multiple of that of independent requests; at least 1.
 
     The largest over blocks of consecutive windows too, as long as enough blocks are left: bad seconds follow
--- a/tests/test_rollout_journal.py
+++ b/tests/test_rollout_journal.py
@@ -21,7 +21,7 @@
 from quota_gateway.errors import IllegalTransitionError
 from quota_gateway.failover.connection_record import ConnectionRecord
 from quota_gateway.rollout import journal
-from quota_gateway.rollout.canary_analysis import Baseline
+from quota_gateway.rollout.canary_analysis import Baseline, ByGroup
 from quota_gateway.rollout.journal_records import (
     BaselineMeasured,
     RollbackStarted,
@@ -36,7 +36,7 @@
 )
 from quota_gateway.rollout.plan import Plan, Target, fingerprint
 from quota_gateway.rollout.plan_file import load
-from quota_gateway.rollout.rollout_state import TRANSITIONS, RolloutPhase, RolloutState
+from quota_gateway.rollout.rollout_state import TRANSITIONS, RollbackResult, RolloutPhase, RolloutState
 from quota_gateway.rollout.status import target_standings
 from quota_gateway.state_machine import illegal_transitions
 
@@ -54,9 +54,9 @@
         "touched": state.attempted_targets,
         "returning": sorted(state.rollback_started),
         "changed": state.changed_pids,
-        "back": state.rolled_back,
+        "back": {name: done is RollbackResult.DONE for name, done in state.rollback_results.items()},
         "baseline": {str(stage): baseline for stage, baseline in state.baselines.items()},
-        "judged": state.passed_stage,
+        "judged": -1 if state.passed_stage is None else state.passed_stage,
         "halted": state.halt_reason,
         "turned": state.rollback_reason,
         "outcome": state.outcome,
@@ -121,7 +121,7 @@
 
 RECORDS = {
     "start": RolloutStarted(0.0, "p", "f", [["g0"], ["g1"]], {}, {}),
-    "baseline": BaselineMeasured(0.0, 0, Baseline(0, {}, {}, (0, 0), ({}, {}))),
+    "baseline": BaselineMeasured(0.0, 0, Baseline(0, {}, {}, ByGroup(0, 0), ByGroup({}, {}))),
     "changing": TargetChanging(0.0, "g0"),
     "changed": TargetChanged(0.0, "g0", pid=7),
     "passed": StagePassed(0.0, 0, "fine"),
