--- a/quota_gateway/rollout/__main__.py
+++ b/quota_gateway/rollout/__main__.py
@@ -24,15 +24,15 @@
 from quota_gateway.rollout.simulation_table import simulation_table
 from quota_gateway.rollout.status import status_json, status_table
 
-DONE_CODE = 0
-ROLLED_BACK_CODE = 1
-FAILED_CODE = 2  # no plan, or nothing more touched
-OTHER_CONTROLLER_CODE = 3
+DONE_EXIT_CODE = 0
+ROLLED_BACK_EXIT_CODE = 1
+FAILED_EXIT_CODE = 2  # no plan, or nothing more touched
+OTHER_CONTROLLER_EXIT_CODE = 3
 SIMULATION_TABLE_WIDTH = 110
 PlanFile = click.Path(path_type=Path)
 
 
-def _fail(message: str, exit_code: int = FAILED_CODE) -> NoReturn:
+def _fail(message: str, exit_code: int = FAILED_EXIT_CODE) -> NoReturn:
     click.echo(message, err=True)
     sys.exit(exit_code)
 
@@ -72,12 +72,12 @@
     except PlanError as error:
         _fail(f"refused, nothing more is touched: {error}")
     except (journal.JournalError, FencedError) as error:
-        _fail(f"another controller has it: {error}", OTHER_CONTROLLER_CODE)
+        _fail(f"another controller has it: {error}", OTHER_CONTROLLER_EXIT_CODE)
     except (KeyboardInterrupt, OSError) as error:
         _fail(f"stopped, the journal says where: {error}")
     else:
         click.echo(outcome)
-        sys.exit(DONE_CODE if outcome == Outcome.DONE else ROLLED_BACK_CODE)
+        sys.exit(DONE_EXIT_CODE if outcome == Outcome.DONE else ROLLED_BACK_EXIT_CODE)
 
 
 async def _run_controller(plan: Plan) -> str:
@@ -131,7 +131,9 @@
 @click.option(
     "--rate", "requests_per_s", default=20.0, show_default=True, help="requests a second and member"
 )
-@click.option("--harm", "harms", multiple=True, type=click.Choice(list(HARMS)), help="only these; all else")
+@click.option(
+    "--harm", "harms", multiple=True, type=click.Choice(list(HARMS)), help="repeatable; default: all"
+)
 def trial(rollouts: int, targets: int, requests_per_s: float, harms: tuple[str, ...]) -> None:
     """How often the judge stops for nothing, and how soon it finds harm: in virtual time, all cores."""
     table = simulation_table(harms or tuple(HARMS), rollouts, targets, requests_per_s)
--- a/quota_gateway/rollout/canary_analysis.py
+++ b/quota_gateway/rollout/canary_analysis.py
@@ -22,8 +22,11 @@
 from quota_gateway.rollout.window_counts import MeasureCounts, count_windows, dispersion, first_slow_bucket
 
 MIN_EVENTS = 20  # before anything is blamed: fewer are not normally distributed
-BASELINE_GROWTH_RATIO = 1.25  # of the time measured, from one check for enough requests to the next
-BASELINE_TOLERANCE_RATIO = 0.6  # of the tolerance that the baseline may use up; the rest is the stage's
+# Time measured at the next check of the baseline, of that at this one. Each check counts all windows anew, so
+# that there are to be few.
+BASELINE_GROWTH_RATIO = 1.25
+# Of the tolerance that the baseline's uncertainty may use up; the rest is for the stage's own.
+BASELINE_TOLERANCE_RATIO = 0.6
 
 Count = TypeVar("Count", int, dict[Measure, int])
 
@@ -202,6 +205,7 @@
         if worse:
             reason = f"{worse.evidence.measure}: {worse.excess:+.4f} against the others"
             return CanaryResult(Verdict.WORSE, reason, worse.evidence)
+        # Reversed: of several, the last in the plan's order of measures is named.
         common = next((found for found in reversed(assessments) if found.is_common_fault), None)
         if common:
             reason = f"{common.evidence.measure}: {common.evidence.others:+.4f} in the others"
--- a/quota_gateway/rollout/controller.py
+++ b/quota_gateway/rollout/controller.py
@@ -112,4 +112,5 @@
                 self._record_process(name, figures.pid)
 
     def _record_process(self, name: str, pid: int) -> None:
+        """Record the process that a target is now; journals have no record of its own for that."""
         self.context.record(TargetChanged(self.context.now_s(), name, pid=pid))
--- a/quota_gateway/rollout/journal.py
+++ b/quota_gateway/rollout/journal.py
@@ -103,7 +103,7 @@
         os.lseek(self.file, end, os.SEEK_SET)
 
     def _next_token(self) -> int:
-        """Above that of an earlier rollout with another journal, too, as it counts milliseconds."""
+        """Milliseconds since the epoch, so also above the tokens of other journals."""
         return max(self.state.token + 1, int(1000.0 * self.clock()))
 
     def write(self, record: JournalRecord) -> None:
--- a/quota_gateway/rollout/journal_records.py
+++ b/quota_gateway/rollout/journal_records.py
@@ -54,7 +54,10 @@
 
 
 class TargetChanged(Record, tag="changed", frozen=True, rename={"target": "member", "rollback": "back"}):
-    """A target is changed and runs as this process, or is rolled back, or its rollback was given up."""
+    """A target is changed and runs as this process, or is rolled back, or its rollback was given up.
+
+    Also written for a target that is changed already, when an operator accepts that it is another process.
+    """
 
     target: str
     rollback: bool = False
--- a/quota_gateway/rollout/program_rollout.py
+++ b/quota_gateway/rollout/program_rollout.py
@@ -26,7 +26,9 @@
 from quota_gateway.rollout.version_check import VersionCheck
 
 MAX_CONCURRENT_CHECKS = 8  # of targets: each runs the new version once
-SERVING_PATIENCE_RATIO = 0.7  # of a target's time, for a successor that is there and does not serve
+# Of a target's time, for a successor that is there and does not serve: the change is rolled back before the
+# time is up, after which the rollout would halt.
+SERVING_PATIENCE_RATIO = 0.7
 
 
 class ProgramRollout(ChangeStrategy):
--- a/quota_gateway/rollout/trial_renewal.py
+++ b/quota_gateway/rollout/trial_renewal.py
@@ -6,7 +6,7 @@
 
 from quota_gateway.rollout.change_strategy import ChangeStrategy
 
-RENEWALS = 3  # within a trial's time
+RENEWALS = 3  # within a trial's time, so that one that fails is followed by another in time
 
 
 class TrialRenewal:
--- a/quota_gateway/rollout/window_counts.py
+++ b/quota_gateway/rollout/window_counts.py
@@ -14,7 +14,7 @@
 from quota_gateway.rollout.figures import FiguresWindow, sum_of_latency_buckets
 
 SLOW_QUANTILE_RATIO = 0.9  # of the latencies before a change are below the first slow bucket
-MIN_BLOCKS = 5  # of consecutive windows: fewer do not tell how much they vary
+MIN_BLOCKS = 5  # of consecutive windows: a variance of fewer is too uncertain
 MIN_VARIANCE_SHARE = 1e-3  # a share below it has at least its variance: a few events are no proof
 
 
