--- a/quota_gateway/rollout/process_pair.py
+++ b/quota_gateway/rollout/process_pair.py
@@ -23,7 +23,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessPair:
-    """States of the processes at a target's two addresses.
+    """States of the processes at a target's two addresses, named by version.
+
+    After a rollback has begun the predecessor may have taken over from the successor.
 
     Attributes:
         predecessor: of the process of the version before, also where it was started for a rollback.
