--- a/quota_gateway/config.py
+++ b/quota_gateway/config.py
@@ -61,7 +61,7 @@
             if self.values.get(path) != before.values.get(path)
         ]
 
-    def unchangeable(self, before: Config) -> list[str]:
+    def faults_of_fixed_names(self, before: Config) -> list[str]:
         """The faults of a reload that would change what can't change while the process runs."""
         return [
             f"{name}: {show(self.fixed_values[name])}, want {show(before.fixed_values[name])}: "
@@ -117,8 +117,15 @@
 def read(raw: bytes, environment: Mapping[str, str], reload: bool = False) -> Config:
     """The configuration of a file's bytes.
 
-    EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_ADMIN come first, as they say the same or are meant to
-    override; but on a reload the file's discovery does, as EDGE_DISCOVERY is of the start.
+    Which source wins where both name a value:
+
+      value            at the start   on a reload
+      name, listen     environment    environment; a changed value in the file is a fault
+      discovery        environment    file
+      admin            environment    environment
+
+    EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY fill in what the file leaves out, too. What EDGE_DISCOVERY says
+    was true at the start; a file that is reloaded is newer.
 
     Raises:
         ConfigurationError: There are faults, all of them in the error.
--- a/quota_gateway/net/admin.py
+++ b/quota_gateway/net/admin.py
@@ -220,9 +220,8 @@
         if self._fencing is None:
             return ""
         try:
-            async with asyncio.timeout(
-                ANSWER_TIMEOUT_S
-            ):  # a process that starts does not know the tokens yet
+            # A process that starts does not know the tokens yet, and answers late.
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 higher = await self._fencing(int(token))
         except TimeoutError:
             return "not done in time"
--- a/quota_gateway/net/admin_commands.py
+++ b/quota_gateway/net/admin_commands.py
@@ -144,7 +144,7 @@
         """Accept a fencing token and share it with the peer; 0 if its holder may act, else the higher one."""
         await self.serving.wait()
         highest = self._hot_restart.highest_token
-        if not self._hot_restart.fence(token):
+        if not self._hot_restart.accept_token(token):
             return highest
         if token > highest:
             await self._hot_restart.share_wishes()
--- a/quota_gateway/net/configuration_in_force.py
+++ b/quota_gateway/net/configuration_in_force.py
@@ -28,7 +28,7 @@
         self.config = config
         self.revision = 1
         self.since_s = time.time()
-        self.rollback_target: Config | None = None  # the last good one
+        self.rollback_target: Config | None = None  # in force before the last change, or the trial
         self._parts = parts
         self._admin_endpoint = admin_endpoint
 
--- a/quota_gateway/net/discovery_watch.py
+++ b/quota_gateway/net/discovery_watch.py
@@ -10,7 +10,7 @@
 import httptools
 
 from quota_gateway.errors import ProtocolError
-from quota_gateway.net.json_stream import Heartbeat, JsonObjectStream
+from quota_gateway.net.json_stream import EmptyLine, JsonObjectStream
 from quota_gateway.net.servers import Address
 from quota_gateway.state_machine import Transitions, transition
 
@@ -191,7 +191,7 @@
 
     def _take(self, item: Any) -> None:
         self._become_live()
-        if item is not Heartbeat.HEARTBEAT:
+        if item is not EmptyLine.EMPTY_LINE:
             self._owner.take(item, self)
 
     def malformed(self, reason: str) -> None:
--- a/quota_gateway/net/hot_restart/hot_restart.py
+++ b/quota_gateway/net/hot_restart/hot_restart.py
@@ -64,9 +64,9 @@
         """Whether the next process serves in place of this one."""
         return self.predecessor.handed_over
 
-    def complete(self) -> bool:
+    def is_handover_complete(self) -> bool:
         """Whether this process has handed over, and all messages have gone out."""
-        return self.predecessor.complete()
+        return self.predecessor.is_handover_complete()
 
     def close(self) -> None:
         """Release all, as this process ends."""
@@ -97,16 +97,19 @@
         """The highest token that a caller at the admin endpoint has shown."""
         return self._wishes.highest_token
 
-    def fence(self, token: int) -> bool:
-        """Whether a caller with this token may act: no caller with a higher one is known."""
-        return self._wishes.fence(token)
+    def accept_token(self, token: int) -> bool:
+        """Note a caller's token, and whether it may act: no caller with a higher one is known."""
+        return self._wishes.accept_token(token)
 
     def operator_wishes(self) -> OperatorWishes:
         """What operators wish, as it is in force here."""
         return self._wishes.current()
 
     async def share_wishes(self) -> None:
-        """Return once the wishes in force are on disk, and in force at the peer process if there is one."""
+        """Write the wishes in force to disk, and wait until the peer process, if there is one, has them too.
+
+        A failed write, and a peer that does not answer in time, are logged; the wishes hold here anyway.
+        """
         self._exchange.save()
         session = self._greeted_session()
         if session:
--- a/quota_gateway/net/hot_restart/messages.py
+++ b/quota_gateway/net/hot_restart/messages.py
@@ -44,7 +44,9 @@
 class TakeOver(NamedTuple):
     """Successor to predecessor: stop accepting and hand over now."""
 
-    heartbeats: bool  # the successor sends heartbeats; earlier versions do not
+    heartbeats: (
+        bool  # it sends heartbeats, and reports the connections it closes; earlier versions do neither
+    )
 
     def body(self) -> bytes:
         """The bytes behind the letter."""
--- a/quota_gateway/net/hot_restart/operator_wishes.py
+++ b/quota_gateway/net/hot_restart/operator_wishes.py
@@ -90,8 +90,8 @@
         """Note a caller's token; the highest one counts."""
         self.highest_token = max(self.highest_token, token)
 
-    def fence(self, token: int) -> bool:
-        """Whether a caller with this token may act: no caller with a higher one is known."""
+    def accept_token(self, token: int) -> bool:
+        """Note a caller's token, and whether it may act: no caller with a higher one is known."""
         if token < self.highest_token:
             return False
         self.highest_token = token
--- a/quota_gateway/net/hot_restart/predecessor.py
+++ b/quota_gateway/net/hot_restart/predecessor.py
@@ -150,7 +150,7 @@
         """Whether the successor serves in place of this process."""
         return self.state in SUCCESSOR_SERVES
 
-    def complete(self) -> bool:
+    def is_handover_complete(self) -> bool:
         """Whether this process has handed over, and all messages have gone out."""
         return self.handed_over and self.session is not None and self.session.all_sent()
 
@@ -209,7 +209,10 @@
         session.peer_process.close()
 
     def _take_back(self, session: PeerSession) -> None:
-        """The successor's process has ended: this one serves again."""
+        """The successor's process has ended: this one serves again.
+
+        What the successor charged to quotas, and a configuration that it loaded, are not known here.
+        """
         session.peer_process.close()
         self._enter(PredecessorState.SERVING)
         self._parts.driver.post(api.PeerExited())
--- a/quota_gateway/net/hot_restart/successor.py
+++ b/quota_gateway/net/hot_restart/successor.py
@@ -143,7 +143,7 @@
         side by side with this process.
         """
         if timed_out and self.state is SuccessorState.GREETING:
-            # So far it has had less time than a process that hangs is given elsewhere.
+            # HELLO_TIMEOUT_S alone is shorter than the silence that heartbeats allow.
             for _ in range(MAX_MISSED_HEARTBEATS):
                 await asyncio.sleep(HEARTBEAT_INTERVAL_S)
         if timed_out and not session.link.has_received and session.peer_process.alive():
--- a/quota_gateway/net/json_stream.py
+++ b/quota_gateway/net/json_stream.py
@@ -10,14 +10,14 @@
 from quota_gateway.errors import ProtocolError
 
 
-class Heartbeat(Enum):
-    """An empty line between two objects: the sender is alive and has nothing to say."""
+class EmptyLine(Enum):
+    """Between two objects: the sender is alive and has nothing to say."""
 
-    HEARTBEAT = "heartbeat"
+    EMPTY_LINE = "empty line"
 
 
 class JsonObjectStream:
-    """Splits what comes in pieces of any size into objects and heartbeats.
+    """Splits what comes in pieces of any size into objects and empty lines.
 
     An object is parsed as it begins and where it may end, not at each of its lines, which would cost the
     square of its length.
@@ -33,7 +33,7 @@
         return len(self._object) + len(self._line)
 
     def feed(self, data: bytes) -> Iterator[Any]:
-        """The objects and heartbeats that are complete with these bytes.
+        """The objects and empty lines that are complete with these bytes.
 
         Raises:
             ProtocolError: These bytes can't become an object, whatever follows.
@@ -47,7 +47,7 @@
             elif self._object:
                 raise ProtocolError("an object that breaks off")
             else:
-                yield Heartbeat.HEARTBEAT
+                yield EmptyLine.EMPTY_LINE
 
     def finish(self) -> Iterator[Any]:
         """The object that is complete as the stream ends in order, if any.
--- a/quota_gateway/net/metrics.py
+++ b/quota_gateway/net/metrics.py
@@ -17,7 +17,7 @@
 from quota_gateway.state import GiveUpReason
 
 LATENCY_BUCKETS_PER_DOUBLING = 4  # a bucket is 19% wide
-MAX_LATENCY_BUCKET = 68  # begins at 131 s; bucket 0 holds all below 1 ms
+MAX_LATENCY_BUCKET = 68  # begins at 131 s; bucket 0 holds all below 1.19 ms
 
 PROGRAM = str(Path(__file__).parents[2])  # the folder of the version that runs
 
@@ -74,7 +74,7 @@
         document = {
             "pid": os.getpid(),
             "since": round(self.started_s, 3),
-            "revision": configuration_digest,
+            "revision": configuration_digest,  # a digest: revision numbers differ between processes
             "program": PROGRAM,
             "asked": self.requests_total,
             "served": self.served_total,
--- a/quota_gateway/net/reload.py
+++ b/quota_gateway/net/reload.py
@@ -1,10 +1,18 @@
 """Reloads of the configuration while the gateway serves: completely or not at all, and with a rollback.
 
-  steady    RELOAD, SIGHUP -> steady, can be rolled back     RELOAD CONFIRM -> on trial
-  on trial  CONFIRM -> steady     ROLLBACK, or the time is up -> steady, as before the trial
-            RELOAD, SIGHUP with a changed file -> steady, as the file now says; the target of a rollback stays
-
-The states and their table are in ``configuration_trial``.
+  state     event                           next state  effect
+  steady    RELOAD, SIGHUP, changed file    steady      the rollback target is what was in force
+  steady    RELOAD CONFIRM, changed file    on trial    the rollback target is what was in force
+  on trial  RELOAD, SIGHUP, changed file    steady      the rollback target stays
+  on trial  RELOAD CONFIRM, changed file    on trial    a new trial; the rollback target stays
+  on trial  RELOAD CONFIRM, unchanged file  on trial    the time begins anew
+  on trial  CONFIRM                         steady      the configuration stays
+  on trial  the time is up                  steady      the rollback target is in force; no target is left
+  either    ROLLBACK                        steady      the rollback target is in force; no target is left
+  either    any other, unchanged file       unchanged   nothing; in particular no trial begins
+
+A faulty file changes nothing. Once the next process has taken over, all but CONFIG is rejected, SIGHUP too:
+the next process reads the file itself. The states are in ``configuration_trial``.
 """
 
 from __future__ import annotations
@@ -26,8 +34,8 @@
 log = logging.getLogger(__name__)
 
 READ_INTERVAL_S = 0.1  # between attempts to read a file that is truncated or missing: it may be being written
-MAX_READS_SIGNAL = 20  # half of the time in which the platform wants discovery to have moved
-MAX_READS_CALL = 4  # a caller at the admin endpoint waits 1 s
+MAX_READS_ON_SIGHUP = 20  # 2 s, half of the time in which the platform wants discovery to have moved
+MAX_READS_ON_COMMAND = 4  # 0.4 s: a caller at the admin endpoint waits 1 s
 MAX_TRIAL_S = 3600
 RELOAD_ARGUMENTS = Arguments((0, 2), "nothing or CONFIRM SECONDS")
 MAX_REASON_CHARS = 400  # of a rejection, in the answer and in the log
@@ -48,7 +56,7 @@
         self.trial = ConfigurationTrial(self._roll_back_expired_trial)
         self.last_rejection = ""  # when and why
         # Set once this process serves: a change before that would be undone by what it takes over.
-        self.up = asyncio.Event()
+        self.serving = asyncio.Event()
         self.signal_pending = False
         self.signal_task: asyncio.Task[None] | None = None
         self._environment = environment
@@ -82,14 +90,13 @@
             self.signal_task.add_done_callback(self._signals_followed)
 
     async def _follow_signals(self) -> None:
-        await self.up.wait()
+        await self.serving.wait()
         while self.signal_pending:
             self.signal_pending = False
             revision = self.in_force.revision
-            reply = await self._reload(MAX_READS_SIGNAL, None)
-            if (
-                reply.is_done and self.in_force.revision == revision
-            ):  # a change or a rejection was logged already
+            reply = await self._reload(MAX_READS_ON_SIGHUP, None)
+            logged_already = not reply.is_done or self.in_force.revision != revision
+            if not logged_already:
                 log.info("SIGHUP: %s", reply.text)
 
     def _signals_followed(self, task: asyncio.Task[None]) -> None:
@@ -121,14 +128,14 @@
             if not 1 <= int(seconds[:9]) <= MAX_TRIAL_S:
                 return rejected(f"a trial lasts 1 to {MAX_TRIAL_S} s")
             trial_s = float(seconds)
-        await self.up.wait()
-        return await self._reload(MAX_READS_CALL, trial_s)
+        await self.serving.wait()
+        return await self._reload(MAX_READS_ON_COMMAND, trial_s)
 
     async def confirm(self, _: str) -> AdminReply:
         """CONFIRM: keep what is on trial."""
         if not self.trial.active:
             return rejected("nothing is on trial")
-        reason = self._why_fixed()
+        reason = self._unchangeable_reason()
         if reason:
             return rejected(reason)
         self.trial.end()
@@ -137,14 +144,14 @@
         return done(f"confirmed, revision {in_force.revision}")
 
     async def rollback(self, _: str) -> AdminReply:
-        """ROLLBACK: put the last good configuration into force again."""
-        await self.up.wait()
+        """ROLLBACK: put the configuration before the last change, or before the trial, into force again."""
+        await self.serving.wait()
         async with self._lock:
             return await self._roll_back("rolled back")
 
     # ---- A change
 
-    def _why_fixed(self) -> str:
+    def _unchangeable_reason(self) -> str:
         """Why this process changes nothing any more; empty while it may."""
         if self._stopping:
             return "this process stops"
@@ -152,7 +159,7 @@
 
     def _check_changeable(self) -> None:
         """Raise ConfigurationError if this process changes nothing any more."""
-        reason = self._why_fixed()
+        reason = self._unchangeable_reason()
         if reason:
             raise ConfigurationError([reason])
 
@@ -175,7 +182,7 @@
         in_force = self.in_force
         config = read(read_file(self._environment["EDGE_CONFIG"]), self._environment, reload=True)
         await asyncio.sleep(0)  # other tasks have their turn between reading and applying
-        faults = config.unchangeable(in_force.config)
+        faults = config.faults_of_fixed_names(in_force.config)
         if faults:
             raise ConfigurationError(faults)
         if not config.changes(in_force.config):
@@ -217,7 +224,7 @@
     # ---- Rollback
 
     async def _roll_back(self, note: str) -> AdminReply:
-        """Change to the last good configuration; after that there is none to go back to."""
+        """Change to the rollback target; after that there is none to go back to."""
         target = self.in_force.rollback_target
         if target is None:
             return rejected("there is nothing to go back to")
--- a/quota_gateway/net/servers/connection.py
+++ b/quota_gateway/net/servers/connection.py
@@ -12,7 +12,13 @@
 import hiredis
 
 from quota_gateway import api
-from quota_gateway.net.declared_lengths import END, LONG, Lengths, long_value
+from quota_gateway.net.declared_lengths import (
+    LINE_END,
+    STREAMED_VALUE_BYTES,
+    DeclaredLengths,
+    LongValueHead,
+    parse_long_value_head,
+)
 from quota_gateway.net.servers.attempt import Attempt, Sink
 from quota_gateway.net.servers.endpoint import ServerEndpoint
 from quota_gateway.net.servers.replies import Reply, ServerError
@@ -68,7 +74,7 @@
 
         # Reading a reply
         self.reader = hiredis.Reader(replyError=ServerError)
-        self.lengths = Lengths(LONG, answers=True)
+        self.lengths = DeclaredLengths(STREAMED_VALUE_BYTES, is_replies=True)
         self.head = b""  # first bytes of a reply, until they tell whether a long value comes
         self.head_is_read = False
         self.unparsed_bytes = 0
@@ -195,26 +201,25 @@
             return
         if self.attempt and not self.head_is_read:
             self.head += data
-            found = long_value(self.head)
+            found = parse_long_value_head(self.head)
             if found is None:
                 return
             data = self.head
             self.head = b""
             self.head_is_read = True
-            words, length, value_at = found
-            if words:
-                self._begin_stream(words, length, data[value_at:])
+            if found.words:
+                self._begin_stream(found, data[found.value_at :])
                 return
         self._parse(data)
 
     def _parse(self, data: bytes) -> None:
-        good = self.lengths.good(data)
-        self.reader.feed(data[:good])
+        valid = self.lengths.count_valid(data)
+        self.reader.feed(data[:valid])
         self.unparsed_bytes += len(data)
         try:
             parsed = self.reader.gets()
-            has_more = self.reader.has_data() or good < len(data)
-            if parsed is False and good < len(data):
+            has_more = self.reader.has_data() or valid < len(data)
+            if parsed is False and valid < len(data):
                 raise ValueError("a length out of bounds")
         except (hiredis.HiredisError, ValueError, MemoryError):
             log.warning("a server broke the protocol: %.100r", data)
@@ -243,9 +248,9 @@
 
     # ---- Streamed values
 
-    def _begin_stream(self, words: int, length: int, data: bytes) -> None:
+    def _begin_stream(self, head: LongValueHead, data: bytes) -> None:
         assert self.attempt
-        sink = self.attempt.begun(length, self)
+        sink = self.attempt.begun(head.value_bytes, self)
         if sink is None:
             self.close(api.Status.CANCELLED)  # nobody waits for it
             return
@@ -254,8 +259,8 @@
             return
         self._enter(ConnectionState.STREAMING)
         self.sink = sink
-        self.value_words = words
-        self.value_bytes_left = length
+        self.value_words = head.words
+        self.value_bytes_left = head.value_bytes
         self.servers.streams += 1
         if data:
             self._stream(data)
@@ -276,10 +281,10 @@
     def _check_line_end(self, data: bytes) -> None:
         """After the value's last byte: it is complete only if its line end comes now."""
         self.head += data
-        if not self.head.startswith(END[: len(self.head)]):
+        if not self.head.startswith(LINE_END[: len(self.head)]):
             log.warning("a server's long value runs on: %.100r", self.head)
             self.close(api.Status.ERROR)
-        elif self.sink and len(self.head) >= len(END):
+        elif self.sink and len(self.head) >= len(LINE_END):
             head = self.head
             self.head = b""
             self._end_stream(True)
--- a/quota_gateway/process/builder.py
+++ b/quota_gateway/process/builder.py
@@ -81,7 +81,10 @@
 
 
 def _standby(clients: ClientRegistry) -> SupervisedGateway | None:
-    """This process's end of the supervisor, where the environment names one; else its code is not loaded."""
+    """This process's end of the link to the supervisor; None, and its code not loaded, without one.
+
+    EDGE_KEEPER is the path of the supervisor's socket.
+    """
     path = os.environ.get("EDGE_KEEPER")
     if not path:
         return None
@@ -91,9 +94,10 @@
 
 
 def _hot_restart(config: Config, parts: ProcessParts, standby: SupervisedGateway | None) -> HotRestart:
-    """Both ends of a hot restart, off under a supervisor.
+    """Both ends of a hot restart; the two processes meet at a socket in the folder TMPDIR.
 
-    There the next process stands by already, and must not take over from one that serves.
+    Off under a supervisor: there the next process stands by already, and must not take over from one that
+    serves.
     """
     folder = None if standby else os.environ.get("TMPDIR")
     identity = GatewayIdentity(config.name, f"{config.listen[0]}:{config.listen[1]}")
--- a/quota_gateway/process/lifecycle.py
+++ b/quota_gateway/process/lifecycle.py
@@ -86,7 +86,7 @@
             await parts.standby.serve()
         parts.hot_restart.offer()
         parts.admin_commands.serving.set()
-        parts.reload.up.set()
+        parts.reload.serving.set()
         log.info("listening")
 
     async def _shut_down(self) -> None:
--- a/quota_gateway/process/shutdown.py
+++ b/quota_gateway/process/shutdown.py
@@ -21,10 +21,10 @@
 CHECK_INTERVAL_S = 0.01
 
 
-class Successor(Protocol):
+class HandoverStatus(Protocol):
     """What the shutdown asks of the hot restart."""
 
-    def complete(self) -> bool:
+    def is_handover_complete(self) -> bool:
         """Whether this process has handed over, and all messages have gone out."""
 
 
@@ -41,11 +41,11 @@
         settings: api.Settings,
         driver: Driver,
         clients: ClientRegistry,
-        successor: Successor | None = None,
+        handover: HandoverStatus | None = None,
     ) -> None:
         self._driver = driver
         self._clients = clients
-        self._successor = successor
+        self._handover = handover
         self._loop = asyncio.get_running_loop()
         self._duration_s = answering_s(settings)
         self._answered_by_s = self._loop.time() + self._duration_s
@@ -67,7 +67,7 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     def _is_replaced(self) -> bool:
-        if self._successor is None or not self._successor.complete():
+        if self._handover is None or not self._handover.is_handover_complete():
             return False
         return not self._clients.connections and not self._driver.requests
 
--- a/quota_gateway/rollout/settings_rollout.py
+++ b/quota_gateway/rollout/settings_rollout.py
@@ -123,7 +123,7 @@
         new_config = read_config(new, {})
     except ConfigurationError as error:
         return "; ".join(error.faults[:MAX_FAULTS_SHOWN])
-    faults = new_config.unchangeable(old_config)
+    faults = new_config.faults_of_fixed_names(old_config)
     if faults:
         return "; ".join(faults[:MAX_FAULTS_SHOWN])
     return "" if new_config.changes(old_config) else "its new settings change nothing"
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -268,14 +268,14 @@
         "settings.tariffs[basic].refill 2.0 -> 3",
     ]
     assert not after.changes(after)
-    assert not after.unchangeable(before)
+    assert not after.faults_of_fixed_names(before)
 
 
 @pytest.mark.parametrize(("name", "value"), [("name", "n9"), ("listen", "127.0.0.1:7"), ("seed", "ab")])
 def test_what_can_not_change_is_named(name, value):
     before = read(raw(GOOD), {"EDGE_LISTEN": "127.0.0.1:1"})
     after = read(raw(changed((name,), value)), {"EDGE_LISTEN": "127.0.0.1:1"}, reload=True)
-    (fault,) = after.unchangeable(before)
+    (fault,) = after.faults_of_fixed_names(before)
     assert fault.startswith(f"{name}: ")
     assert "can't change" in fault
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -575,12 +575,12 @@
     async def test():
         async with process(tmp_path) as old, process(tmp_path) as new:
             old.hot_restart.offer()
-            assert not old.hot_restart.complete()
+            assert not old.hot_restart.is_handover_complete()
             assert await new.hot_restart.take_over()
-            await until(old.hot_restart.complete)
+            await until(old.hot_restart.is_handover_complete)
             queue = old.hot_restart.predecessor.session.link.queue
             queue.append(QueuedMessage(b"F{}"))
-            assert not old.hot_restart.complete()
+            assert not old.hot_restart.is_handover_complete()
             queue.clear()
 
     run(test())
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -10,7 +10,7 @@
 from quota_gateway import AttemptEnded, Limits, Status, StreamStarted
 from quota_gateway.net.clients import connection as client_connection_module
 from quota_gateway.net.clients import registry as registry_module
-from quota_gateway.net.declared_lengths import LONG, LONGEST_VALUE, long_value
+from quota_gateway.net.declared_lengths import MAX_VALUE_BYTES, STREAMED_VALUE_BYTES, parse_long_value_head
 from quota_gateway.net.servers import connection as connection_module
 from quota_gateway.net.servers import pool as pool_module
 
@@ -49,14 +49,14 @@
         (b"*-1\r\n", (0, 0, 0)),
         (b"*3\r\n$-1\r\n", (0, 0, 0)),
         (b"*99\r\n$100000\r\n", (0, 0, 0)),
-        (b"*3\r\n$%d\r\n" % LONG, (0, 0, 0)),
-        (b"*1\r\n$%d\r\n" % LONGEST_VALUE, (1, LONGEST_VALUE, 14)),
-        (b"*3\r\n$%d\r\n" % (LONGEST_VALUE + 1), (0, 0, 0)),
+        (b"*3\r\n$%d\r\n" % STREAMED_VALUE_BYTES, (0, 0, 0)),
+        (b"*1\r\n$%d\r\n" % MAX_VALUE_BYTES, (1, MAX_VALUE_BYTES, 14)),
+        (b"*3\r\n$%d\r\n" % (MAX_VALUE_BYTES + 1), (0, 0, 0)),
         (b"*3\r\n$99999999", (0, 0, 0)),
     ],
 )
 def test_head_of_a_long_value_is_told_apart_as_soon_as_it_can_be(head, found):
-    assert long_value(head) == found
+    assert parse_long_value_head(head) == found
 
 
 @pytest.mark.usefixtures("no_rest")
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -9,7 +9,7 @@
 from quota_gateway.net.clients import connection as module
 from quota_gateway.net.clients.command_stream import MAX_COMMAND_BYTES, MAX_WORD_BYTES
 from quota_gateway.net.clients.connection import MAX_PIPELINED
-from quota_gateway.net.declared_lengths import Lengths
+from quota_gateway.net.declared_lengths import DeclaredLengths
 
 GOOD = "c=read,t=free,d=4000,units=1,spread=2,first=0"
 WHO, ID = "00000000b4d65521", "00000000000000aa"
@@ -181,24 +181,22 @@
 
 @pytest.mark.parametrize("cut", [1, 2, 3, 5, 17, 1000])
 def test_lengths_within_bounds_all_reach_the_parser(cut):
-    lengths = Lengths(MAX_WORD_BYTES)
+    lengths = DeclaredLengths(MAX_WORD_BYTES)
     stream = call(1, "post", body=b"*9\r\n$9\r\n" * 9) + resp("PING") + resp("A", "", "c")
     pieces = [stream[at : at + cut] for at in range(0, len(stream), cut)]
-    assert [lengths.good(piece) for piece in pieces] == [len(piece) for piece in pieces]
-    assert not lengths.words
-    assert not lengths.skip
-    assert not lengths.header
+    assert [lengths.count_valid(piece) for piece in pieces] == [len(piece) for piece in pieces]
+    assert not lengths.is_incomplete()
 
 
 @pytest.mark.parametrize("answers", [False, True])
 @pytest.mark.parametrize("cut", [1, 2, 3, 4, 5, 17, 1000])
 @pytest.mark.parametrize("end", [b"xy", b"\rx", b"x\n", b"\n\r", b"*1"])
 def test_word_without_a_lines_end_behind_it_never_reaches_the_parser_whole(answers, cut, end):
-    lengths, passed = Lengths(MAX_WORD_BYTES, answers), b""
+    lengths, passed = DeclaredLengths(MAX_WORD_BYTES, answers), b""
     stream = b"*2\r\n$4\r\nPING\r\n$3\r\nabc" + end + b"*1\r\n$4\r\nPING\r\n"
     for at in range(0, len(stream), cut):
         piece = stream[at : at + cut]
-        good = lengths.good(piece)
+        good = lengths.count_valid(piece)
         passed += piece[:good]
         if good < len(piece):
             break
--- a/tests/test_net_servers.py
+++ b/tests/test_net_servers.py
@@ -9,7 +9,7 @@
 
 from quota_gateway import Limits, ListKind, ServerEntry, ServerState, Status
 from quota_gateway.net import servers as module
-from quota_gateway.net.declared_lengths import Lengths
+from quota_gateway.net.declared_lengths import DeclaredLengths
 from quota_gateway.net.servers import Attempt, Reply, ReplyReader
 from quota_gateway.net.servers import connection as connection_module
 
@@ -89,14 +89,11 @@
 
 @pytest.mark.parametrize("cut", [1, 2, 3, 5, 17, 1000])
 def test_lengths_of_good_answers_all_reach_the_parser(cut):
-    lengths = Lengths(connection_module.MAX_REPLY_BYTES, answers=True)
+    lengths = DeclaredLengths(connection_module.MAX_REPLY_BYTES, is_replies=True)
     stream = array(b"*9\r\n$9\r\n" * 9, b"used=1") + b"-ERR failed used=3\r\n-BUSY\r\n$2\r\nab\r\n"
     pieces = [stream[at : at + cut] for at in range(0, len(stream), cut)]
-    assert [lengths.good(piece) for piece in pieces] == [len(piece) for piece in pieces]
-    assert not lengths.words
-    assert not lengths.skip
-    assert not lengths.header
-    assert not lengths.in_line
+    assert [lengths.count_valid(piece) for piece in pieces] == [len(piece) for piece in pieces]
+    assert not lengths.is_incomplete()
 
 
 def test_figures_on_use_and_load_in_answers_and_error_lines():
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -48,7 +48,7 @@
             self.hot_restart,
         )
         self.door.commands.update(self.reload.commands())
-        self.reload.up.set()
+        self.reload.serving.set()
 
     def write(self, **changes):
         """The file, with other settings."""
@@ -514,7 +514,7 @@
             made.path.write_text("{")
             made.reload.signal()
             await until(lambda: made.reload.signal_task is None)
-            assert len(readings) == module.MAX_READS_SIGNAL
+            assert len(readings) == module.MAX_READS_ON_SIGHUP
             assert made.state() == before
             assert "not JSON" in made.reload.last_rejection
             made.plan(refill=3.0, most_at_once=5.0)
@@ -528,12 +528,12 @@
 def test_signal_before_it_serves_waits_and_one_while_it_stops_changes_nothing(tmp_path):
     async def test():
         async with configured(tmp_path) as made:
-            made.reload.up.clear()
+            made.reload.serving.clear()
             made.plan(refill=3.0, most_at_once=5.0)
             made.reload.signal()
             await asyncio.sleep(0)
             assert made.reload.in_force.revision == 1
-            made.reload.up.set()
+            made.reload.serving.set()
             await until(lambda: made.reload.signal_task is None)
             assert made.reload.in_force.revision == 2
             made.reload.close()
