--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -115,7 +115,7 @@
         request_class = self.context.classes.get(event.class_name)
         plan = self.epochs.plans.get(event.plan)
         if request_class is None or plan is None:
-            self.context.log_once(f"refused: unknown class {event.class_name!r} or plan {event.plan!r}")
+            self.context.log_once(f"rejected: unknown class {event.class_name!r} or plan {event.plan!r}")
             self.responses.reject(event.request_id, 0.0)
         elif self.graceful_shutdown.is_drained:
             self.responses.count_given_up(GiveUpReason.GATEWAY_DRAINED, plan)
--- a/quota_gateway/policy/graceful_shutdown.py
+++ b/quota_gateway/policy/graceful_shutdown.py
@@ -54,7 +54,7 @@
         self._move_to(DrainState.DRAINING if event.active else DrainState.SERVING)
         self.drain_number += 1
         self.context.actions.append(SetServing(not event.active))
-        self.context.log("drained by hand" if event.active else "takes clients again")
+        self.context.log("drained by an operator" if event.active else "drain ended by an operator")
         if event.active:
             for step in DRAIN_STEPS:
                 self.context.arm(step.after_ms, self._on_step, ScheduledStep(self.drain_number, step))
--- a/quota_gateway/policy/outlier_detection.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -54,7 +54,7 @@
         """Record a failure under a key, and log the server if it is suspected now."""
         self.rates.record(server, key, key or server.zone, failed=True)
         if self.is_suspected(server, key):
-            self.context.log_once(f"server {server.id} doubted{' for ' if key else ''}{key}: {cause}")
+            self.context.log_once(f"server {server.id} suspected{' for ' if key else ''}{key}: {cause}")
 
     def is_suspected(self, server: Server, key: str) -> bool:
         """Whether a server fails so often under a key that silent attempts there should be hedged."""
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -62,8 +62,9 @@
         if text:
             limit = self.concurrency_limit
             self.context.log(
-                f"given up: {text}; pool {limit.limit:.1f}, out {len(limit.attempts_within_threshold)}, "
-                f"parked {len(self.in_flight.queued)}"
+                f"given up: {text}; concurrency limit {limit.limit:.1f}, "
+                f"attempts within threshold {len(limit.attempts_within_threshold)}, "
+                f"queued {len(self.in_flight.queued)}"
             )
 
     def reject_or_fail(self, pending: PendingRequest, reason: GiveUpReason) -> None:
--- a/quota_gateway/recording/names.py
+++ b/quota_gateway/recording/names.py
@@ -1,10 +1,12 @@
 """Names of events, actions and settings in recordings of version 1, which every version reads and writes.
 
-The code's names may change; a recording's may not. Enum values are written as they are.
+The code's names and the texts of its log lines may change; a recording's may not. Enum values are written as
+they are.
 """
 
 from __future__ import annotations
 
+import re
 from dataclasses import dataclass, fields, is_dataclass
 from enum import Enum
 from functools import cache
@@ -62,6 +64,18 @@
     api.SetServing: {"keep_idle_ms": "linger_ms"},
     api.IdleConnectionChanged: {"has_idle": "idle"},
 }
+# A log line of the decisions, and its text in a recording.
+RECORDED_LOG_TEXTS = (
+    (
+        r"(given up: .*); concurrency limit (\S+), attempts within threshold (\d+), queued (\d+)",
+        r"\1; pool \2, out \3, parked \4",
+    ),
+    (r"(server \S+) suspected((?: for .*)?: \w+)", r"\1 doubted\2"),
+    (r"drained by an operator", "drained by hand"),
+    (r"drain ended by an operator", "takes clients again"),
+    (r"(handed over with \d+) requests in flight", r"\1 requests in hand"),
+    (r"rejected: (unknown class .*)", r"refused: \1"),
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,8 +91,19 @@
     return RECORDED_TYPE_NAMES.get(kind, kind.__name__)
 
 
+def recorded_log_text(text: str) -> str:
+    """A log line of the decisions as it stands in a recording."""
+    for pattern, replacement in RECORDED_LOG_TEXTS:
+        match = re.fullmatch(pattern, text, re.DOTALL)
+        if match:
+            return match.expand(replacement)
+    return text
+
+
 def to_recorded(value: Any) -> Any:
     """A dataclass, and what it holds, as plain values by the recording's field names."""
+    if isinstance(value, api.Log):
+        return {"text": recorded_log_text(value.text)}
     if is_dataclass(value) and not isinstance(value, type):
         return {
             name: to_recorded(getattr(value, field.attribute))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -364,7 +364,7 @@
 @pytest.mark.parametrize("can_cancel", [True, False])
 @pytest.mark.parametrize("leaves", [True, False])
 @pytest.mark.parametrize("kind", ["read", "post", "buy"])
-@pytest.mark.parametrize("waits", ["held", "parked", "under a cap"])
+@pytest.mark.parametrize("waits", ["held", "queued", "under a cap"])
 def test_request_whose_client_left_while_it_waited_is_never_sent_on(waits, kind, leaves, can_cancel):
     plans = (Plan("free"), Plan("held", rate=4.0, burst=1.0), Plan("under a cap", max_in_flight=1))
     limits = replace(SETTINGS.limits, can_cancel=can_cancel)
@@ -373,8 +373,8 @@
         fake = FakeServer(lambda words: None if words[2].endswith(b"9") else array(b"v"))
         async with node(fake, plans=plans, limits=limits, gateways=1) as gateway:
             first, raw = Raw(port(gateway)), Raw(port(gateway))
-            plan = "free" if waits == "parked" else waits
-            if waits == "parked":
+            plan = "free" if waits == "queued" else waits
+            if waits == "queued":
                 gateway.told()  # no server is ready
             else:
                 first.send(call(9, "read", plan))
@@ -390,7 +390,7 @@
                     clock = gateway.driver.clock
                     gateway.driver.clock = lambda: clock() + 1000.0
                     gateway.driver.timers.fire()
-                case "parked":
+                case "queued":
                     gateway.told(fake.entry(1))
                 case "under a cap":
                     fake.writers[0].write(array(b"v"))
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -108,7 +108,7 @@
     assert customer.excess_milliunits == old.gateway.customers.rows["metered", "c"].excess_milliunits > 1000.0
 
 
-def test_server_known_to_fail_before_is_doubted_after_and_one_put_back_is_still_cold():
+def test_server_known_to_fail_before_is_suspected_after_and_one_put_back_is_still_warming_up():
     old = Rig()
     old.servers(entry(1), entry(2))
     for _ in range(12):
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -6,9 +6,11 @@
 
 import pytest
 
+from quota_gateway import api
 from quota_gateway.compatibility import RECORDING_HEAD
 from quota_gateway.recording import __main__ as command
 from quota_gateway.recording.codec import Recorder, RecordingError, play
+from quota_gateway.recording.names import to_recorded
 from quota_gateway.recording.random_driver import drive
 
 SMALL = Path(__file__).parent / "recordings" / "small.jsonl"  # made by README's command
@@ -30,6 +32,26 @@
     assert played.events >= 300
 
 
+@pytest.mark.parametrize(
+    ("text", "recorded"),
+    [
+        (
+            "given up: quota basis 12; concurrency limit 6.1, attempts within threshold 4, queued 0",
+            "given up: quota basis 12; pool 6.1, out 4, parked 0",
+        ),
+        ("server 7 suspected: connect_failed", "server 7 doubted: connect_failed"),
+        ("server s-1 suspected for a b: timeout", "server s-1 doubted for a b: timeout"),
+        ("drained by an operator", "drained by hand"),
+        ("drain ended by an operator", "takes clients again"),
+        ("handed over with 4 requests in flight", "handed over with 4 requests in hand"),
+        ("rejected: unknown class 'x' or plan 'y'", "refused: unknown class 'x' or plan 'y'"),
+        ("another line", "another line"),
+    ],
+)
+def test_log_lines_stand_in_a_recording_as_they_always_did(text, recorded):
+    assert to_recorded(api.Log(text)) == {"text": recorded}
+
+
 def test_one_changed_action_among_a_hundred_thousand_is_found():
     lines = recorded(seed=7, gateways=16, steps=5000)
     played = play(iter(lines))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -408,7 +408,7 @@
     for _ in range(5):
         name = rig.ask()
         lines += [a.text for a in rig.finish(name, Status.CONNECT_FAILED) if isinstance(a, Log)]
-    assert lines == ["server 7 doubted: connect_failed"]
+    assert lines == ["server 7 suspected: connect_failed"]
 
 
 def test_of_a_large_fleet_few_servers_are_compared():
