--- a/quota_gateway/net/clients/connection.py
+++ b/quota_gateway/net/clients/connection.py
@@ -24,10 +24,9 @@
 MAX_BODY_ROUNDS = 3  # further command timeouts granted to a body while its bytes come
 MAX_BAD_COMMANDS = 16  # in a row: a peer that sends more is no client
 MAX_DISCARDED_BYTES = 1024 * 1024  # read behind the last command: a peer that sends more is no client
-COMMAND_TIMEOUT_S = (
-    2.5  # for a first request, and for the rest of a command: bad peers are owed a close in 3 s
-)
-LINGER_S = 0.4  # for what still comes behind a close: with COMMAND_TIMEOUT_S it stays under those 3 s
+# For a first request, and for the rest of a command: a peer that is no client is closed within 3 s.
+COMMAND_TIMEOUT_S = 2.5
+LINGER_S = 0.4  # for what still comes behind a close; with COMMAND_TIMEOUT_S below those 3 s
 
 
 class ClientState(Enum):
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The door for operators: one line in, one line out, and nobody keeps another one out."""
+"""The admin endpoint: one line in, one line out, and no caller keeps another one out."""
 
 import asyncio
 import socket
@@ -142,7 +142,7 @@
     run(test())
 
 
-def test_door_that_can_not_be_opened_is_missing_and_no_crash():
+def test_admin_endpoint_that_can_not_be_opened_is_missing_and_no_crash():
     """The admin endpoint's address is taken as the gateway starts.
 
     A gateway that ended over it would take its clients' capacity along. It serves without the endpoint.
--- a/tests/test_connection_news.py
+++ b/tests/test_connection_news.py
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.usefixtures("no_rest")
-def test_pools_are_shown_at_the_door_and_counted_from_look_to_look():
+def test_pools_are_shown_at_the_admin_endpoint_and_counted_from_look_to_look():
     async def test():
         server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(b"v"))
         async with node(server, most_connections=2) as gateway:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("parts", [1, 0])
-def test_command_whose_rest_comes_after_the_last_moment_of_the_stop_is_never_sent_on(monkeypatch, parts):
+def test_command_whose_rest_comes_after_the_last_moment_of_the_stop_is_never_forwarded(monkeypatch, parts):
     monkeypatch.setattr(registry_module, "SHUTDOWN_GRACE_S", 0.0)
     monkeypatch.setattr(connection_module, "LINGER_S", 3600.0)
 
@@ -280,7 +280,7 @@
     ],
     ids=["many", "long"],
 )
-def test_client_that_leaves_with_as_many_in_hand_as_may_be_is_noticed(more):
+def test_client_that_leaves_with_as_many_in_flight_as_may_be_is_noticed(more):
     async def test():
         fake = FakeServer(lambda words: None)
         async with node(fake) as gateway:
@@ -308,7 +308,7 @@
     run(test())
 
 
-def test_client_of_a_broken_command_that_leaves_while_the_one_before_it_is_in_hand_is_noticed():
+def test_client_of_a_broken_command_that_leaves_while_the_one_before_it_is_in_flight_is_noticed():
     async def test():
         fake = FakeServer(lambda words: None)
         async with node(fake) as gateway:
@@ -324,7 +324,7 @@
 
 
 @pytest.mark.parametrize("kind", ["read", "post", "buy"])
-def test_time_that_a_command_waited_behind_as_many_as_may_be_in_hand_is_not_given_again(kind):
+def test_time_that_a_command_waited_behind_as_many_as_may_be_in_flight_is_not_given_again(kind):
     first = range(MAX_PIPELINED)
     classes = tuple(
         replace(one, latency_objective_ms=60_000.0, deadline_ms=60_000.0) for one in SETTINGS.classes
@@ -365,7 +365,7 @@
 @pytest.mark.parametrize("leaves", [True, False])
 @pytest.mark.parametrize("kind", ["read", "post", "buy"])
 @pytest.mark.parametrize("waits", ["held", "queued", "under a cap"])
-def test_request_whose_client_left_while_it_waited_is_never_sent_on(waits, kind, leaves, can_cancel):
+def test_request_whose_client_left_while_it_waited_is_never_forwarded(waits, kind, leaves, can_cancel):
     plans = (Plan("free"), Plan("held", rate=4.0, burst=1.0), Plan("under a cap", max_in_flight=1))
     limits = replace(SETTINGS.limits, can_cancel=can_cancel)
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""Work in hand that outlives its process: the model holds, and finds each planted fault."""
+"""Requests in flight that outlive their process: the model holds, and finds each planted fault."""
 
 import json
 import os
@@ -324,7 +324,7 @@
     kept(tmp_path, case)
 
 
-def test_keeper_that_dies_takes_nobody_along_and_the_next_one_keeps_all(tmp_path):
+def test_supervisor_that_dies_takes_nobody_along_and_the_next_one_keeps_all(tmp_path):
     async def case(made: Kept):
         await made.standby()
         rest = await made.peer()
@@ -382,7 +382,7 @@
     run(test())
 
 
-def test_under_load_a_kill_loses_no_more_than_was_in_hand(tmp_path):
+def test_under_load_a_kill_loses_no_more_than_was_in_flight(tmp_path):
     async def case(made: Kept):
         clients = made.rig.clients
         asking = made.rig.clock.loop.create_task(clients.run())
--- a/tests/test_fault_bench.py
+++ b/tests/test_fault_bench.py
@@ -1,4 +1,4 @@
-"""The rig: the referee sees each rule broken and nothing else; relays do what they say; processes end."""
+"""The fault bench: the referee sees each rule broken and no other; relays obey; processes end."""
 
 import asyncio
 import json
@@ -455,7 +455,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGINT])
-def test_no_process_outlives_the_rig_however_it_ends(tmp_path, number):
+def test_no_process_outlives_the_fault_bench_however_it_ends(tmp_path, number):
     command = [
         sys.executable,
         "-m",
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Two processes of one gateway: what the next one gets, what it makes of what is none, who may pass what."""
+"""Hot restart: what the successor receives, what it makes of invalid state, who may hand over to whom."""
 
 import asyncio
 import json
@@ -531,7 +531,7 @@
     run(test())
 
 
-def test_process_that_comes_beside_the_successor_starts_plainly(tmp_path):
+def test_process_that_comes_while_a_successor_serves_starts_plainly(tmp_path):
     """Two successors of one process would charge and accept side by side."""
 
     async def test():
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The limits on the decisions: their size, and which module may import which."""
+"""The limits on the decisions: what the deploy file names, and which module may import which."""
 
 import ast
 import tomllib
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -1,4 +1,4 @@
-"""Long values: passed on as they come, held back with a slow client, and never taken for whole."""
+"""Long values: passed on as they come, held back with a slow client, and never taken for complete."""
 
 import asyncio
 import socket
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -1,4 +1,4 @@
-"""What clients see: replies in order, bad input, clients that leave or do not read."""
+"""What clients see: replies in order, invalid input, clients that leave or do not read."""
 
 import asyncio
 
@@ -206,7 +206,7 @@
     assert parser.gets() is False
 
 
-def test_command_that_runs_on_beyond_its_declared_length_is_an_error_and_is_not_sent_on():
+def test_command_that_runs_on_beyond_its_declared_length_is_an_error_and_is_not_forwarded():
     async def test():
         server = FakeServer()
         async with node(server) as gateway:
@@ -236,7 +236,7 @@
     run(test())
 
 
-def test_second_request_of_an_id_in_hand_is_an_error_and_the_first_is_served():
+def test_second_request_of_an_id_in_flight_is_an_error_and_the_first_is_served():
     async def test():
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
--- a/tests/test_net_driver.py
+++ b/tests/test_net_driver.py
@@ -224,7 +224,7 @@
     run(test())
 
 
-def test_restarted_server_is_cold_by_the_clock_that_discovery_uses():
+def test_restarted_server_is_warming_up_by_the_clock_that_discovery_uses():
     async def test():
         server = FakeServer()
         async with node() as gateway:
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -301,7 +301,7 @@
     run(test())
 
 
-def test_operators_take_servers_out_and_drain_through_the_door(tmp_path):
+def test_operators_take_servers_out_and_drain_through_the_admin_endpoint(tmp_path):
     async def test():
         server, port = await FakeServer(lambda words: array(b"v")).start(), free_port()
         async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{port}") as (_, clients, discovery):
@@ -429,7 +429,7 @@
     path.write_text(json.dumps(document))
 
 
-def test_configuration_is_changed_tried_and_taken_back_through_the_door(tmp_path):
+def test_configuration_is_changed_tried_and_taken_back_through_the_admin_endpoint(tmp_path):
     async def test():
         server, port = await FakeServer(lambda words: array(b"v")).start(), free_port()
         async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{port}") as (process, clients, _):
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -1,4 +1,4 @@
-"""Two processes of one gateway side by side, one of which hangs or dies; figures and tokens at the door."""
+"""Two processes of one gateway, one of which hangs or dies; figures and fencing tokens."""
 
 import json
 import os
@@ -82,7 +82,7 @@
     beside(tmp_path, case)
 
 
-def test_old_process_that_hangs_after_the_handover_is_ended(tmp_path):
+def test_old_process_that_hangs_after_the_hot_restart_is_ended(tmp_path):
     async def case(rig, member):
         old = member.process
         new = await member.start()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Another configuration while requests run: whole or not at all, with a way back."""
+"""Another configuration while requests run: completely or not at all, with a rollback."""
 
 from __future__ import annotations
 
@@ -210,7 +210,7 @@
     run(test())
 
 
-def test_requests_in_hand_end_under_the_plan_they_were_taken_under_and_later_ones_are_unknown(tmp_path):
+def test_requests_in_flight_end_under_the_plan_they_were_taken_under_and_later_ones_are_unknown(tmp_path):
     async def test():
         server = FakeServer(lambda words: None)
         async with configured(tmp_path, server) as made:
@@ -230,7 +230,7 @@
     run(test())
 
 
-def test_fewer_descriptors_close_what_is_idle_first_and_never_what_is_in_hand(tmp_path):
+def test_fewer_descriptors_close_what_is_idle_first_and_never_what_is_in_flight(tmp_path):
     async def test():
         server = FakeServer(lambda words: None)
         async with configured(tmp_path, server) as made:
@@ -272,7 +272,7 @@
 # ---- The way back
 
 
-def test_door_tells_what_is_in_force_and_goes_back_one_step(tmp_path):
+def test_admin_endpoint_tells_what_is_in_force_and_goes_back_one_step(tmp_path):
     async def test():
         async with configured(tmp_path) as made:
             assert await made.tell("ROLLBACK") == "NO there is nothing to go back to"
@@ -590,7 +590,7 @@
     run(test())
 
 
-def test_sighup_that_crosses_the_handover_is_carried_out_before_it_or_not_at_all(tmp_path):
+def test_sighup_that_crosses_the_hot_restart_is_carried_out_before_it_or_not_at_all(tmp_path):
     """The state is written in one step of the loop, which comes in each of the turns that a reload takes."""
 
     async def test():
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""The lab: the referee sees each rule broken, the ledger adds up, a day is the same wherever it is played."""
+"""The simulation: the referee sees each rule broken, the ledger adds up, days are reproducible."""
 
 import os
 import subprocess
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -210,7 +210,7 @@
     assert [row["server"] for row in only(rows, "Try")] == [9]
 
 
-def test_same_actions_with_another_hash_seed_and_beside_another_instance():
+def test_same_actions_with_another_hash_seed_and_another_instance_running():
     script = [*batch(1, 0.0, opening(), roster(0, 7, 8, 9), listing("gateway-1", 0))]
     for n in range(20):
         script += batch(n + 2, 5.0 * n, {"Knock": {**KNOCK, "op_id": f"{n:x}"}})
