--- a/quota_gateway/fault_bench/bench.py
+++ b/quota_gateway/fault_bench/bench.py
@@ -31,7 +31,7 @@
 READY_S = 30.0  # for all gateways to serve
 LATE_MS = 20.0  # by which the loop is late before it is written down
 LOOK_S = 0.02
-PLACES = ("doors-0", "doors-1")  # who calls at a gateway's first door and at its second, whoever is newest
+PLACES = ("doors-0", "doors-1")  # callers at a gateway's first and second admin endpoint, whichever is newest
 RIGS = count()  # of this process
 
 
@@ -141,25 +141,33 @@
         places: dict[str, list[Link]] = {}
         for number, name in enumerate(self.scenario.gateways()):
             listen = self._port()
-            doors = [self._port(), self._port()]
+            admin_addresses = [self._port(), self._port()]
             await self._link(f"clients>{name}", listen)
-            link = await self._link(f"doors>{name}", doors[0])
+            link = await self._link(f"doors>{name}", admin_addresses[0])
             places[name] = [
-                await self._link(f"{way}>{name}", door) for way, door in zip(PLACES, doors, strict=True)
+                await self._link(f"{way}>{name}", admin_address)
+                for way, admin_address in zip(PLACES, admin_addresses, strict=True)
             ]
             host, port = self.links[f"{name}>discovery"].at
             document = {
                 "name": name,
                 "listen": f"{listen[0]}:{listen[1]}",
                 "discovery": f"{host}:{port}",
-                "admin": f"{doors[0][0]}:{doors[0][1]}",
+                "admin": f"{admin_addresses[0][0]}:{admin_addresses[0][1]}",
                 "seed": f"{self.seed * 1000 + number:016x}",
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
                 "known": self.discovery.document(name, list(self.servers), True),
                 "settings": settings_document(self.scenario.world.settings(number)),
             }
             self.members[name] = Member(
-                name, self.folder / name, document, doors, link, self.clock, self.history, self.program
+                name,
+                self.folder / name,
+                document,
+                admin_addresses,
+                link,
+                self.clock,
+                self.history,
+                self.program,
             )
         self.platform = Platform(self.members, places)
         await self.platform.listen((await self._link("controller>platform", self._port())).target)
@@ -193,8 +201,8 @@
             while not true():
                 await asyncio.sleep(LOOK_S / 2.0)
 
-    async def door(self, gateway: str, line: str) -> str:
-        """A call at a gateway's door, over its link."""
+    async def call_admin(self, gateway: str, line: str) -> str:
+        """A call at a gateway's admin endpoint, over its link."""
         return await call(self.links[f"doors>{gateway}"].at, line)
 
     # ---- The end
--- a/quota_gateway/fault_bench/processes.py
+++ b/quota_gateway/fault_bench/processes.py
@@ -1,4 +1,4 @@
-"""The gateways' processes: started by the very command of ``run``, ended by id, never outliving the rig."""
+"""The gateways' processes: started by the very command of ``run``, ended by id, never outliving the bench."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 )
 LAUNCH = BOUND + "os.execv('/bin/sh', ['sh', '-c', sys.argv[2]])"
 SPIN = BOUND + "\nwhile True: pass"
-DOOR_S = 1.5  # for an answer at a door
+ADMIN_TIMEOUT_S = 1.5  # for an answer of an admin endpoint
 
 
 class Program(Struct, frozen=True):
@@ -47,11 +47,11 @@
 
 
 class Process:
-    """One process of a gateway, with a door of its own."""
+    """One process of a gateway, with an admin endpoint of its own."""
 
-    def __init__(self, child: asyncio.subprocess.Process, door: Address) -> None:
+    def __init__(self, child: asyncio.subprocess.Process, admin_address: Address) -> None:
         self.child = child
-        self.door = door
+        self.admin_address = admin_address
 
     @property
     def pid(self) -> int:
@@ -70,16 +70,16 @@
                 self.child.send_signal(number)
 
     async def call(self, line: str) -> str:
-        """What its own door answers; empty where nothing comes."""
-        return await call(self.door, line)
+        """What its own admin endpoint answers; empty where nothing comes."""
+        return await call(self.admin_address, line)
 
 
-async def call(door: Address, line: str) -> str:
-    """One call at a door: the answer's line, or empty where none comes in time."""
+async def call(admin_address: Address, line: str) -> str:
+    """One call at an admin endpoint: the answer's line, or empty where none comes in time."""
     writer = None
     try:
-        async with asyncio.timeout(DOOR_S):
-            reader, writer = await asyncio.open_connection(*door)
+        async with asyncio.timeout(ADMIN_TIMEOUT_S):
+            reader, writer = await asyncio.open_connection(*admin_address)
             writer.write(line.encode() + b"\n")
             return (await reader.readline()).decode().strip()
     except (OSError, TimeoutError):
@@ -97,7 +97,7 @@
         name: str,
         folder: Path,
         document: dict[str, Any],
-        doors: list[Address],
+        admin_addresses: list[Address],
         link: Link,
         clock: Clock,
         history: seen.History,
@@ -106,8 +106,8 @@
         self.name = name
         self.folder = folder
         self.document = document
-        self.doors = doors
-        self.link = link  # of the operators' door, to whichever process is the newest
+        self.admin_addresses = admin_addresses
+        self.link = link  # of the operators' admin endpoint, to whichever process is the newest
         self.clock = clock
         self.history = history
         self.program = program
@@ -132,19 +132,24 @@
         return self.processes[-1] if self.processes else None
 
     def at(self, place: int) -> Process | None:
-        """The living process whose door is the one of that number."""
-        return next((one for one in self.processes if one.alive and one.door == self.doors[place]), None)
+        """The living process at the admin endpoint of that number."""
+        return next(
+            (one for one in self.processes if one.alive and one.admin_address == self.admin_addresses[place]),
+            None,
+        )
 
     async def start(self, program: Program | None = None, place: int | None = None) -> Process:
-        """Start a process, beside one that lives if there is one; at the door of that number, or the next."""
-        door = self.doors[self.started % len(self.doors) if place is None else place]
-        self.started = self.doors.index(door) + 1
+        """Start a process, beside one that lives if there is one; at that number's endpoint, or the next."""
+        admin_address = self.admin_addresses[
+            self.started % len(self.admin_addresses) if place is None else place
+        ]
+        self.started = self.admin_addresses.index(admin_address) + 1
         program = program or self.program
         environment = {
             **os.environ,
             "EDGE_CONFIG": str(self.config),
             "EDGE_NAME": self.name,
-            "EDGE_ADMIN": f"{door[0]}:{door[1]}",
+            "EDGE_ADMIN": f"{admin_address[0]}:{admin_address[1]}",
             "TMPDIR": str(self.tmp),
         }
         with (self.folder / "log").open("ab") as sink:
@@ -163,9 +168,9 @@
                 stderr=sink,
                 start_new_session=True,
             )
-        process = Process(child, door)
+        process = Process(child, admin_address)
         self.processes.append(process)
-        self.link.target = door
+        self.link.target = admin_address
         self._note(process, "started")
         task = asyncio.get_running_loop().create_task(self._watch(process))
         self.tasks.add(task)
@@ -177,13 +182,13 @@
         self._note(process, "ended", code)
         living = [one for one in self.processes if one.alive]
         if living:
-            self.link.target = living[-1].door
+            self.link.target = living[-1].admin_address
 
     def _note(self, process: Process, state: str, code: int = 0) -> None:
         self.history.add(seen.Process(self.clock.now, self.name, process.pid, state, code))
 
     async def ready(self, process: Process) -> bool:
-        """Wait until its door says that it can serve; false if it ends before."""
+        """Wait until its admin endpoint says that it can serve; false if it ends before."""
         while process.alive:
             if (await process.call("HEALTH")).startswith("YES"):
                 self._note(process, "ready")
--- a/quota_gateway/fault_bench/referee.py
+++ b/quota_gateway/fault_bench/referee.py
@@ -155,7 +155,7 @@
         for name in record.on:
             gateway = name.partition(">")[2] if name.startswith("clients>") else name
             if ">" in gateway:
-                continue  # towards servers, discovery, the door: a gateway has to cope
+                continue  # towards servers, discovery, the admin endpoint: a gateway has to cope
             rows = self.faults.setdefault(gateway, [])
             if not record.undone:
                 self.open[record.number, name] = len(rows)
--- a/quota_gateway/fault_bench/timeline.py
+++ b/quota_gateway/fault_bench/timeline.py
@@ -296,7 +296,7 @@
         elif step.do == "upgrade":
             await member.upgrade()
         elif step.do == "call":
-            said = await self.rig.door(member.name, step.line)
+            said = await self.rig.call_admin(member.name, step.line)
             self._note(number, step, [member.name], said=said or "nothing")
 
     async def _kill(self, member: Member) -> Undo:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -10,16 +10,16 @@
 
 
 class Caller:
-    """One connection to the door."""
+    """One connection to the admin endpoint."""
 
-    async def open(self, door: admin.AdminEndpoint) -> "Caller":
-        assert door.server
-        port = door.server.sockets[0].getsockname()[1]
+    async def open(self, endpoint: admin.AdminEndpoint) -> "Caller":
+        assert endpoint.server
+        port = endpoint.server.sockets[0].getsockname()[1]
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", port)
         return self
 
     async def ask(self, line: bytes) -> bytes:
-        """What comes back until the door closes."""
+        """What comes back until the endpoint closes."""
         self.writer.write(line)
         return await self.answer()
 
@@ -30,7 +30,7 @@
             return b""
 
 
-async def a_door(**more) -> admin.AdminEndpoint:
+async def an_endpoint(**more) -> admin.AdminEndpoint:
     asked = []
 
     async def health(_: str) -> admin.AdminReply:
@@ -76,27 +76,27 @@
 )
 def test_one_line_in_one_line_out_and_then_it_closes(line, begins):
     async def test():
-        door = await a_door()
-        answer = await (await Caller().open(door)).ask(line)
+        endpoint = await an_endpoint()
+        answer = await (await Caller().open(endpoint)).ask(line)
         assert answer.startswith(begins)
         assert answer.endswith(b"\n")
         assert answer.count(b"\n") == 1
-        assert (await (await Caller().open(door)).ask(b"HEALTH\n")).startswith(b"YES")
-        door.close()
+        assert (await (await Caller().open(endpoint)).ask(b"HEALTH\n")).startswith(b"YES")
+        endpoint.close()
 
     run(test())
 
 
 def test_line_in_pieces_or_ended_by_the_end_of_sending_is_a_line():
     async def test():
-        door = await a_door()
-        caller = await Caller().open(door)
+        endpoint = await an_endpoint()
+        caller = await Caller().open(endpoint)
         for byte in b"OFFLINE s-1":
             caller.writer.write(bytes([byte]))
             await caller.writer.drain()
         caller.writer.write_eof()
         assert (await caller.answer()).startswith(b"YES")
-        door.close()
+        endpoint.close()
 
     run(test())
 
@@ -110,14 +110,14 @@
     monkeypatch.setattr(admin, "LINE_TIMEOUT_S", 0.2)
 
     async def test():
-        door = await a_door()
-        silent = [await Caller().open(door) for _ in range(3 * admin.MAX_CONNECTIONS)]
-        assert (await (await Caller().open(door)).ask(b"HEALTH\n")).startswith(b"YES")
-        assert len(door.connections) <= admin.MAX_CONNECTIONS
+        endpoint = await an_endpoint()
+        silent = [await Caller().open(endpoint) for _ in range(3 * admin.MAX_CONNECTIONS)]
+        assert (await (await Caller().open(endpoint)).ask(b"HEALTH\n")).startswith(b"YES")
+        assert len(endpoint.connections) <= admin.MAX_CONNECTIONS
         answers = [await caller.answer() for caller in silent]
         assert answers[-1].startswith(b"NO no whole line")
-        assert not door.connections
-        door.close()
+        assert not endpoint.connections
+        endpoint.close()
 
     run(test())
 
@@ -135,9 +135,9 @@
             await asyncio.get_running_loop().create_future()
             return admin.done("")
 
-        door = await a_door(JOIN=admin.AdminCommand(never))
-        assert (await (await Caller().open(door)).ask(b"JOIN\n")).startswith(b"NO not done in time")
-        door.close()
+        endpoint = await an_endpoint(JOIN=admin.AdminCommand(never))
+        assert (await (await Caller().open(endpoint)).ask(b"JOIN\n")).startswith(b"NO not done in time")
+        endpoint.close()
 
     run(test())
 
@@ -150,9 +150,9 @@
 
     async def test():
         with socket.create_server(("127.0.0.1", 0)) as taken:
-            door = admin.AdminEndpoint({})
-            await door.listen(*taken.getsockname())
-            assert door.server is None
-            door.close()
+            endpoint = admin.AdminEndpoint({})
+            await endpoint.listen(*taken.getsockname())
+            assert endpoint.server is None
+            endpoint.close()
 
     run(test())
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -231,12 +231,12 @@
 
     async def pid(self) -> int:
         """Of the process that serves."""
-        return int(json.loads((await self.rig.door("g0", "FIGURES")).removeprefix("YES "))["pid"])
+        return int(json.loads((await self.rig.call_admin("g0", "FIGURES")).removeprefix("YES "))["pid"])
 
     async def next_serves(self, before: int) -> int:
         """Wait until another process than this one does."""
         while True:
-            text = await self.rig.door("g0", "FIGURES")
+            text = await self.rig.call_admin("g0", "FIGURES")
             now = int(json.loads(text.removeprefix("YES "))["pid"]) if text.startswith("YES") else before
             if now != before:
                 return now
@@ -255,7 +255,7 @@
 
     async def in_hand(self) -> None:
         """Wait until a request is."""
-        while '"in_hand":1' not in await self.rig.door("g0", "FIGURES"):
+        while '"in_hand":1' not in await self.rig.call_admin("g0", "FIGURES"):
             pass
 
     async def peer(self) -> Peer:
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -58,11 +58,11 @@
 
 def test_passed_listener_is_adopted_and_outlives_the_program(tmp_path):
     async def test():
-        server, door = await FakeServer(lambda words: array(b"v")).start(), free_port()
+        server, admin_port = await FakeServer(lambda words: array(b"v")).start(), free_port()
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            at = f"127.0.0.1:{door}"
+            at = f"127.0.0.1:{admin_port}"
             async with program(tmp_path, server, listener, EDGE_ADMIN=at) as (process, port, _):
-                await healthy(door)
+                await healthy(admin_port)
                 assert await (await connect(port)).ask(call(1)) == b"v"
                 process.send_signal(signal.SIGTERM)
                 assert await process.wait() == 0
@@ -102,7 +102,7 @@
 
 
 async def tell(port: int, line: str) -> str:
-    """Call the operators' door; empty while there is none."""
+    """Call the admin endpoint; empty while there is none."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(line.encode() + b"\n")
@@ -161,8 +161,8 @@
 async def next_process(
     tmp_path, port: int, discovery: FakeDiscovery, passed: socket.socket | None = None, name: str = "n0"
 ):
-    """A second process of the same gateway, and its own door."""
-    door = free_port()
+    """A second process of the same gateway, and its own admin port."""
+    admin_port = free_port()
     env = {
         **os.environ,
         "EDGE_CONFIG": str(tmp_path / "config.json"),
@@ -170,11 +170,11 @@
         "EDGE_LISTEN": f"127.0.0.1:{port}",
         "EDGE_DISCOVERY": f"127.0.0.1:{discovery.port}",
         "TMPDIR": str(tmp_path),
-        "EDGE_ADMIN": f"127.0.0.1:{door}",
+        "EDGE_ADMIN": f"127.0.0.1:{admin_port}",
     }
     process = await start(tmp_path / "config.json", env, passed)
     try:
-        yield process, door
+        yield process, admin_port
     finally:
         await end(process)
 
@@ -336,12 +336,16 @@
     async def test():
         one, two = await FakeServer(slow).start(), await FakeServer(slow).start()
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            passed, door = listener if by_platform else None, free_port()
-            async with program(tmp_path, one, passed, EDGE_ADMIN=f"127.0.0.1:{door}") as (old, port, found):
+            passed, admin_port = listener if by_platform else None, free_port()
+            async with program(tmp_path, one, passed, EDGE_ADMIN=f"127.0.0.1:{admin_port}") as (
+                old,
+                port,
+                found,
+            ):
                 _, watch = await found.watch()
                 watch.write(chunk(listing(2, row("s-1", one.port), row("s-2", two.port), reset=True)))
-                await healthy(door)
-                while not (await tell(door, "OFFLINE s-2")).startswith("YES"):
+                await healthy(admin_port)
+                while not (await tell(admin_port, "OFFLINE s-2")).startswith("YES"):
                     await asyncio.sleep(0.01)
                 idle, busy = await connect(port), await connect(port)
                 assert await idle.ask(call(2)) == b"v"
@@ -351,13 +355,13 @@
                 async with next_process(tmp_path, port, found, passed) as (new, new_door):
                     await healthy(new_door)
                     assert "1 servers out" in await tell(new_door, "HEALTH")
-                    assert (await tell(door, "HEALTH")).startswith("NO")
+                    assert (await tell(admin_port, "HEALTH")).startswith("NO")
                     assert await idle.ask(call(3)) == b"v"  # the connection is the new process's now
                     assert await (await connect(port)).ask(call(4)) == b"v"
-                    # Called at the old door, it holds for the new process too.
-                    assert (await tell(door, "LEAVE")).startswith("YES")
+                    # Called at the old endpoint, it holds for the new process too.
+                    assert (await tell(admin_port, "LEAVE")).startswith("YES")
                     assert "drained" in await tell(new_door, "HEALTH")
-                    assert (await tell(door, "JOIN")).startswith("YES")
+                    assert (await tell(admin_port, "JOIN")).startswith("YES")
                     number = next(n for n, w in zip(one.by, one.commands, strict=True) if w[2].endswith(b"1"))
                     one.writers[number].write(array(b"late"))
                     assert await busy.reply() == b"late"
@@ -383,15 +387,15 @@
     """
 
     async def test():
-        server, door = await FakeServer(lambda words: array(b"v")).start(), free_port()
-        async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{door}") as (old, port, found):
-            await healthy(door)
+        server, admin_port = await FakeServer(lambda words: array(b"v")).start(), free_port()
+        async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{admin_port}") as (old, port, found):
+            await healthy(admin_port)
             async with next_process(tmp_path, port, found) as (_, new_door):
                 await healthy(new_door)
                 assert (await tell(new_door, "LEAVE")).startswith("YES")
-            await healthy(door)
-            assert "drained" in await tell(door, "HEALTH")
-            assert (await tell(door, "JOIN")).startswith("YES")
+            await healthy(admin_port)
+            assert "drained" in await tell(admin_port, "HEALTH")
+            assert (await tell(admin_port, "JOIN")).startswith("YES")
             peer = await connect(port)
             assert await peer.ask(call(2)) == b"v"
             async with next_process(tmp_path, port, found) as (_, new_door):  # and another one may come
@@ -405,9 +409,9 @@
 
 def test_next_process_that_nothing_is_handed_to_waits_for_the_address_and_serves_when_it_is_free(tmp_path):
     async def test():
-        server, door = await FakeServer(lambda words: array(b"v")).start(), free_port()
-        async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{door}") as (old, port, found):
-            await healthy(door)
+        server, admin_port = await FakeServer(lambda words: array(b"v")).start(), free_port()
+        async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{admin_port}") as (old, port, found):
+            await healthy(admin_port)
             async with next_process(tmp_path, port, found, name="other") as (new, new_door):
                 while not await tell(new_door, "HEALTH"):
                     await asyncio.sleep(0.01)
@@ -450,18 +454,20 @@
 
 def test_way_back_after_an_upgrade_is_the_new_processs_own(tmp_path):
     async def test():
-        server, door = await FakeServer(lambda words: array(b"v")).start(), free_port()
-        async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{door}") as (old, port, found):
-            await healthy(door)
+        server, admin_port = await FakeServer(lambda words: array(b"v")).start(), free_port()
+        async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{admin_port}") as (old, port, found):
+            await healthy(admin_port)
             path = tmp_path / "config.json"
             faster(path, refill=5.0, most_at_once=50.0)
-            assert (await tell(door, "RELOAD")).startswith("YES revision 2")
+            assert (await tell(admin_port, "RELOAD")).startswith("YES revision 2")
             peer = await connect(port)
             assert await peer.ask(call(1)) == b"v"
             async with next_process(tmp_path, port, found) as (new, new_door):
                 await healthy(new_door)
                 for line in ("RELOAD", "ROLLBACK", "CONFIRM"):
-                    assert (await tell(door, line)).startswith("NO")  # the old one changes nothing any more
+                    assert (await tell(admin_port, line)).startswith(
+                        "NO"
+                    )  # the old one changes nothing any more
                 old.send_signal(signal.SIGHUP)
                 assert (await tell(new_door, "CONFIG")).startswith("YES revision 1")
                 assert "nothing to go back to" in await tell(new_door, "ROLLBACK")
@@ -485,13 +491,13 @@
     """
 
     async def test():
-        server, door = await FakeServer(lambda words: array(b"v")).start(), free_port()
-        async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{door}") as (process, port, found):
-            while not await tell(door, "HEALTH"):  # the door opens before it serves
+        server, admin_port = await FakeServer(lambda words: array(b"v")).start(), free_port()
+        async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{admin_port}") as (process, port, found):
+            while not await tell(admin_port, "HEALTH"):  # the endpoint opens before it serves
                 await asyncio.sleep(0.001)
             process.send_signal(signal.SIGHUP)
-            await healthy(door)
-            assert (await tell(door, "LEAVE")).startswith("YES")
+            await healthy(admin_port)
+            assert (await tell(admin_port, "LEAVE")).startswith("YES")
             moved = await FakeDiscovery().start()
             path = tmp_path / "config.json"
             path.write_text(
@@ -499,7 +505,7 @@
             )
             process.send_signal(signal.SIGHUP)
             await moved.watch()
-            assert "drained" in await tell(door, "HEALTH")
+            assert "drained" in await tell(admin_port, "HEALTH")
             process.send_signal(signal.SIGTERM)
             while process.returncode is None:
                 with suppress(ProcessLookupError):
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -150,7 +150,7 @@
     async def case(rig, member):
         await rig.clients.run()
         await rig.clients.finish()
-        yes, _, text = (await rig.door("g0", "FIGURES")).partition(" ")
+        yes, _, text = (await rig.call_admin("g0", "FIGURES")).partition(" ")
         assert yes == "YES"
         seen, counted = json.loads(text), rig.clients.count
         assert seen["asked"] == counted["asked"] > 100
@@ -164,7 +164,7 @@
         assert seen["attempts"] >= seen["served"]
         assert sum(seen["reasons"].values()) >= seen["refused"]
         assert seen["pid"] == member.process.pid
-        assert seen["revision"] in await rig.door("g0", "CONFIG")
+        assert seen["revision"] in await rig.call_admin("g0", "CONFIG")
         assert len(text) < 4096
 
     beside(tmp_path, case, seconds=1.5)
@@ -177,7 +177,7 @@
 
 def test_token_that_was_followed_by_a_higher_one_can_do_nothing_whoever_serves(tmp_path):
     async def case(rig, member):
-        ask = rig.door
+        ask = rig.call_admin
         assert (await ask("g0", "AS 7 LEAVE")) == "YES drained"
         assert (await ask("g0", "AS 7 JOIN")) == "YES taking clients"
         assert (await ask("g0", "AS 6 LEAVE")) == "NO an older token: 7 has called"
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -30,7 +30,7 @@
 
 
 class Configured:
-    """A gateway with a configuration file, and the door's calls at hand."""
+    """A gateway with a configuration file, and the admin commands."""
 
     def __init__(self, gateway, path, environment):
         self.gateway, self.path, self.driver = gateway, path, gateway.driver
@@ -39,15 +39,15 @@
         config = read(read_file(str(path)), environment)
         self.discovery = Discovery(config.discovery, lambda *_: None)
         self.hot_restart = SimpleNamespace(handed_over=False)
-        self.door = admin.AdminEndpoint({})
+        self.admin_endpoint = admin.AdminEndpoint({})
         self.reload = ConfigurationReload(
             config,
             environment,
             ProcessParts(gateway.driver, gateway.clients, gateway.servers, self.discovery),
-            self.door,
+            self.admin_endpoint,
             self.hot_restart,
         )
-        self.door.commands.update(self.reload.commands())
+        self.admin_endpoint.commands.update(self.reload.commands())
         self.reload.serving.set()
 
     def write(self, **changes):
@@ -59,7 +59,7 @@
         self.write(tariffs=[{**PLAN, **changes}])
 
     async def tell(self, line: str) -> str:
-        yes, text = await self.door.answer(line.encode())
+        yes, text = await self.admin_endpoint.answer(line.encode())
         return f"{'YES' if yes else 'NO'} {text}"
 
     def state(self):
@@ -81,7 +81,7 @@
             servers.idle_limit_s,
             self.discovery.address,
             self.discovery.backoff.max_s,
-            self.door.server,
+            self.admin_endpoint.server,
             self.reload.in_force.config,
             self.reload.in_force.revision,
             self.reload.in_force.rollback_target,
@@ -99,7 +99,7 @@
         made = Configured(gateway, path, {"EDGE_CONFIG": str(path), **environment})
         yield made
         made.reload.close()
-        made.door.close()
+        made.admin_endpoint.close()
 
 
 def calm(kind=SERVICE, **more) -> dict:
@@ -188,7 +188,7 @@
                 assert (await made.tell("RELOAD")).startswith("NO refused, revision 1 stays: admin: ")
                 assert made.state() == before
             assert (await made.tell("RELOAD")).startswith("YES")  # the address is free now
-            assert made.door.server
+            assert made.admin_endpoint.server
             assert made.discovery.address == ("127.0.0.1", 9)
             assert made.driver.gateway.epochs.plans["free"].rate == 3.0
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -302,7 +302,7 @@
     async def goes_by(self, files) -> bool:
         """Whether all gateways go by these settings, and none is on trial."""
         for name in self.rig.members:
-            text = await self.rig.door(name, "CONFIG")
+            text = await self.rig.call_admin(name, "CONFIG")
             if f"digest {file_digest(files[name])}" not in text or "on trial" in text:
                 return False
         return True
@@ -415,11 +415,11 @@
         second = second.rename(second.with_name("second.toml"))
         second.with_suffix(".journal").write_bytes(first.with_suffix(".journal").read_bytes())
         assert await made.to_end(second) == 0, made.log()
-        before = [await made.rig.door(name, "CONFIG") for name in made.rig.members]
+        before = [await made.rig.call_admin(name, "CONFIG") for name in made.rig.members]
         first.write_bytes(second.read_bytes())
         sleeper.send_signal(signal.SIGCONT)
         assert await sleeper.wait() == 3, made.log()
-        assert [await made.rig.door(name, "CONFIG") for name in made.rig.members] == before
+        assert [await made.rig.call_admin(name, "CONFIG") for name in made.rig.members] == before
         clients = AdminClients(load(second).targets, 5)
         with pytest.raises(FencedError):
             await clients.call("g1", "RELOAD")
@@ -467,7 +467,7 @@
         await made.seen(plan, journal_records.TargetChanged, names[1])
         running.kill()
         await running.wait()
-        assert (await made.rig.door(names[0], "ROLLBACK")).startswith("YES")
+        assert (await made.rig.call_admin(names[0], "ROLLBACK")).startswith("YES")
         made.rig.members[names[1]].signal(signal.SIGHUP)  # by hand, in the middle: its file says the same
         assert await made.to_end(plan) == 0, made.log()
         assert await made.goes_by(made.new)
@@ -502,7 +502,7 @@
         assert await (await made.start(plan, call="pause")).wait() == 0
         await made.seen(plan, journal_records.RolloutHalted)
         assert running.returncode is None
-        assert "on trial" in await made.rig.door("g0", "CONFIG")
+        assert "on trial" in await made.rig.call_admin("g0", "CONFIG")
         await (await made.start(plan, call="resume")).wait()
         await made.seen(plan, journal_records.RolloutResumed)
         await made.seen(plan, journal_records.StageConfirmed)
@@ -600,7 +600,7 @@
 async def run_by(made: Fleet, folder: Path) -> bool:
     """Whether each member is one process, of that version's folder."""
     for gateway, member in made.rig.members.items():
-        figures = json.loads((await made.rig.door(gateway, "FIGURES")).removeprefix("YES "))
+        figures = json.loads((await made.rig.call_admin(gateway, "FIGURES")).removeprefix("YES "))
         if figures["program"] != str(folder) or sum(process.alive for process in member.processes) != 1:
             return False
     return True
@@ -615,20 +615,20 @@
 
     async def case(made: Fleet):
         new, plan = next_version(tmp_path / "next"), None
-        assert (await made.rig.door("g1", "OFFLINE s-2")) == "YES out"
+        assert (await made.rig.call_admin("g1", "OFFLINE s-2")) == "YES out"
         running = await made.start(made.upgrade(new, name="there"))
         plan = made.plans["there"]
         await made.seen(plan, journal_records.TargetChanged, "g0")
-        assert (await made.rig.door("g2", "LEAVE")) == "YES drained"
+        assert (await made.rig.call_admin("g2", "LEAVE")) == "YES drained"
         made.rig.discovery.fail(True)
         assert await running.wait() == 0, made.log()
         assert await run_by(made, new.folder)
-        assert "1 servers out" in await made.rig.door("g1", "HEALTH")
-        assert "YES drained" in await made.rig.door("g2", "HEALTH")
+        assert "1 servers out" in await made.rig.call_admin("g1", "HEALTH")
+        assert "YES drained" in await made.rig.call_admin("g2", "HEALTH")
         made.rig.discovery.fail(False)
         assert await made.to_end(made.upgrade(version(ROOT), new, name="home")) == 0, made.log()
         assert await run_by(made, ROOT)
-        assert "1 servers out" in await made.rig.door("g1", "HEALTH")
+        assert "1 servers out" in await made.rig.call_admin("g1", "HEALTH")
         assert all("nothing taken over" not in member.log() for member in made.rig.members.values())
 
     fleet(tmp_path, case)
@@ -744,18 +744,18 @@
 
     async def case(made: Fleet):
         old, here = earlier_version, version(ROOT, words)
-        assert (await made.rig.door("g1", "OFFLINE s-2")) == "YES out"
-        assert alone in await made.rig.door("g1", "RETIRE")
+        assert (await made.rig.call_admin("g1", "OFFLINE s-2")) == "YES out"
+        assert alone in await made.rig.call_admin("g1", "RETIRE")
         assert await made.to_end(made.upgrade(here, old, name="there")) == 0, made.log()
         assert await run_by(made, ROOT)
         assert await made.to_end(made.upgrade(old, here, name="home")) == 0, made.log()
-        assert alone in await made.rig.door("g1", "RETIRE")
+        assert alone in await made.rig.call_admin("g1", "RETIRE")
         assert commit == BEFORE_ABOUT or await run_by(made, old.folder)
-        assert "1 servers out" in await made.rig.door("g1", "HEALTH")
+        assert "1 servers out" in await made.rig.call_admin("g1", "HEALTH")
         assert all("nothing taken over" not in member.log() for member in made.rig.members.values())
         assert await made.to_end(made.upgrade(next_version(tmp_path / "next"), old, name="two")) == 0
         assert await run_by(made, tmp_path / "next")
-        assert "1 servers out" in await made.rig.door("g1", "HEALTH")
+        assert "1 servers out" in await made.rig.call_admin("g1", "HEALTH")
 
     earlier_version = earlier(tmp_path / "earlier", commit)
     fleet(tmp_path, case, program=earlier_version)
@@ -769,7 +769,7 @@
     """
 
     async def case(made: Fleet):
-        assert (await made.rig.door("g0", "OFFLINE s-2")) == "YES out"
+        assert (await made.rig.call_admin("g0", "OFFLINE s-2")) == "YES out"
         here = version(ROOT, EARLIER_COMMAND)
         plan = made.upgrade(here, earlier_version, watch_s=3.0)
         running = await made.start(plan)
@@ -781,7 +781,7 @@
         assert state.attempted_targets == ["g0"]
         assert ENDED in state.rollback_reason
         assert await run_by(made, earlier_version.folder)
-        assert "1 servers out" in await made.rig.door("g0", "HEALTH")
+        assert "1 servers out" in await made.rig.call_admin("g0", "HEALTH")
 
     earlier_version = earlier(tmp_path / "earlier", BEFORE_RENAME)
     fleet(tmp_path, case, may_break=CRASHES, program=earlier_version)
