--- a/quota_gateway/failover/model.py
+++ b/quota_gateway/failover/model.py
@@ -1,9 +1,9 @@
 """Record, claim and delivery as a small explicit-state model, explored to the end.
 
 Two requests stand one behind the other on one connection, the second of them unsafe. A gateway takes them,
-sends them on and answers in order; two standbys may follow it, each at the keeper's word. Between any two
-steps of any of them, any may be killed, the first may be stopped and go on, the client may go away, and the
-keeper may die and be started again. What the record must guarantee holds in every state that can be reached:
+forwards them and answers in order; two standbys may follow it, each when the supervisor notifies it. Between
+any two steps of any of them, any may be killed, the first may be stopped and go on, the client may go away, and
+the supervisor may die and be started again. What the record guarantees holds in every reachable state:
 
   once     no unsafe request runs twice
   stream   what the client has read is a beginning of whole answers, each of one origin, in their order
@@ -60,8 +60,8 @@
     stream: tuple[Token, ...] = ()
     ran: tuple[int, ...] = (0,) * REQUESTS
     open: bool = True  # the connection
-    keeper: bool = True
-    told: frozenset[int] = frozenset()  # standbys that the keeper has told to take over
+    supervisor: bool = True
+    notified: frozenset[int] = frozenset()  # standbys that the supervisor has notified to take over
     deaths: int = 0
     stops: int = 0
 
@@ -102,7 +102,7 @@
             if actor.life == RUNS:
                 if actor.working:
                     yield from ((f"{name} {what}", to) for what, to in self._work(world, number, actor))
-                elif number in world.told:
+                elif number in world.notified:
                     yield from ((f"{name} {what}", to) for what, to in self._claim(world, number))
                 if world.stops == 0 and number == 0:
                     yield f"{name} is stopped", self._with(world, number, life=STOPPED, stops=1)
@@ -113,28 +113,31 @@
         yield from self._around(world)
 
     def _around(self, world: World) -> Iterator[tuple[str, World]]:
-        if world.keeper:
+        if world.supervisor:
             yield from self._keep(world)
             if world.deaths < self.deaths:
                 yield (
-                    "the keeper dies",
-                    structs.replace(world, keeper=False, told=frozenset(), deaths=world.deaths + 1),
+                    "the supervisor dies",
+                    structs.replace(world, supervisor=False, notified=frozenset(), deaths=world.deaths + 1),
                 )
         else:
-            yield "a keeper starts", structs.replace(world, keeper=True)
+            yield "a supervisor starts", structs.replace(world, supervisor=True)
         if world.open:
             yield "the client goes away", structs.replace(world, open=False)
 
     def _keep(self, world: World) -> Iterator[tuple[str, World]]:
-        """The keeper: ends whoever hangs, and tells standbys once the holder's end is certain."""
+        """The supervisor: ends whoever hangs, and notifies standbys once the holder's end is certain."""
         holder = world.actors[world.holder]
         if holder.life == STOPPED and self.fault != "not certain":
-            yield "the keeper ends who hangs", self._with(world, world.holder, life=DEAD)
+            yield "the supervisor ends who hangs", self._with(world, world.holder, life=DEAD)
         certain = holder.life == DEAD or (self.fault == "not certain" and holder.life == STOPPED)
         for number in range(1, len(world.actors)):
             one = world.actors[number]
-            if certain and number not in world.told and one.life == RUNS and not one.working:
-                yield f"the keeper tells {number}", structs.replace(world, told=world.told | {number})
+            if certain and number not in world.notified and one.life == RUNS and not one.working:
+                yield (
+                    f"the supervisor notifies {number}",
+                    structs.replace(world, notified=world.notified | {number}),
+                )
 
     # ---- Claims
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -207,7 +207,7 @@
     os.close(file)
 
 
-# ---- The keeper, over several processes
+# ---- The supervisor, over several processes
 
 BOUND = """
 import os, runpy, sys, threading
@@ -224,7 +224,7 @@
 
 
 class Kept:
-    """One gateway under a keeper, whichever process serves."""
+    """One gateway under a supervisor, whichever process serves."""
 
     def __init__(self, rig, member) -> None:
         self.rig, self.member = rig, member
@@ -266,7 +266,7 @@
     (tmp_path / "bound.py").write_text(BOUND)
     os.mkfifo(tmp_path / "end")
     python = f"exec {sys.executable}"
-    (tmp_path / "keeper.toml").write_text(
+    (tmp_path / "supervisor.toml").write_text(
         f'command = "{python} {tmp_path}/bound.py {tmp_path}/end"\nfolder = "{ROOT}"\n'
         'socket = "$TMPDIR/keeper.sock"\n'
     )
@@ -274,7 +274,7 @@
     async def test():
         world = msgspec.structs.replace(SCENARIO.world, gateways=1, seconds=seconds)
         scenario = msgspec.structs.replace(SCENARIO, world=world, rate=80.0)
-        program = Program(ROOT, f"{python} -m quota_gateway.failover run {tmp_path}/keeper.toml")
+        program = Program(ROOT, f"{python} -m quota_gateway.failover run {tmp_path}/supervisor.toml")
         async with Rig(scenario, tmp_path / "rig", program=program) as rig:
             made = Kept(rig, rig.members["g0"])
             try:
@@ -331,7 +331,7 @@
         assert await rest.ask(call_of(1)) == b"0000000000000001"
         before, member = await made.pid(), made.member
         second = subprocess.run(
-            [sys.executable, "-m", "quota_gateway.failover", "run", tmp_path / "keeper.toml"],
+            [sys.executable, "-m", "quota_gateway.failover", "run", tmp_path / "supervisor.toml"],
             cwd=ROOT,
             env={**os.environ, "TMPDIR": str(member.tmp)},
             capture_output=True,
@@ -367,17 +367,17 @@
         def close(self) -> None: ...
 
     async def test():
-        keeper = Supervisor(Job("true", ".", str(tmp_path / "sock")))
+        supervisor = Supervisor(Job("true", ".", str(tmp_path / "sock")))
         before = len(os.listdir("/proc/self/fd"))
         first, second = Fake(), Fake()
         for link in (first, second):
-            keeper._on_message(link, b"H1", [os.memfd_create("record")])
-            keeper._on_message(link, b"C1", [os.memfd_create("connection")])
-        assert list(keeper.processes) == [second]
+            supervisor._on_message(link, b"H1", [os.memfd_create("record")])
+            supervisor._on_message(link, b"C1", [os.memfd_create("connection")])
+        assert list(supervisor.processes) == [second]
         assert len(os.listdir("/proc/self/fd")) == before + 2
-        keeper._on_message(second, b"D1", [])
+        supervisor._on_message(second, b"D1", [])
         assert len(os.listdir("/proc/self/fd")) == before + 1  # nothing keeps it from ending
-        keeper.processes[second].close_all()
+        supervisor.processes[second].close_all()
 
     run(test())
 
