--- a/quota_gateway/failover/model.py
+++ b/quota_gateway/failover/model.py
@@ -2,7 +2,7 @@
 
 Two requests stand one behind the other on one connection, the second of them unsafe. A gateway takes them,
 forwards them and answers in order; two standbys may follow it, each when the supervisor notifies it. Between
-any two steps of any of them, any may be killed, the first may be stopped and go on, the client may go away, and
+any two steps of any of them, any may be killed, the first may be stopped and go on, the client may leave, and
 the supervisor may die and be started again. What the record guarantees holds in every reachable state:
 
   once     no unsafe request runs twice
