--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""Work in hand that outlives its process: the model holds, and finds each planted fault."""
+"""Requests in flight that outlive their process: the model holds, and finds each planted fault."""
 
 import json
 import os
@@ -207,7 +207,7 @@
     os.close(file)
 
 
-# ---- The keeper, over several processes
+# ---- The supervisor, over several processes
 
 BOUND = """
 import os, runpy, sys, threading
@@ -224,19 +224,19 @@
 
 
 class Kept:
-    """One gateway under a keeper, whichever process serves."""
+    """One gateway under a supervisor, whichever process serves."""
 
     def __init__(self, rig, member) -> None:
         self.rig, self.member = rig, member
 
     async def pid(self) -> int:
         """Of the process that serves."""
-        return int(json.loads((await self.rig.door("g0", "FIGURES")).removeprefix("YES "))["pid"])
+        return int(json.loads((await self.rig.call_admin("g0", "FIGURES")).removeprefix("YES "))["pid"])
 
     async def next_serves(self, before: int) -> int:
         """Wait until another process than this one does."""
         while True:
-            text = await self.rig.door("g0", "FIGURES")
+            text = await self.rig.call_admin("g0", "FIGURES")
             now = int(json.loads(text.removeprefix("YES "))["pid"]) if text.startswith("YES") else before
             if now != before:
                 return now
@@ -255,7 +255,7 @@
 
     async def in_hand(self) -> None:
         """Wait until a request is."""
-        while '"in_hand":1' not in await self.rig.door("g0", "FIGURES"):
+        while '"in_hand":1' not in await self.rig.call_admin("g0", "FIGURES"):
             pass
 
     async def peer(self) -> Peer:
@@ -266,7 +266,7 @@
     (tmp_path / "bound.py").write_text(BOUND)
     os.mkfifo(tmp_path / "end")
     python = f"exec {sys.executable}"
-    (tmp_path / "keeper.toml").write_text(
+    (tmp_path / "supervisor.toml").write_text(
         f'command = "{python} {tmp_path}/bound.py {tmp_path}/end"\nfolder = "{ROOT}"\n'
         'socket = "$TMPDIR/keeper.sock"\n'
     )
@@ -274,7 +274,7 @@
     async def test():
         world = msgspec.structs.replace(SCENARIO.world, gateways=1, seconds=seconds)
         scenario = msgspec.structs.replace(SCENARIO, world=world, rate=80.0)
-        program = Program(ROOT, f"{python} -m quota_gateway.failover run {tmp_path}/keeper.toml")
+        program = Program(ROOT, f"{python} -m quota_gateway.failover run {tmp_path}/supervisor.toml")
         async with Rig(scenario, tmp_path / "rig", program=program) as rig:
             made = Kept(rig, rig.members["g0"])
             try:
@@ -324,14 +324,14 @@
     kept(tmp_path, case)
 
 
-def test_keeper_that_dies_takes_nobody_along_and_the_next_one_keeps_all(tmp_path):
+def test_supervisor_that_dies_takes_nobody_along_and_the_next_one_keeps_all(tmp_path):
     async def case(made: Kept):
         await made.standby()
         rest = await made.peer()
         assert await rest.ask(call_of(1)) == b"0000000000000001"
         before, member = await made.pid(), made.member
         second = subprocess.run(
-            [sys.executable, "-m", "quota_gateway.failover", "run", tmp_path / "keeper.toml"],
+            [sys.executable, "-m", "quota_gateway.failover", "run", tmp_path / "supervisor.toml"],
             cwd=ROOT,
             env={**os.environ, "TMPDIR": str(member.tmp)},
             capture_output=True,
@@ -367,22 +367,22 @@
         def close(self) -> None: ...
 
     async def test():
-        keeper = Supervisor(Job("true", ".", str(tmp_path / "sock")))
+        supervisor = Supervisor(Job("true", ".", str(tmp_path / "sock")))
         before = len(os.listdir("/proc/self/fd"))
         first, second = Fake(), Fake()
         for link in (first, second):
-            keeper._on_message(link, b"H1", [os.memfd_create("record")])
-            keeper._on_message(link, b"C1", [os.memfd_create("connection")])
-        assert list(keeper.processes) == [second]
+            supervisor._on_message(link, b"H1", [os.memfd_create("record")])
+            supervisor._on_message(link, b"C1", [os.memfd_create("connection")])
+        assert list(supervisor.processes) == [second]
         assert len(os.listdir("/proc/self/fd")) == before + 2
-        keeper._on_message(second, b"D1", [])
+        supervisor._on_message(second, b"D1", [])
         assert len(os.listdir("/proc/self/fd")) == before + 1  # nothing keeps it from ending
-        keeper.processes[second].close_all()
+        supervisor.processes[second].close_all()
 
     run(test())
 
 
-def test_under_load_a_kill_loses_no_more_than_was_in_hand(tmp_path):
+def test_under_load_a_kill_loses_no_more_than_was_in_flight(tmp_path):
     async def case(made: Kept):
         clients = made.rig.clients
         asking = made.rig.clock.loop.create_task(clients.run())
