--- a/quota_gateway/rollout/admin_clients.py
+++ b/quota_gateway/rollout/admin_clients.py
@@ -10,19 +10,18 @@
 import msgspec
 
 from quota_gateway.errors import RolloutError
+from quota_gateway.rollout.answers import ACCEPTED, OLDER_TOKEN, ON_TRIAL, REJECTED
 from quota_gateway.rollout.figures import GatewayFigures
 from quota_gateway.rollout.plan import Target
+from quota_gateway.rollout.retry import NotYetError
 
 CALL_TIMEOUT_S = 2.0  # an admin endpoint answers within one second
 MAX_ANSWER_BYTES = 64 * 1024
 MAX_CONCURRENT_CALLS = 32  # over all targets
 CONFIGURATION_DIGEST = re.compile(r"digest ([0-9a-f]+)")
-ACCEPTED = "YES"
-REJECTED = "NO"
-OLDER_TOKEN = "an older token"  # how a rejection begins that is due to the token
 
 
-class UnreachableError(RolloutError):
+class UnreachableError(NotYetError):
     """A target gives no answer, or none that can be used; the call may be repeated."""
 
 
@@ -50,17 +49,24 @@
     """Clients of all targets' admin endpoints.
 
     Attributes:
-        addresses: by target, the admin endpoint of the process that is asked.
         sends_token: whether calls carry the token. Calls without one are taken as an operator's and stop no
             other controller.
     """
 
     def __init__(self, targets: Iterable[Target], token: int) -> None:
-        self.addresses = {target.name: target.admin_address for target in targets}
+        self._addresses = {target.name: target.admin_address for target in targets}
         self.token = token
         self.sends_token = True
         self.concurrent_calls = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
+    def use_address(self, target: str, address: str) -> None:
+        """Set which of a target's processes is asked; at first it is the one at the plan's admin address.
+
+        In a program rollout that is the predecessor until the successor has taken over, then the successor,
+        and the predecessor again after a rollback.
+        """
+        self._addresses[target] = address
+
     async def call(self, target: str, command: str, address: str = "") -> AdminAnswer:
         """Send a command to a target's process, or to the one at another address.
 
@@ -69,7 +75,7 @@
             FencedError: the token is outdated; commands that only read are rejected, too.
         """
         line = f"AS {self.token} {command}" if self.sends_token else command
-        answer = await self._exchange(target, address or self.addresses[target], line)
+        answer = await self._exchange(target, address or self._addresses[target], line)
         word, _, text = answer.partition(" ")
         if word not in (ACCEPTED, REJECTED):
             raise UnreachableError(f"{target}: no door's answer")
@@ -96,7 +102,7 @@
         return await self.call(target, "HEALTH", address)
 
     async def retire(self, target: str, address: str) -> AdminAnswer:
-        """Ask the process at an address to have the one that was followed end. Raises as `health` does."""
+        """Ask the process at an address to see to it that the predecessor ends. Raises as `health` does."""
         return await self.call(target, "RETIRE", address)
 
     async def reload_on_trial(self, target: str, trial_s: int) -> AdminAnswer:
@@ -121,7 +127,7 @@
         found = CONFIGURATION_DIGEST.search(answer.text)
         if not answer.accepted or found is None:
             raise UnreachableError(f"{target}: {answer.text}")
-        return ConfigurationInForce(found[1], "on trial" in answer.text)
+        return ConfigurationInForce(found[1], ON_TRIAL in answer.text)
 
     async def figures(self, target: str) -> GatewayFigures:
         """Its counts since its start. Raises UnreachableError or FencedError."""
--- a/quota_gateway/rollout/canary_analysis.py
+++ b/quota_gateway/rollout/canary_analysis.py
@@ -1,6 +1,6 @@
-"""Canary analysis: whether changed targets do worse than the others do at the same time.
+"""Canary analysis: whether the judged targets do worse than the others do at the same time.
 
-For each measure, the share since the change less the share before it is taken of the changed targets and of
+For each measure, the share since the change less the share before it is taken of the judged targets and of
 the others. The difference of these differences is what the change did, however uneven the targets are. It is
 judged by a sequential test, so that it may be evaluated at every poll.
 """
@@ -12,26 +12,32 @@
 from enum import Enum
 from itertools import chain
 from math import inf, sqrt
+from typing import Generic, TypeVar
 
 from msgspec import Struct
 
 from quota_gateway.rollout.canary_limits import CanaryLimits, Measure
-from quota_gateway.rollout.figures import GatewayFigures, sum_of_windows
+from quota_gateway.rollout.figures import FiguresWindow, sum_of_windows
 from quota_gateway.rollout.sequential_test import log_likelihood_ratio, log_threshold, upper_bound
-from quota_gateway.rollout.window_counts import GroupCounts, count_windows, dispersion, first_slow_step
+from quota_gateway.rollout.window_counts import MeasureCounts, count_windows, dispersion, first_slow_bucket
 
 MIN_EVENTS = 20  # before anything is blamed: fewer are not normally distributed
-BASELINE_GROWTH_RATIO = 1.25  # of the time measured, from one check for enough requests to the next
-BASELINE_TOLERANCE_RATIO = 0.6  # of the tolerance that the baseline may use up; the rest is the stage's
+# Time measured at the next check of the baseline, of that at this one. Each check counts all windows anew, so
+# that there are to be few.
+BASELINE_GROWTH_RATIO = 1.25
+# Of the tolerance that the baseline's uncertainty may use up; the rest is for the stage's own.
+BASELINE_TOLERANCE_RATIO = 0.6
+
+Count = TypeVar("Count", int, dict[Measure, int])
 
 
 class Verdict(Enum):
-    """What an evaluation comes to; the values are column heads of the trial's table."""
+    """What an evaluation comes to; the values are column heads of the simulation's table."""
 
     UNDECIDED = "wait"
     PASSED = "fine"
     WORSE = "worse"
-    COMMON_FAULT = "trouble"  # the unchanged targets do worse, too: not the change's fault
+    COMMON_FAULT = "trouble"  # the others do worse, too: not this stage's fault
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +45,7 @@
     """The figures that a verdict rests on: increases of a measure's share, and their standard error."""
 
     measure: Measure
-    changed: float
+    judged: float
     others: float
     standard_error: float | None  # none where nothing was counted
 
@@ -53,51 +59,56 @@
     evidence: Evidence | None = None
 
 
+class ByGroup(Struct, Generic[Count], frozen=True, array_like=True, forbid_unknown_fields=True):
+    """A count of either group of targets; stored as an array in this order."""
+
+    judged: Count
+    others: Count
+
+
 class Baseline(
     Struct,
     frozen=True,
     rename={
-        "first_slow_step": "slow_from",
-        "target_dispersion": "spread",
+        "first_slow_bucket": "slow_from",
+        "target_dispersion": "spread",  # not related to the plan's key "spread"
         "common_dispersion": "shared",
         "answered": "asked",
     },
 ):
     """What the targets did before a stage; stored, so that another process can go on judging.
 
-    The pairs are of the targets to be changed and of the others, in this order.
-
     Attributes:
         target_dispersion: of single targets' windows.
         common_dispersion: of the others' windows added up, which vary as what hits all targets does.
     """
 
-    first_slow_step: int
+    first_slow_bucket: int
     target_dispersion: dict[Measure, float]
     common_dispersion: dict[Measure, float]
-    answered: tuple[int, int]
-    events: tuple[dict[Measure, int], dict[Measure, int]]
+    answered: ByGroup[int]
+    events: ByGroup[dict[Measure, int]]
 
 
-def measure_baseline(changed: Collection[str], windows: Mapping[str, Sequence[GatewayFigures]]) -> Baseline:
+def measure_baseline(judged: Collection[str], windows: Mapping[str, Sequence[FiguresWindow]]) -> Baseline:
     """The baseline from each target's windows before the change."""
-    slow_step = first_slow_step(list(chain.from_iterable(windows.values())))
-    changed_counts = GroupCounts()
-    other_counts = GroupCounts()
+    slow_bucket = first_slow_bucket(list(chain.from_iterable(windows.values())))
+    judged_counts = MeasureCounts()
+    other_counts = MeasureCounts()
     for name, target_windows in windows.items():
-        counts = changed_counts if name in changed else other_counts
+        counts = judged_counts if name in judged else other_counts
         for window in target_windows:
-            counts.add(window, slow_step)
-    others = [target_windows for name, target_windows in windows.items() if name not in changed]
+            counts.add(window, slow_bucket)
+    others = [target_windows for name, target_windows in windows.items() if name not in judged]
     added_up = [sum_of_windows(moment) for moment in zip(*others, strict=False)]
-    single = count_windows(windows.values(), slow_step)
-    common = count_windows([added_up], slow_step)
+    single = count_windows(windows.values(), slow_bucket)
+    common = count_windows([added_up], slow_bucket)
     return Baseline(
-        slow_step,
+        slow_bucket,
         {measure: dispersion(single, measure) for measure in Measure},
         {measure: dispersion(common, measure) for measure in Measure},
-        (changed_counts.answered, other_counts.answered),
-        (changed_counts.events, other_counts.events),
+        ByGroup(judged_counts.answered, other_counts.answered),
+        ByGroup(judged_counts.events, other_counts.events),
     )
 
 
@@ -111,10 +122,10 @@
 
 @dataclass(slots=True)
 class Group:
-    """Counts of the changed targets, or of the others."""
+    """Counts of the judged targets, or of the others."""
 
-    before: GroupCounts
-    after: GroupCounts = field(default_factory=GroupCounts)
+    before: MeasureCounts
+    after: MeasureCounts = field(default_factory=MeasureCounts)
 
     def increase(self, measure: Measure) -> ShareIncrease:
         """By how much a measure's share has grown."""
@@ -131,7 +142,7 @@
     """What can be said about one measure.
 
     Attributes:
-        excess: the changed targets' increase beyond that of the others.
+        excess: the judged targets' increase beyond that of the others.
         excess_bound: what the excess is at most.
     """
 
@@ -147,7 +158,7 @@
 
     def __init__(
         self,
-        changed: Collection[str],
+        judged: Collection[str],
         baseline: Baseline,
         limits: CanaryLimits,
         stages: int,
@@ -156,36 +167,36 @@
         """Start from a baseline.
 
         Args:
-            changed: names of the targets that are judged.
+            judged: names of the targets that are compared with all others; see `StageRunner`.
             baseline: what all targets did before the stage.
             limits: what counts as worse.
             stages: of the rollout; they share the error.
             min_requests: that either group must have answered before a stage passes.
         """
-        self.changed = changed
+        self.judged = judged
         self.limits = limits
         self.min_requests = min_requests
         self.threshold = log_threshold(limits.false_stop_ratio, len(limits.measures) * stages)
         self.baseline = baseline
-        changed_answered, others_answered = baseline.answered
-        changed_events, others_events = baseline.events
-        self.changed_group = Group(GroupCounts(changed_answered, dict(changed_events)))
-        self.other_group = Group(GroupCounts(others_answered, dict(others_events)))
+        answered = baseline.answered
+        events = baseline.events
+        self.judged_group = Group(MeasureCounts(answered.judged, dict(events.judged)))
+        self.other_group = Group(MeasureCounts(answered.others, dict(events.others)))
 
     def is_baseline_sufficient(self) -> bool:
         """Whether the baseline leaves room for a verdict: it is not known any better later on."""
         for measure in self.limits.measures:
-            variance = self.changed_group.before.variance(measure) + self.other_group.before.variance(measure)
+            variance = self.judged_group.before.variance(measure) + self.other_group.before.variance(measure)
             variance *= self.baseline.target_dispersion[measure]
             bound = upper_bound(0.0, variance, self.limits.detected_ratio, self.threshold)
             if bound > BASELINE_TOLERANCE_RATIO * self.limits.tolerance_of(measure):
                 return False
         return True
 
-    def add(self, target: str, window: GatewayFigures) -> None:
+    def add(self, target: str, window: FiguresWindow) -> None:
         """Count a target's window since the change."""
-        group = self.changed_group if target in self.changed else self.other_group
-        group.after.add(window, self.baseline.first_slow_step)
+        group = self.judged_group if target in self.judged else self.other_group
+        group.after.add(window, self.baseline.first_slow_bucket)
 
     def evaluate(self) -> CanaryResult:
         """What can be said now; may be called at any moment, as often as needed."""
@@ -194,17 +205,18 @@
         if worse:
             reason = f"{worse.evidence.measure}: {worse.excess:+.4f} against the others"
             return CanaryResult(Verdict.WORSE, reason, worse.evidence)
+        # Reversed: of several, the last in the plan's order of measures is named.
         common = next((found for found in reversed(assessments) if found.is_common_fault), None)
         if common:
             reason = f"{common.evidence.measure}: {common.evidence.others:+.4f} in the others"
             return CanaryResult(Verdict.COMMON_FAULT, reason, common.evidence)
         return self._undecided(assessments) or CanaryResult(
-            Verdict.PASSED, f"{self.changed_group.after.answered} requests, nothing worse"
+            Verdict.PASSED, f"{self.judged_group.after.answered} requests, nothing worse"
         )
 
     def _undecided(self, assessments: Sequence[Assessment]) -> CanaryResult | None:
         """Why the stage can't pass yet: "nothing seen" is not enough."""
-        answered = min(self.changed_group.after.answered, self.other_group.after.answered)
+        answered = min(self.judged_group.after.answered, self.other_group.after.answered)
         if answered < self.min_requests:
             return CanaryResult(Verdict.UNDECIDED, f"{answered} requests, want {self.min_requests}")
         for found in assessments:
@@ -216,22 +228,22 @@
         return None
 
     def _assess(self, measure: Measure) -> Assessment:
-        changed = self.changed_group.increase(measure)
+        judged = self.judged_group.increase(measure)
         others = self.other_group.increase(measure)
         scale = self.limits.detected_ratio
-        variance = (changed.variance + others.variance) * self.baseline.target_dispersion[measure]
+        variance = (judged.variance + others.variance) * self.baseline.target_dispersion[measure]
         common_variance = others.variance * self.baseline.common_dispersion[measure]
-        excess = changed.increase - others.increase
+        excess = judged.increase - others.increase
         return Assessment(
             Evidence(
                 measure,
-                round(changed.increase, 5),
+                round(judged.increase, 5),
                 round(others.increase, 5),
                 round(sqrt(variance), 5) if variance < inf else None,
             ),
             excess,
             upper_bound(excess, variance, scale, self.threshold),
-            is_worse=self._is_significant(self.changed_group, measure, excess, variance),
+            is_worse=self._is_significant(self.judged_group, measure, excess, variance),
             is_common_fault=self._is_significant(self.other_group, measure, others.increase, common_variance),
         )
 
--- a/quota_gateway/rollout/canary_trial.py
+++ b/quota_gateway/rollout/canary_simulation.py
@@ -11,6 +11,7 @@
 
 import numpy as np
 
+from quota_gateway.net.metrics import LATENCY_BUCKETS_PER_DOUBLING, MAX_LATENCY_BUCKET
 from quota_gateway.rollout.canary_analysis import (
     BASELINE_GROWTH_RATIO,
     CanaryAnalysis,
@@ -18,7 +19,7 @@
     measure_baseline,
 )
 from quota_gateway.rollout.canary_limits import CanaryLimits
-from quota_gateway.rollout.figures import GatewayFigures
+from quota_gateway.rollout.figures import FiguresWindow
 
 WINDOW_S = 1.0
 REJECTED_RATIO = 0.03  # of the requests, in the mean of the targets
@@ -27,8 +28,6 @@
 OWN_SIGMA = 0.2  # the same, of each target's own seconds
 LATENCY_MS_LOG_MEAN = 3.0
 LATENCY_MS_LOG_SIGMA = 0.8
-LATENCY_STEPS_PER_DOUBLING = 4.0
-MAX_LATENCY_STEP = 68
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TrialResult:
+class SimulationResult:
     """A simulated rollout: its last verdict, at which stage and after how long.
 
     Attributes:
@@ -70,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TrialPlan:
+class SimulationPlan:
     """The plan of a simulated rollout.
 
     Attributes:
@@ -96,45 +95,45 @@
         self.rates = requests_per_s * generator.lognormal(0.0, TARGETS_SIGMA, targets)
         self.rejected_ratios = REJECTED_RATIO * generator.lognormal(0.0, TARGETS_SIGMA, targets)
 
-    def next_windows(self, changed: Set[str], harm: Harm) -> Iterator[tuple[str, GatewayFigures]]:
+    def next_windows(self, changed: Set[str], harm: Harm) -> Iterator[tuple[str, FiguresWindow]]:
         """Each target's next window."""
         common_factor = self.generator.lognormal(0.0, COMMON_SIGMA)
         unharmed = Harm()
         for position, name in enumerate(self.names):
             yield name, self._window(position, common_factor, harm if name in changed else unharmed)
 
-    def _window(self, position: int, common_factor: float, harm: Harm) -> GatewayFigures:
+    def _window(self, position: int, common_factor: float, harm: Harm) -> FiguresWindow:
         requests = int(self.generator.poisson(self.rates[position] * WINDOW_S))
         own_factor = self.generator.lognormal(0.0, OWN_SIGMA)
         rejected_ratio = self.rejected_ratios[position] * common_factor * own_factor + harm.rejected_ratio
         rejected = int(self.generator.binomial(requests, min(1.0, rejected_ratio)))
         served = requests - rejected
-        return GatewayFigures(
+        return FiguresWindow(
             requests=requests,
             served=served,
             rejected=rejected,
             attempts=requests,
-            latency_steps=self._latency_steps(served, harm),
+            latency_buckets=self._latency_buckets(served, harm),
         )
 
-    def _latency_steps(self, served: int, harm: Harm) -> dict[int, int]:
+    def _latency_buckets(self, served: int, harm: Harm) -> dict[int, int]:
         latencies_ms = self.generator.lognormal(LATENCY_MS_LOG_MEAN, LATENCY_MS_LOG_SIGMA, served)
         latencies_ms *= 1.0 + harm.slower_ratio
-        steps = (LATENCY_STEPS_PER_DOUBLING * np.log2(np.maximum(1.0, latencies_ms))).astype(int)
-        counts = np.bincount(np.clip(steps, 0, MAX_LATENCY_STEP))
-        return {int(step): int(counts[step]) for step in np.flatnonzero(counts)}
+        buckets = (LATENCY_BUCKETS_PER_DOUBLING * np.log2(np.maximum(1.0, latencies_ms))).astype(int)
+        counts = np.bincount(np.clip(buckets, 0, MAX_LATENCY_BUCKET))
+        return {int(bucket): int(counts[bucket]) for bucket in np.flatnonzero(counts)}
 
 
 class SimulatedRollout:
     """One rollout, polled once a window."""
 
-    def __init__(self, seed: int, plan: TrialPlan) -> None:
+    def __init__(self, seed: int, plan: SimulationPlan) -> None:
         self.plan = plan
         self.fleet = SimulatedFleet(np.random.default_rng(seed), plan.targets, plan.requests_per_s)
         self.duration_s = 0.0
         self.changed_requests = 0
 
-    def run(self) -> TrialResult:
+    def run(self) -> SimulationResult:
         """Run to the end, or to the first stage that does not pass."""
         names = self.fleet.names
         verdict = Verdict.PASSED
@@ -148,7 +147,7 @@
             if verdict is not Verdict.PASSED:
                 break
             already_changed = changed
-        return TrialResult(verdict, last_stage, self.duration_s, self.changed_requests)
+        return SimulationResult(verdict, last_stage, self.duration_s, self.changed_requests)
 
     def _run_stage(self, already_changed: Set[str], changed: Set[str], judged: Set[str]) -> Verdict:
         analysis = self._measure(already_changed, judged)
@@ -166,7 +165,7 @@
 
     def _measure(self, already_changed: Set[str], judged: Set[str]) -> CanaryAnalysis:
         """Measure until the baseline is sufficient, as the controller does."""
-        windows: dict[str, list[GatewayFigures]] = {name: [] for name in self.fleet.names}
+        windows: dict[str, list[FiguresWindow]] = {name: [] for name in self.fleet.names}
         measured_s = 0.0
         next_check_s = self.plan.watch_s
         while True:
@@ -182,7 +181,7 @@
             if analysis.is_baseline_sufficient() or measured_s >= self.plan.max_watch_s:
                 return analysis
 
-    def _next_windows(self, changed: Set[str]) -> Iterator[tuple[str, GatewayFigures]]:
+    def _next_windows(self, changed: Set[str]) -> Iterator[tuple[str, FiguresWindow]]:
         self.duration_s += WINDOW_S
         for name, window in self.fleet.next_windows(changed, self.plan.harm):
             if name in changed:
@@ -190,7 +189,7 @@
             yield name, window
 
 
-def run_trial(harm: str, targets: int, requests_per_s: float, seed: int) -> TrialResult:
+def simulate_rollout(harm: str, targets: int, requests_per_s: float, seed: int) -> SimulationResult:
     """A rollout over so many targets of so many requests a second each, by the plan's own defaults."""
     stage_sizes = tuple(sorted({1, max(1, targets // 10), targets // 2, targets}))
-    return SimulatedRollout(seed, TrialPlan(HARMS[harm], targets, requests_per_s, stage_sizes)).run()
+    return SimulatedRollout(seed, SimulationPlan(HARMS[harm], targets, requests_per_s, stage_sizes)).run()
--- a/quota_gateway/rollout/change_strategy.py
+++ b/quota_gateway/rollout/change_strategy.py
@@ -1,4 +1,4 @@
-"""What the controller needs of a kind of change: to apply it, to keep it, and to roll it back.
+"""What the controller needs of a kind of change: to apply it, to confirm it, and to roll it back.
 
 Each step looks first and does what is missing, so that the next controller can repeat it.
 """
@@ -9,15 +9,13 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from quota_gateway.config import file_digest
+from quota_gateway.config import MAX_FILE_BYTES, file_digest
 from quota_gateway.errors import RolloutError
 from quota_gateway.rollout.admin_clients import AdminClients, UnreachableError
 from quota_gateway.rollout.journal_records import RolloutStarted
 from quota_gateway.rollout.plan import Plan, PlanError, Target
 from quota_gateway.rollout.rollout_state import RolloutState
 
-MAX_CONFIG_FILE_BYTES = 1024 * 1024  # what a gateway reads
-
 
 class ChangeRejectedError(RolloutError):
     """A target rejects the change itself, or fails under it; everything is rolled back."""
@@ -56,8 +54,8 @@
             data = self.plan.path(path, target).read_bytes()
         except OSError as error:
             raise PlanError(f"{target}: {error}") from None
-        if len(data) > MAX_CONFIG_FILE_BYTES:
-            raise PlanError(f"{target}: {path}: more than {MAX_CONFIG_FILE_BYTES} bytes")
+        if len(data) > MAX_FILE_BYTES:
+            raise PlanError(f"{target}: {path}: more than {MAX_FILE_BYTES} bytes")
         return data
 
     async def require_file_in_force(self, target: str) -> None:
@@ -84,26 +82,26 @@
 
         Raises:
             ChangeRejectedError: it rejects the change.
-            UnreachableError: not changed yet, to be repeated.
+            NotYetError: not changed yet.
         """
 
     @abstractmethod
     async def renew_trial(self, targets: list[str]) -> None:
-        """Make the change last while it is watched."""
+        """Extend the trial while the stage is watched."""
 
     @abstractmethod
     async def failure_of(self, target: str) -> str:
         """Why a changed target that is unreachable is known to have failed; empty if it is not."""
 
     @abstractmethod
-    async def keep(self, target: str) -> bool:
-        """Make the change last; false if the target went back by itself.
+    async def confirm(self, target: str) -> bool:
+        """Make the change permanent; false if the target went back by itself.
 
         Raises:
             ChangeRejectedError: it has failed.
-            UnreachableError: to be repeated.
+            NotYetError: not confirmed yet.
         """
 
     @abstractmethod
     async def roll_back(self, target: str) -> None:
-        """Make a target as it was before. Raises UnreachableError where it is to be repeated."""
+        """Make a target as it was before. Raises NotYetError until it is."""
--- a/quota_gateway/rollout/controller.py
+++ b/quota_gateway/rollout/controller.py
@@ -11,7 +11,13 @@
 from collections.abc import Awaitable, Callable, Mapping
 
 from quota_gateway.rollout.journal import Journal
-from quota_gateway.rollout.journal_records import RolloutEnded, RolloutResumed, RolloutStarted, TargetChanged
+from quota_gateway.rollout.journal_records import (
+    Outcome,
+    RolloutEnded,
+    RolloutResumed,
+    RolloutStarted,
+    TargetChanged,
+)
 from quota_gateway.rollout.operator_commands import OperatorCommand
 from quota_gateway.rollout.plan import Plan, PlanError, fingerprint
 from quota_gateway.rollout.rollback import Rollback
@@ -19,8 +25,6 @@
 from quota_gateway.rollout.rollout_state import RolloutPhase
 from quota_gateway.rollout.stage_runner import StageRunner
 
-DONE_OUTCOME = "done"
-
 
 class Controller:
     """Runs one rollout."""
@@ -31,7 +35,7 @@
         self.state = journal.state
         self.stage_runner = StageRunner(self.context)
         self.rollback = Rollback(self.context)
-        self.steps: Mapping[RolloutPhase, Callable[[], Awaitable[None]]] = {
+        self.phase_handlers: Mapping[RolloutPhase, Callable[[], Awaitable[None]]] = {
             RolloutPhase.MEASURING: self.stage_runner.measure,
             RolloutPhase.CHANGING: self.stage_runner.change,
             RolloutPhase.WATCHING: self.stage_runner.watch,
@@ -56,7 +60,7 @@
             await self._start()
         self._require_same_plan()
         while self.state.phase is not RolloutPhase.ENDED:
-            await self.steps[self.state.phase]()
+            await self.phase_handlers[self.state.phase]()
         return self.state.outcome
 
     async def _start(self) -> None:
@@ -83,7 +87,7 @@
             raise PlanError("the journal is of other new settings, and is over: name another journal")
 
     async def _complete(self) -> None:
-        self.context.record(RolloutEnded(self.context.now_s(), DONE_OUTCOME))
+        self.context.record(RolloutEnded(self.context.now_s(), Outcome.DONE.value))
 
     async def _wait_for_operator(self) -> None:
         """Keep the trials up until an operator says how to go on."""
@@ -108,4 +112,5 @@
                 self._record_process(name, figures.pid)
 
     def _record_process(self, name: str, pid: int) -> None:
+        """Record the process that a target is now; journals have no record of its own for that."""
         self.context.record(TargetChanged(self.context.now_s(), name, pid=pid))
--- a/quota_gateway/rollout/journal_records.py
+++ b/quota_gateway/rollout/journal_records.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 from msgspec import Struct
 
 from quota_gateway.rollout.canary_analysis import Baseline
@@ -52,7 +54,10 @@
 
 
 class TargetChanged(Record, tag="changed", frozen=True, rename={"target": "member", "rollback": "back"}):
-    """A target is changed and runs as this process, or is rolled back, or its rollback was given up."""
+    """A target is changed and runs as this process, or is rolled back, or its rollback was given up.
+
+    Also written for a target that is changed already, when an operator accepts that it is another process.
+    """
 
     target: str
     rollback: bool = False
@@ -61,14 +66,14 @@
 
 
 class StagePassed(Record, tag="judged", frozen=True, rename={"reason": "why"}):
-    """The canary analysis passed a stage; its targets are about to be told to keep the change."""
+    """The canary analysis passed a stage; its targets are about to be confirmed."""
 
     stage: int
     reason: str
 
 
 class StageConfirmed(Record, tag="confirmed", frozen=True):
-    """All targets of a stage keep the change."""
+    """The change is permanent at all targets of a stage."""
 
     stage: int
 
@@ -89,8 +94,15 @@
     reason: str
 
 
+class Outcome(StrEnum):
+    """How a rollout ends; the values stand in journals and are printed."""
+
+    DONE = "done"
+    ROLLED_BACK = "back"  # followed by the targets that were given up, if there are any
+
+
 class RolloutEnded(Record, tag="ended", frozen=True):
-    """The rollout is over: done, or rolled back."""
+    """The rollout is over; the text begins with an `Outcome`."""
 
     outcome: str
 
--- a/quota_gateway/rollout/settings_rollout.py
+++ b/quota_gateway/rollout/settings_rollout.py
@@ -9,9 +9,11 @@
 from quota_gateway.config import read as read_config
 from quota_gateway.errors import ConfigurationError
 from quota_gateway.rollout.admin_clients import UnreachableError
+from quota_gateway.rollout.answers import NOT_DONE
 from quota_gateway.rollout.atomic_file import replace_file
 from quota_gateway.rollout.change_strategy import ChangeRejectedError, ChangeStrategy, CheckedTargets
 from quota_gateway.rollout.plan import PlanError
+from quota_gateway.rollout.retry import NotYetError
 
 MAX_FAULTS_SHOWN = 3
 
@@ -30,7 +32,7 @@
         for name, target in self.targets.items():
             old = self.read_file(target.config_file, name)
             new = self.read_file(self.plan.settings, name)
-            fault = fault_of_change(old, new)
+            fault = config_change_fault(old, new)
             if fault:
                 raise PlanError(f"{name}: {fault}")
             before[name] = file_digest(old)
@@ -51,7 +53,7 @@
         digest = self.started.after[target]
         self._write_new_file(target, digest)
         answer = await self.clients.reload_on_trial(target, self.plan.trial_s)
-        if not answer.accepted and not answer.text.startswith("not done"):
+        if not answer.accepted and not answer.text.startswith(NOT_DONE):
             raise ChangeRejectedError(f"{target}: {answer.text}")
         await self._require_in_force(target, digest)
         return (await self.clients.figures(target)).pid
@@ -70,7 +72,7 @@
     async def _require_in_force(self, target: str, digest: str) -> None:
         in_force = await self.clients.configuration(target)
         if in_force.digest != digest:
-            raise UnreachableError(f"{target}: goes by {in_force.digest}")
+            raise NotYetError(f"{target}: goes by {in_force.digest}")
 
     async def renew_trial(self, targets: list[str]) -> None:
         """Begin the trials' time from now on; an unreachable target is left out."""
@@ -83,7 +85,7 @@
         """None: a gateway that can't be reached may be well."""
         return ""
 
-    async def keep(self, target: str) -> bool:
+    async def confirm(self, target: str) -> bool:
         """Confirm the trial; false where it has ended."""
         in_force = await self.clients.configuration(target)
         if in_force.digest != self.started.after[target]:
@@ -91,7 +93,7 @@
         if in_force.on_trial:
             answer = await self.clients.confirm_trial(target)
             if not answer.accepted:
-                raise UnreachableError(f"{target}: {answer.text}")
+                raise NotYetError(f"{target}: {answer.text}")
         return True
 
     async def roll_back(self, target: str) -> None:
@@ -116,7 +118,7 @@
                 replace_file(config_path, old)
 
 
-def fault_of_change(old: bytes, new: bytes) -> str:
+def config_change_fault(old: bytes, new: bytes) -> str:
     """Why a gateway can't go from one configuration file to another; empty if it can."""
     try:
         old_config = read_config(old, {})
--- a/quota_gateway/rollout/stage_runner.py
+++ b/quota_gateway/rollout/stage_runner.py
@@ -4,7 +4,6 @@
 
 import asyncio
 
-from quota_gateway.rollout.admin_clients import UnreachableError
 from quota_gateway.rollout.canary_analysis import (
     BASELINE_GROWTH_RATIO,
     Baseline,
@@ -14,7 +13,7 @@
     measure_baseline,
 )
 from quota_gateway.rollout.change_strategy import ChangeRejectedError
-from quota_gateway.rollout.figures import GatewayFigures
+from quota_gateway.rollout.figures import FiguresWindow
 from quota_gateway.rollout.journal_records import (
     BaselineMeasured,
     StageConfirmed,
@@ -22,9 +21,9 @@
     TargetChanged,
     TargetChanging,
 )
+from quota_gateway.rollout.retry import NotYetError, retry_while_not_yet
 from quota_gateway.rollout.rollout_context import RolloutContext
 from quota_gateway.rollout.rollout_log import log_result, log_target_reverted
-from quota_gateway.rollout.step_runner import retry_while_unreachable
 from quota_gateway.rollout.target_checks import TargetChecks
 
 
@@ -44,9 +43,10 @@
         return self.context.stages[self.state.stage]
 
     def _judged_targets(self) -> set[str]:
-        """Targets whose figures are due to the change.
+        """Targets that are compared with the others.
 
-        All that have it, as harm may come late, while there are others to compare them with.
+        All changed targets, as harm may come late; once none are unchanged, only this stage's, against those
+        changed before.
         """
         changed = {name for targets in self.context.stages[: self.state.stage + 1] for name in targets}
         return changed if len(changed) < len(self.context.targets) else set(self._targets)
@@ -65,7 +65,7 @@
     async def measure(self) -> None:
         """Measure the baseline, for as long as the stage is to be watched and until it is sufficient."""
         stage = self.state.stage
-        windows: dict[str, list[GatewayFigures]] = {name: [] for name in self.context.targets}
+        windows: dict[str, list[FiguresWindow]] = {name: [] for name in self.context.targets}
         await self.metrics.read()
         loop = asyncio.get_running_loop()
         started_at_s = loop.time()
@@ -91,10 +91,10 @@
         """Change the targets that are not changed yet; a stage that can't be completed stops here."""
         missing = [name for name in self._targets if name not in self.state.changed_pids]
         try:
-            await self.context.steps.run(missing, self._change_target)
+            await self.context.step_runner.run(missing, self._change_target)
         except ChangeRejectedError as error:
             self.context.start_rollback(str(error))
-        except UnreachableError as error:
+        except NotYetError as error:
             self.context.halt(f"can't be changed: {error}")
 
     async def _change_target(self, name: str) -> None:
@@ -105,7 +105,7 @@
             pid = await self.context.strategy.apply(name)
             self.context.record(TargetChanged(self.context.now_s(), name, pid=pid))
 
-        await retry_while_unreachable(apply, self.plan.target_timeout_s)
+        await retry_while_not_yet(apply, self.plan.target_timeout_s)
 
     # ---- Watch
 
@@ -116,7 +116,7 @@
         await self.metrics.begin_watch()
         loop = asyncio.get_running_loop()
         started_at_s = loop.time()
-        while self.state.passed_stage < stage and not self.context.interrupt_if_asked():
+        while not self.state.has_passed(stage) and not self.context.interrupt_if_asked():
             await asyncio.sleep(self.plan.poll_interval_s)
             windows = await self.metrics.read()
             if loop.time() - started_at_s >= self.plan.settle_s:
@@ -143,23 +143,23 @@
     # ---- Confirmation
 
     async def confirm(self) -> None:
-        """Make every target keep the change; one that went back by itself is changed and watched again."""
+        """Make the change permanent at every target; one that went back by itself is changed again."""
         stage = self.state.stage
         reverted_targets: list[str] = []
 
         async def confirm_target(name: str) -> None:
-            async def keep() -> None:
-                if not await self.context.strategy.keep(name):
+            async def confirm() -> None:
+                if not await self.context.strategy.confirm(name):
                     reverted_targets.append(name)
 
-            await retry_while_unreachable(keep, self.plan.target_timeout_s)
+            await retry_while_not_yet(confirm, self.plan.target_timeout_s)
 
         try:
-            await self.context.steps.run(self._targets, confirm_target)
+            await self.context.step_runner.run(self._targets, confirm_target)
         except ChangeRejectedError as error:
             self.context.start_rollback(str(error))
             return
-        except UnreachableError as error:
+        except NotYetError as error:
             self.context.halt(f"can't be told to keep it: {error}")
             return
         for name in reverted_targets:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -21,13 +21,14 @@
 from quota_gateway.fault_bench.bench import Rig, own_host
 from quota_gateway.fault_bench.processes import Program, call
 from quota_gateway.fault_bench.rollouts import CONTROLLER, Rollouts
-from quota_gateway.rollout import journal, journal_records
+from quota_gateway.net.metrics import GatewayMetrics
+from quota_gateway.rollout import answers, journal, journal_records
 from quota_gateway.rollout.admin_clients import AdminClients, FencedError
 from quota_gateway.rollout.canary_analysis import CanaryAnalysis, Verdict, measure_baseline
 from quota_gateway.rollout.canary_limits import CanaryLimits
-from quota_gateway.rollout.canary_trial import HARMS, SimulatedRollout, TrialPlan, run_trial
+from quota_gateway.rollout.canary_simulation import HARMS, SimulatedRollout, SimulationPlan, simulate_rollout
 from quota_gateway.rollout.concurrency_rule import ConcurrencyRule
-from quota_gateway.rollout.figures import GatewayFigures
+from quota_gateway.rollout.figures import FiguresWindow, GatewayFigures
 from quota_gateway.rollout.plan import Plan, PlanError, Target
 from quota_gateway.rollout.plan_file import load
 from quota_gateway.rollout.status import target_standings
@@ -44,13 +45,13 @@
     """
 
     def plays(harm, count):
-        return Counter(run_trial(harm, 10, 20.0, seed).verdict for seed in range(count))
+        return Counter(simulate_rollout(harm, 10, 20.0, seed).verdict for seed in range(count))
 
     assert plays("nothing", 30)[Verdict.WORSE] <= 2
     assert plays("10% more refused", 10)[Verdict.WORSE] >= 8
 
     def uneven(seed):  # the first to be changed has ten times the traffic
-        made = SimulatedRollout(seed, TrialPlan(HARMS["nothing"], 10, 20.0, (1, 5, 10)))
+        made = SimulatedRollout(seed, SimulationPlan(HARMS["nothing"], 10, 20.0, (1, 5, 10)))
         made.fleet.rates[0] *= 10.0
         return made.run().verdict
 
@@ -58,8 +59,8 @@
 
 
 def window(**more):
-    return GatewayFigures(
-        **{"requests": 100, "served": 100, "attempts": 100, "latency_steps": {8: 90, 12: 10}, **more}
+    return FiguresWindow(
+        **{"requests": 100, "served": 100, "attempts": 100, "latency_buckets": {8: 90, 12: 10}, **more}
     )
 
 
@@ -71,7 +72,7 @@
         (window(served=70, failed=30), window(), Verdict.WORSE, "failed"),
         (window(late=30), window(), Verdict.WORSE, "late"),
         (window(attempts=140), window(), Verdict.WORSE, "resent"),
-        (window(latency_steps={8: 50, 16: 50}), window(), Verdict.WORSE, "slow"),
+        (window(latency_buckets={8: 50, 16: 50}), window(), Verdict.WORSE, "slow"),
         (window(served=70, rejected=30), window(served=70, rejected=30), Verdict.COMMON_FAULT, "refused"),
         (
             window(),
@@ -80,7 +81,7 @@
             "refused",
         ),  # the others', not the change's
         (
-            window(requests=1, served=1, attempts=1, latency_steps={8: 1}),
+            window(requests=1, served=1, attempts=1, latency_buckets={8: 1}),
             window(),
             Verdict.UNDECIDED,
             "20 requests, want 200",
@@ -100,6 +101,33 @@
     assert reason in found.reason
 
 
+# ---- What a rollout reads of a gateway
+
+PRINTED_IN = {
+    answers.OLDER_TOKEN: "net/admin.py",
+    answers.NOT_DONE: "net/admin.py",
+    answers.UNKNOWN_COMMAND: "net/admin.py",
+    answers.HANDED_OVER: "net/admin_commands.py",
+    answers.NO_PREDECESSOR: "net/hot_restart/hot_restart.py",
+    answers.ON_TRIAL: "net/reload.py",
+}
+
+
+@pytest.mark.parametrize(("words", "file"), PRINTED_IN.items())
+def test_words_that_decide_a_rollout_are_printed_by_the_gateway(words, file):
+    """A gateway's answer is reworded, and the rollout no longer knows it.
+
+    A controller would go on after it was fenced, or roll a good change back.
+    """
+    assert words in (ROOT / "quota_gateway" / file).read_text()
+
+
+def test_figures_are_read_by_the_keys_that_the_gateway_reports():
+    """A key is renamed at one end only: the rollout would judge by zeros."""
+    reported = json.loads(GatewayMetrics().to_json(Counter(), 0, ""))
+    assert {known.encode_name for known in msgspec.structs.fields(GatewayFigures)} == set(reported)
+
+
 # ---- The plan
 
 MEMBERS = st.lists(st.sampled_from("abc"), min_size=2, max_size=40)
