--- a/quota_gateway/net/admin_commands.py
+++ b/quota_gateway/net/admin_commands.py
@@ -63,7 +63,7 @@
             return rejected("the next process has taken over")
         if not self.serving.is_set() or not self._clients.ready:
             return rejected("the list of servers is not known yet")
-        state = "drained" if self._gateway.graceful_shutdown.is_draining else "serving"
+        state = "drained" if self._gateway.drain.is_draining else "serving"
         return done(f"{state}, {len(self._gateway.endpoints.admin_down)} servers out")
 
     async def figures(self, _: str) -> AdminReply:
--- a/quota_gateway/net/hot_restart/operator_wishes.py
+++ b/quota_gateway/net/hot_restart/operator_wishes.py
@@ -58,7 +58,7 @@
         gateway = self._driver.gateway
         numbers = self._discovery.registry.numbers
         down = [server_id for server_id, number in numbers.items() if number in gateway.endpoints.admin_down]
-        return OperatorWishes(tuple(sorted(down)), gateway.graceful_shutdown.is_draining, self.highest_token)
+        return OperatorWishes(tuple(sorted(down)), gateway.drain.is_draining, self.highest_token)
 
     def any_server_down(self) -> bool:
         """Whether an operator's call has taken a server out already."""
--- a/quota_gateway/policy/admin_down.py
+++ b/quota_gateway/policy/admin_down.py
@@ -6,8 +6,9 @@
 from quota_gateway.policy.endpoint_list import EndpointList
 from quota_gateway.state import Context
 
-MAX_ADMIN_DOWN = 1024  # servers at once
-USE_WITHIN_MS = 1500.0  # after it is put back a server gets a request, whether a draw falls to it or not
+MAX_ADMIN_DOWN = 1024  # servers at once: bounds what operators can make the gateway store
+# After it is put back a server gets a request within this time, whether a draw falls to it or not.
+USE_WITHIN_MS = 1500.0
 
 
 class AdminDown:
--- a/quota_gateway/policy/graceful_shutdown.py
+++ b/quota_gateway/policy/drain.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: the steps by which a gateway is drained of its clients, and taken back into service."""
+"""Drain: the steps by which a gateway is emptied of its clients, and taken back into service."""
 
 from __future__ import annotations
 
@@ -15,8 +15,10 @@
     keep_idle_ms: float
 
 
+# Load balancers are notified when a drain begins and have until the first step to notice. From then on client
+# connections close as they become idle, after the last step at once.
 DRAIN_STEPS = (DrainStep(800.0, 300.0), DrainStep(1500.0, 0.0))
-RETRY_ELSEWHERE_MS = 200.0  # Retry-After for requests that come after a drain
+RETRY_ELSEWHERE_MS = 200.0  # Retry-After once drained: other gateways serve the client
 
 
 class ScheduledStep(NamedTuple):
@@ -26,7 +28,7 @@
     step: DrainStep
 
 
-class GracefulShutdown:
+class Drain:
     """Owns the state of the drain."""
 
     def __init__(self, context: Context) -> None:
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -16,8 +16,8 @@
 from quota_gateway.policy.concurrency_cap import ConcurrencyCap
 from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
 from quota_gateway.policy.customers import Customers
+from quota_gateway.policy.drain import RETRY_ELSEWHERE_MS, Drain
 from quota_gateway.policy.endpoint_list import EndpointList
-from quota_gateway.policy.graceful_shutdown import RETRY_ELSEWHERE_MS, GracefulShutdown
 from quota_gateway.policy.outlier_detection import OutlierDetection
 from quota_gateway.policy.peer_usage import PeerUsageExchange
 from quota_gateway.policy.quota_meter import QuotaMeter
@@ -64,7 +64,7 @@
             self.endpoints, self.slow_start, self.concurrency_limit, self.epochs
         )
         self.admin_down = AdminDown(context, self.endpoint_list)
-        self.graceful_shutdown = GracefulShutdown(context)
+        self.drain = Drain(context)
         self.settings_change = SettingsChange(
             self.peer_usage, self.outlier_detection, self.endpoint_list, self.release_queued
         )
@@ -83,7 +83,7 @@
             api.ServerAdminDown: then_release(self.admin_down.on_server_admin_down),
             api.HealthCheckResult: self.load_reports.on_health_check_result,
             api.IdleConnectionChanged: self.load_reports.on_idle_connection_changed,
-            api.DrainChanged: self.graceful_shutdown.on_drain_changed,
+            api.DrainChanged: self.drain.on_drain_changed,
             api.ShutdownBegun: self.responses.on_shutdown_begun,
             api.HotRestartBegun: self.settings_change.begin_hot_restart,
             api.PeerUsage: then_release(self.peer_usage.on_peer_usage),
@@ -117,7 +117,7 @@
         if request_class is None or plan is None:
             self.context.log_once(f"refused: unknown class {event.class_name!r} or plan {event.plan!r}")
             self.responses.reject(event.request_id, 0.0)
-        elif self.graceful_shutdown.is_drained:
+        elif self.drain.is_drained:
             self.responses.count_given_up(GiveUpReason.GATEWAY_DRAINED, plan)
             self.responses.reject(event.request_id, RETRY_ELSEWHERE_MS)
         else:
--- a/quota_gateway/policy/retry_budget.py
+++ b/quota_gateway/policy/retry_budget.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 MAX_RETRIES_PER_REQUEST_RATIO = 0.2  # retries per first attempt: bounds the load that failures add
-MAX_STORED_RETRIES = 10.0
+MAX_STORED_RETRIES = 10.0  # bounds a burst of retries after a quiet time
 
 
 class RetryBudget:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -317,7 +317,7 @@
             assert new.hot_restart.operator_wishes() == OperatorWishes(("s-2",), drained=True)
             new.driver.post(DrainChanged(False))
             await new.hot_restart.share_wishes()
-            assert not old.driver.gateway.graceful_shutdown.is_draining
+            assert not old.driver.gateway.drain.is_draining
             old.driver.post(ServerAdminDown(registry.number("s-2"), False))
             await old.hot_restart.share_wishes()
             assert new.hot_restart.operator_wishes() == OperatorWishes((), drained=False)
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -67,8 +67,8 @@
         "concurrency_limit.limit concurrency_limit.attempts_within_threshold "
         "concurrency_limit.latencies.mean_ms concurrency_limit.latencies.quick_servers "
         "concurrency_limit.initial_latency_ms outlier_detection.rates.records attempts.retry_budget.tokens "
-        "peer_usage.peer_has_taken_over load_reports.idle_connections_reported graceful_shutdown.is_draining "
-        "graceful_shutdown.is_drained graceful_shutdown.drain_number settings_change.apply "
+        "peer_usage.peer_has_taken_over load_reports.idle_connections_reported drain.is_draining "
+        "drain.is_drained drain.drain_number settings_change.apply "
         "quota_meter.quota_share quota_meter.reading_lifetime_ms rate_ceiling.level_units "
         "rate_ceiling.unseen_level_units rate_ceiling.unseen_levels release_queued handlers handle"
     )
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -26,7 +26,7 @@
     "admission",
     "endpoint_list",
     "admin_down",
-    "graceful_shutdown",
+    "drain",
     "settings_change",
     "gateway",
 ]  # bottom to top
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -421,7 +421,7 @@
             made.reload.trial.ends_at_s = 0.0
             made.reload.trial.expire()
             await until(lambda: made.reload.in_force.config is first)
-            assert made.driver.gateway.graceful_shutdown.is_draining
+            assert made.driver.gateway.drain.is_draining
             peer = await made.gateway.peer()
             assert (await peer.ask(resp("PING"))).startswith("-DRAINING")
 
