--- a/quota_gateway/api/events.py
+++ b/quota_gateway/api/events.py
@@ -151,14 +151,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerUsage:
-    """What the process before this one has in flight for a customer, and has charged since it handed over.
+    """What a customer occupies at the process before this one, and was charged since that handed over.
 
     Also the action by which that process reports it.
     """
 
     plan: str
     customer: str
-    in_flight: int
+    occupied_places: int  # under the concurrency cap, by requests that are pending there
     charged_units: float = 0.0
     metered_use_percent: float | None = None
 
--- a/quota_gateway/net/hot_restart/messages.py
+++ b/quota_gateway/net/hot_restart/messages.py
@@ -147,7 +147,7 @@
 
     plan: str
     customer: str
-    in_flight: int  # requests that the predecessor still has of the customer
+    occupied_places: int  # under the concurrency cap, by requests that the predecessor still has
     charged_units: float
     metered_use_percent: float | None  # the meter's reading, if the answer had one
 
@@ -157,7 +157,7 @@
             {
                 "plan": self.plan,
                 "customer": self.customer,
-                "in_hand": self.in_flight,
+                "in_hand": self.occupied_places,
                 "charged": self.charged_units,
                 "used": self.metered_use_percent,
             }
@@ -170,7 +170,7 @@
         return cls(
             plan=fields["plan"],
             customer=fields["customer"],
-            in_flight=int(fields["in_hand"]),
+            occupied_places=int(fields["in_hand"]),
             charged_units=float(fields["charged"]),
             metered_use_percent=None if used is None else float(used),
         )
@@ -181,7 +181,7 @@
         return cls(
             plan=event.plan,
             customer=event.customer,
-            in_flight=event.in_flight,
+            occupied_places=event.occupied_places,
             charged_units=event.charged_units,
             metered_use_percent=event.metered_use_percent,
         )
@@ -191,7 +191,7 @@
         return api.PeerUsage(
             plan=self.plan,
             customer=self.customer,
-            in_flight=self.in_flight,
+            occupied_places=self.occupied_places,
             charged_units=self.charged_units,
             metered_use_percent=self.metered_use_percent,
         )
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -60,7 +60,7 @@
         self.responses = attempts.responses
         self.concurrency_limit = attempts.concurrency_limit
         self.server_selection = attempts.server_selection
-        self.in_flight = attempts.in_flight
+        self.pending_requests = attempts.pending_requests
 
     # ---- New requests
 
@@ -135,11 +135,11 @@
 
     def _admit(self, pending: PendingRequest, decision: Admit | Hold) -> None:
         """Take a request; it is sent or queued at once, or at the end of its hold."""
-        self.in_flight.add(pending)
+        self.pending_requests.add(pending)
         self.responses.peer_usage.report(pending.customer, pending.request.units)
         self.responses.arm_deadline(pending)
         if isinstance(decision, Hold):
-            self.in_flight.hold(pending)
+            self.pending_requests.hold(pending)
             self.context.arm(decision.delay_ms, self._on_hold_ended, pending)
         else:
             self._send_or_queue(pending)
@@ -180,7 +180,7 @@
             useful_until_ms = pending.arrived_ms + self.useful_hold_ms(pending.request_class)
             useful_ms = max(0.0, useful_until_ms - self.context.now_ms)
             self.context.arm(useful_ms, self._on_useful_hold_ended, pending)
-            self.in_flight.enqueue(pending)
+            self.pending_requests.enqueue(pending)
         shed = self.request_to_shed()
         if shed:
             self.responses.reject_or_fail(shed, GiveUpReason.QUEUE_FULL)
@@ -195,7 +195,7 @@
 
         A longer queue would outlast the latency objective of what waits in it.
         """
-        queued = self.in_flight.queued
+        queued = self.pending_requests.queued
         if not self.server_selection.endpoints.servers:
             return None
         if len(queued) <= max(1.0, self.concurrency_limit.limit):
@@ -223,10 +223,10 @@
 
     def release_queued(self) -> None:
         """Try all queued requests again, those of highest priority first."""
-        if not self.in_flight.queued:
+        if not self.pending_requests.queued:
             return
         by_priority = sorted(
-            self.in_flight.queued.values(), key=self.concurrency_limit.queue_priority, reverse=True
+            self.pending_requests.queued.values(), key=self.concurrency_limit.queue_priority, reverse=True
         )
         for pending in by_priority:
             if pending.state is QUEUED:  # it may have been shed meanwhile
--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -32,7 +32,7 @@
         self.server_selection = server_selection
         self.outlier_detection = server_selection.outlier_detection
         self.responses = responses
-        self.in_flight = responses.in_flight
+        self.pending_requests = responses.pending_requests
         self.retry_budget = RetryBudget()
         self.hedging = Hedging(
             context,
@@ -51,7 +51,7 @@
             self.retry_budget.on_first_attempt()
         else:
             self.retry_budget.on_retry()
-        number = self.in_flight.start_attempt(pending, server, now_ms)
+        number = self.pending_requests.start_attempt(pending, server, now_ms)
         self.context.decay.attempts_started += 1
         self.concurrency_limit.add(request_id, number)
         begin_within_ms = idempotency_window_left_ms(pending, now_ms)
@@ -64,10 +64,10 @@
 
         Returns whether the attempt was known: then there may be capacity for queued requests.
         """
-        pending = self.in_flight.pending_with(event)
+        pending = self.pending_requests.pending_with(event)
         if pending is None:
             return False
-        attempt = self.in_flight.end_attempt(pending, event.attempt)
+        attempt = self.pending_requests.end_attempt(pending, event.attempt)
         server = attempt.server
         succeeded = event.status is Status.OK
         self.concurrency_limit.remove(event.request_id, event.attempt)
@@ -81,7 +81,7 @@
             self.responses.settle_units(pending.customer, pending.request.units, event.final_units)
         if not pending.state.is_answered:
             if succeeded or event.closed:
-                self.in_flight.answer(pending)
+                self.pending_requests.answer(pending)
             else:
                 self._retry_or_answer(pending, event.status, attempt)
         self.responses.finish_if_idle(pending)
@@ -123,10 +123,10 @@
         The latency is measured here: what the rest of the response takes depends on the client's pace.
         Returns whether that was news: then there may be capacity for queued requests.
         """
-        pending = self.in_flight.pending_with(event)
+        pending = self.pending_requests.pending_with(event)
         if pending is None or pending.state.is_streaming:
             return False
-        self.in_flight.begin_stream(pending)
+        self.pending_requests.begin_stream(pending)
         server = pending.attempts_in_flight[event.attempt].server
         self.concurrency_limit.remove(event.request_id, event.attempt)
         self.concurrency_limit.on_response(server, pending.request_class, event.latency_ms)
--- a/quota_gateway/policy/concurrency_cap.py
+++ b/quota_gateway/policy/concurrency_cap.py
@@ -25,8 +25,8 @@
         cap = (customer.transition_plan or pending.plan).max_in_flight
         if not cap:
             return False
-        in_flight = customer.attempts_in_flight + customer.peer_in_flight
-        return in_flight >= max(1, int(cap * self.quota_meter.quota_share(customer, now_ms)))
+        occupied_places = customer.attempts_in_flight + customer.peer_occupied_places
+        return occupied_places >= max(1, int(cap * self.quota_meter.quota_share(customer, now_ms)))
 
     def rejects_for_overuse(self, customer: Customer, plan: Plan, now_ms: float) -> bool:
         """Whether to reject a request by the late reading of the cap's use; draws a random number.
--- a/quota_gateway/policy/customers.py
+++ b/quota_gateway/policy/customers.py
@@ -65,7 +65,7 @@
             key = next(iter(self.rows))
             customer = self.rows[key]
             self._catch_up_if_lagging(customer)
-            if customer.pending_count or customer.peer_in_flight:
+            if customer.pending_count or customer.peer_occupied_places:
                 # Its row counts towards the concurrency cap. Moved, so that it does not keep those behind it.
                 self.rows.move_to_end(key)
                 continue
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -26,7 +26,7 @@
 from quota_gateway.policy.server_selection import ServerSelection
 from quota_gateway.policy.settings_change import SettingsChange
 from quota_gateway.policy.slow_start import SlowStart
-from quota_gateway.state import Context, Endpoints, GiveUpReason, InFlightRequests, LoadReports
+from quota_gateway.state import Context, Endpoints, GiveUpReason, LoadReports, PendingRequests
 
 ESTIMATE_DECAY_MS = 4000.0  # time constant of estimates, so that a server is tried again; see `Decay`
 
@@ -42,7 +42,7 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.context = context = Context(settings, seed, ESTIMATE_DECAY_MS)
         self.endpoints = Endpoints(context.random)
-        self.in_flight = InFlightRequests()
+        self.pending_requests = PendingRequests()
         self.quota_meter = QuotaMeter(context)
         self.slow_start = SlowStart(context)
         self.outlier_detection = OutlierDetection(context)
@@ -55,7 +55,7 @@
         self.server_selection = ServerSelection(
             self.load_reports, self.outlier_detection, self.concurrency_limit, self.slow_start
         )
-        self.peer_usage = PeerUsageExchange(context, self.in_flight, self.customers)
+        self.peer_usage = PeerUsageExchange(context, self.pending_requests, self.customers)
         self.responses = Responses(context, self.concurrency_limit, self.peer_usage)
         self.attempts = Attempts(context, self.rate_ceiling, self.server_selection, self.responses)
         self.admission = Admission(context, self.customers, self.concurrency_cap, self.attempts)
@@ -110,7 +110,7 @@
 
     def _on_request(self, event: api.Request) -> None:
         """Pass a new request on to admission, if it is one that this gateway may serve."""
-        if event.request_id in self.in_flight.pending_requests:
+        if event.request_id in self.pending_requests.by_id:
             return  # it is being served, and may have run: a rejection here would be its answer
         request_class = self.context.classes.get(event.class_name)
         plan = self.epochs.plans.get(event.plan)
--- a/quota_gateway/policy/peer_usage.py
+++ b/quota_gateway/policy/peer_usage.py
@@ -4,7 +4,7 @@
 
 from quota_gateway.api import PeerExited, PeerUsage
 from quota_gateway.policy.customers import Customers
-from quota_gateway.state import Context, Customer, InFlightRequests
+from quota_gateway.state import Context, Customer, PendingRequests
 
 
 class PeerUsageExchange:
@@ -14,21 +14,21 @@
     the next process answers for; without reports each process would grant the whole share once.
     """
 
-    def __init__(self, context: Context, in_flight: InFlightRequests, customers: Customers) -> None:
+    def __init__(self, context: Context, pending_requests: PendingRequests, customers: Customers) -> None:
         self.context = context
-        self.in_flight = in_flight
+        self.pending_requests = pending_requests
         self.customers = customers
         self.peer_has_taken_over = False
 
     def report(
         self, customer: Customer, charged_units: float, metered_use_percent: float | None = None
     ) -> None:
-        """Report units charged here, a reading of the meter and the places in flight, once handed over."""
+        """Once handed over, report units charged, a reading of the meter and the places occupied here."""
         if self.peer_has_taken_over:
             plan_name, customer_name = customer.key
-            in_flight = self.in_flight.occupied_places(customer)
+            occupied_places = self.pending_requests.occupied_places(customer)
             self.context.actions.append(
-                PeerUsage(plan_name, customer_name, in_flight, charged_units, metered_use_percent)
+                PeerUsage(plan_name, customer_name, occupied_places, charged_units, metered_use_percent)
             )
 
     def on_peer_usage(self, event: PeerUsage) -> bool:
@@ -37,7 +37,7 @@
         if customer is None:
             return False
         self.customers.catch_up(customer)
-        customer.peer_in_flight = event.in_flight
+        customer.peer_occupied_places = event.occupied_places
         quota_meter = self.customers.quota_meter
         quota_meter.charge(customer, event.charged_units)
         if event.metered_use_percent is not None:
@@ -48,5 +48,5 @@
         """The other process, before or after this one, has ended: this one goes on alone."""
         self.peer_has_taken_over = False
         for customer in self.customers.rows.values():
-            customer.peer_in_flight = 0
+            customer.peer_occupied_places = 0
         return True
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -23,7 +23,7 @@
         self.context = context
         self.concurrency_limit = concurrency_limit
         self.peer_usage = peer_usage
-        self.in_flight = peer_usage.in_flight
+        self.pending_requests = peer_usage.pending_requests
         self.customers = peer_usage.customers
         self.quota_meter = peer_usage.customers.quota_meter
         self.shutdown_at_ms = inf  # when this gateway will be ended
@@ -52,7 +52,7 @@
         Their clients would otherwise lose the connection without an answer.
         """
         self.shutdown_at_ms = self.context.now_ms + event.within_ms
-        for pending in list(self.in_flight.pending_requests.values()):
+        for pending in list(self.pending_requests.by_id.values()):
             if not pending.state.is_answered and pending.deadline_ms > self.shutdown_at_ms:
                 self.arm_deadline(pending)
 
@@ -63,7 +63,7 @@
             limit = self.concurrency_limit
             self.context.log(
                 f"given up: {text}; pool {limit.limit:.1f}, out {len(limit.attempts_within_threshold)}, "
-                f"parked {len(self.in_flight.queued)}"
+                f"parked {len(self.pending_requests.queued)}"
             )
 
     def reject_or_fail(self, pending: PendingRequest, reason: GiveUpReason) -> None:
@@ -75,20 +75,22 @@
             self.reject(pending.request.request_id, self.retry_after_ms(pending))
         else:
             self.context.actions.append(Fail(pending.request.request_id))
-        self.in_flight.answer(pending)
+        self.pending_requests.answer(pending)
         self._abandon(pending)
 
     def retry_after_ms(self, pending: PendingRequest) -> float:
         """When the client may retry: the quota share has room then, and the queue of now has been served."""
-        queue_ms = self.concurrency_limit.queue_wait_ms(pending.request_class, len(self.in_flight.queued))
+        queue_ms = self.concurrency_limit.queue_wait_ms(
+            pending.request_class, len(self.pending_requests.queued)
+        )
         quota_ms = self.quota_meter.retry_after_ms(pending.customer, pending.plan, 0.0, self.context.now_ms)
         return max(queue_ms, quota_ms)
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
         """The client has left: no answer is owed any more."""
-        pending = self.in_flight.pending_requests.get(event.request_id)
+        pending = self.pending_requests.by_id.get(event.request_id)
         if pending and not pending.state.is_answered:
-            self.in_flight.answer(pending)
+            self.pending_requests.answer(pending)
             self._abandon(pending)
 
     def _abandon(self, pending: PendingRequest) -> None:
@@ -113,6 +115,6 @@
         """Forget an answered request that has no attempt in flight, and notify the next process."""
         if not pending.state.is_answered:
             return
-        if self.in_flight.finish(pending):
+        if self.pending_requests.finish(pending):
             self.customers.request_ended(pending)
         self.peer_usage.report(pending.customer, 0.0)
--- a/quota_gateway/policy/settings_change.py
+++ b/quota_gateway/policy/settings_change.py
@@ -57,7 +57,7 @@
     ) -> None:
         self.context = peer_usage.context
         self.peer_usage = peer_usage
-        self.in_flight = peer_usage.in_flight
+        self.pending_requests = peer_usage.pending_requests
         self.customers = peer_usage.customers
         self.epochs = peer_usage.customers.epochs
         self.outlier_detection = outlier_detection
@@ -73,7 +73,7 @@
         """
         settings = event.settings
         plans = {plan.name: plan for plan in settings.plans}
-        pending_classes = (pending.request_class for pending in self.in_flight.pending_requests.values())
+        pending_classes = (pending.request_class for pending in self.pending_requests.by_id.values())
         latency = self.concurrency_limit.mean_latencies_ms([*settings.classes, *pending_classes])
         gateways = max(self.epochs.gateways, settings.gateways)
         transition_plans = self._transition_plans(plans)
@@ -97,7 +97,7 @@
         self._begin_epoch(self.epochs.plans, self.epochs.gateways)
         self._begin_transitions({})
         self.customers.catch_up_last(len(self.epochs.lagging_customers))
-        self.context.log(f"handed over with {len(self.in_flight.pending_requests)} requests in hand")
+        self.context.log(f"handed over with {len(self.pending_requests.by_id)} requests in hand")
 
     def _on_fleet_updated(self, epoch: int) -> None:
         """Let the smaller number of gateways hold, unless another change came in between."""
@@ -128,7 +128,7 @@
     def _transition_plans(self, new_plans: dict[str, Plan]) -> dict[CustomerKey, Plan]:
         """Stricter plans for customers with pending requests whose limits change, or changed before."""
         transition_plans: dict[CustomerKey, Plan] = {}
-        for pending in self.in_flight.pending_requests.values():
+        for pending in self.pending_requests.by_id.values():
             key = pending.customer.key
             old_plan = pending.plan
             new_plan = new_plans.get(old_plan.name, old_plan)
@@ -143,7 +143,7 @@
 
     def _begin_transitions(self, transition_plans: dict[CustomerKey, Plan]) -> None:
         """Bring customers with pending requests up to date; stricter plans hold until those are over."""
-        pending_requests = self.in_flight.pending_requests.values()
+        pending_requests = self.pending_requests.by_id.values()
         for pending in pending_requests:
             self.customers.catch_up(pending.customer)
             if pending.customer.key in transition_plans:
--- a/quota_gateway/recording/names.py
+++ b/quota_gateway/recording/names.py
@@ -44,7 +44,7 @@
     },
     api.PeerUsage: {
         "charged_units": "charged",
-        "in_flight": "in_hand",
+        "occupied_places": "in_hand",
         "metered_use_percent": "used_percent",
     },
     api.Plan: {"overuse_cost": "over_cost", "overuse_value": "over_worth"},
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -6,9 +6,9 @@
 from quota_gateway.state.endpoints import Endpoints, ServerGroup
 from quota_gateway.state.estimates import FailureRates, Latencies, LoadReports
 from quota_gateway.state.give_up_reason import GiveUpReason
-from quota_gateway.state.in_flight import InFlightRequests
 from quota_gateway.state.outcome_counters import OutcomeCounters
 from quota_gateway.state.pending_request import Attempt, PendingRequest
+from quota_gateway.state.pending_requests import PendingRequests
 from quota_gateway.state.records import CustomerKey, FailureKeys, FailureRecord, Moment
 from quota_gateway.state.request_state import RequestState
 from quota_gateway.state.server import Server
@@ -25,12 +25,12 @@
     "FailureRates",
     "FailureRecord",
     "GiveUpReason",
-    "InFlightRequests",
     "Latencies",
     "LoadReports",
     "Moment",
     "OutcomeCounters",
     "PendingRequest",
+    "PendingRequests",
     "RequestState",
     "Server",
     "ServerGroup",
--- a/quota_gateway/state/customer.py
+++ b/quota_gateway/state/customer.py
@@ -34,7 +34,7 @@
         "pending_before_transition",
         "attempts_in_flight",
         "pending_count",
-        "peer_in_flight",
+        "peer_occupied_places",
     )
 
     def __init__(
@@ -65,9 +65,10 @@
         self.transition_epoch = 0
         self.pending_before_transition = 0
 
-        # Written by state/in_flight.py
+        # Written by state/pending_requests.py
         self.attempts_in_flight = 0
         self.pending_count = 0  # while there are any, the row is not evicted
 
         # Written by policy/peer_usage.py
-        self.peer_in_flight = 0  # places under the concurrency cap that the process before this one holds
+        # Places under the concurrency cap that the requests of the process before this one occupy.
+        self.peer_occupied_places = 0
--- a/quota_gateway/state/pending_request.py
+++ b/quota_gateway/state/pending_request.py
@@ -70,7 +70,7 @@
         # policy/admission.py: while queued, a timer ends the wait for the rate ceiling.
         self.rate_ceiling_timer_armed = False
 
-        # state/in_flight.py
+        # state/pending_requests.py
         self.state = NEW_REQUEST
         self.attempts_started = 0
         self.attempts_in_flight: dict[int, Attempt] = {}  # by number
--- a/quota_gateway/state/in_flight.py
+++ b/quota_gateway/state/pending_requests.py
@@ -19,19 +19,19 @@
 FINISHED = RequestState.FINISHED
 
 
-class InFlightRequests:
+class PendingRequests:
     """Pending requests by id, and the queue of those that wait for a server or for capacity.
 
     Every change of a request's state is made here, together with the counts that depend on it.
     """
 
     def __init__(self) -> None:
-        self.pending_requests: dict[str, PendingRequest] = {}
+        self.by_id: dict[str, PendingRequest] = {}
         self.queued: dict[str, PendingRequest] = {}  # exactly those in state QUEUED, longest queued first
 
     def add(self, pending: PendingRequest) -> None:
         """Take a request that was admitted."""
-        self.pending_requests[pending.request.request_id] = pending
+        self.by_id[pending.request.request_id] = pending
         pending.customer.pending_count += 1
 
     def hold(self, pending: PendingRequest) -> None:
@@ -60,7 +60,7 @@
 
     def pending_with(self, attempt: AttemptMessage) -> PendingRequest | None:
         """The request with this attempt in flight; None if there is none."""
-        pending = self.pending_requests.get(attempt.request_id)
+        pending = self.by_id.get(attempt.request_id)
         if pending is None or attempt.attempt not in pending.attempts_in_flight:
             return None
         return pending
@@ -86,14 +86,14 @@
         if pending.attempts_in_flight or pending.state is FINISHED:
             return False
         pending.move_to(FINISHED)
-        del self.pending_requests[pending.request.request_id]
+        del self.by_id[pending.request.request_id]
         pending.customer.pending_count -= 1
         return True
 
     def occupied_places(self, customer: Customer) -> int:
         """Places under the concurrency cap that a customer's requests here occupy, or will."""
         places = 0
-        for pending in self.pending_requests.values():
+        for pending in self.by_id.values():
             if pending.customer is customer:
                 places += max(len(pending.attempts_in_flight), 0 if pending.state.is_answered else 1)
         return places
@@ -101,7 +101,7 @@
     def reserved_units(self) -> dict[CustomerKey, float]:
         """Units that waiting requests will still take from rate ceilings, by customer."""
         units: dict[CustomerKey, float] = {}
-        for pending in self.pending_requests.values():
+        for pending in self.by_id.values():
             if pending.state.is_waiting:
                 key = pending.customer.key
                 units[key] = units.get(key, 0.0) + pending.request.units
--- a/quota_gateway/state/request_state.py
+++ b/quota_gateway/state/request_state.py
@@ -1,7 +1,7 @@
 """States of a client's request and the transitions between them.
 
 A request is admitted, waits if it must, has attempts in flight, is answered once and is forgotten when its
-last attempt has ended. Only `InFlightRequests` moves a request from state to state.
+last attempt has ended. Only `PendingRequests` moves a request from state to state.
 """
 
 from __future__ import annotations
--- a/quota_gateway/state/server.py
+++ b/quota_gateway/state/server.py
@@ -40,7 +40,7 @@
         self.restored_ms = 0.0
         self.must_be_used_by_ms = inf
 
-        # state/in_flight.py: request id and number of each attempt.
+        # state/pending_requests.py: request id and number of each attempt.
         self.attempts_in_flight: set[tuple[str, int]] = set()
 
         # state/estimates.py, LoadReports
--- a/quota_gateway/state_document.py
+++ b/quota_gateway/state_document.py
@@ -179,7 +179,7 @@
 
 def _write_customers(gateway: Gateway) -> list[list[Any]]:
     """Rows of the most recently used customers, those used last at the end."""
-    reserved_units = gateway.in_flight.reserved_units()
+    reserved_units = gateway.pending_requests.reserved_units()
     newest = islice(reversed(gateway.customers.rows.values()), MAX_CUSTOMERS)
     rows = [_write_customer(gateway, customer, reserved_units) for customer in newest]
     return rows[::-1]
@@ -201,7 +201,7 @@
         customer.ceiling_updated_ms,
         customer.demand_units,
         customer.demand_updated_ms,
-        gateway.in_flight.occupied_places(customer),
+        gateway.pending_requests.occupied_places(customer),
     ]
 
 
@@ -229,7 +229,7 @@
         ceiling_updated,
         demand,
         demand_updated,
-        in_flight,
+        occupied_places,
     ) = map(_number, columns[: len(CUSTOMER_COLUMNS)])
     customer = Customer(key, 0.0, 0.0, gateway.epochs.epoch)
     customer.excess_milliunits = excess
@@ -240,7 +240,7 @@
     customer.ceiling_updated_ms = ceiling_updated
     customer.demand_units = demand
     customer.demand_updated_ms = demand_updated
-    customer.peer_in_flight = int(in_flight)
+    customer.peer_occupied_places = int(occupied_places)
     # The process before may have gone by other settings: no quota share is larger than it is here.
     customer.requested_gateways = max(1, int(gateways))
     customer.serving_gateways = min(customer.requested_gateways, gateway.epochs.gateways)
--- a/tests/test_concurrency_cap.py
+++ b/tests/test_concurrency_cap.py
@@ -67,8 +67,8 @@
 
 
 def test_what_the_process_before_has_in_flight_counts():
-    assert is_reached(customer(2, attempts_in_flight=2, peer_in_flight=2), 8)
-    assert not is_reached(customer(2, attempts_in_flight=2, peer_in_flight=1), 8)
+    assert is_reached(customer(2, attempts_in_flight=2, peer_occupied_places=2), 8)
+    assert not is_reached(customer(2, attempts_in_flight=2, peer_occupied_places=1), 8)
 
 
 def test_stricter_cap_of_a_transition_counts():
@@ -136,7 +136,7 @@
         else:
             assert rig.answers[name] == "Reject"  # at once, and nothing is left of it
         customer.metered_use_ratio, customer.metered_use_at_ms = heard
-    assert not rig.gateway.in_flight.pending_requests
+    assert not rig.gateway.pending_requests.by_id
     return out
 
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -88,7 +88,7 @@
     assert world.names() == ["a", "x"]
 
 
-@pytest.mark.parametrize("column", ["pending_count", "peer_in_flight"])
+@pytest.mark.parametrize("column", ["pending_count", "peer_occupied_places"])
 def test_row_with_something_in_flight_is_kept_but_not_those_behind_it(column):
     world = World()
     setattr(world.ask("a", 0.0), column, 1)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -87,7 +87,7 @@
     new = next_rig(old)
     assert sent(new, 1, plan="capped") == 0
     told = [a for a in old.finish(names[0]) if isinstance(a, PeerUsage)]
-    assert told[-1].in_flight == 1
+    assert told[-1].occupied_places == 1
     for news in told:
         new.do(news)
     assert len(new.sent) == 1
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -61,7 +61,8 @@
         "context.actions context.started_ms context.logged_once context.highest_priority_weight context.arm "
         "context.decay.attempts_started epochs.plans epochs.gateways customers.rows customers.epochs "
         "endpoints.servers endpoints.ready endpoints.warming_up endpoints.admin_down endpoint_list.refresh "
-        "in_flight.pending_requests in_flight.queued in_flight.occupied_places in_flight.reserved_units "
+        "pending_requests.by_id pending_requests.queued pending_requests.occupied_places "
+        "pending_requests.reserved_units "
         "responses.shutdown_at_ms responses.outcome_counters.totals "
         "responses.outcome_counters.last_logged_ms "
         "concurrency_limit.limit concurrency_limit.attempts_within_threshold "
@@ -78,7 +79,7 @@
     assert all(attrgetter(path)(gateway) is not None for path in paths.split())
     assert gateway.epochs is gateway.customers.epochs
     assert gateway.admission.concurrency_limit is gateway.concurrency_limit  # one owner, many readers
-    assert gateway.attempts.in_flight is gateway.in_flight
+    assert gateway.attempts.pending_requests is gateway.pending_requests
     assert gateway.quota_meter.reading_lifetime_ms == 4000.0
     assert gateway.concurrency_limit.initial_latency_ms(SETTINGS.classes[0]) == 400.0
     assert gateway.rate_ceiling.unseen_level_units(SETTINGS.plans[2], 2, rig.now) == 0.0
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -297,7 +297,7 @@
     assert name not in rig.answers
     rig.do(AttemptEnded(name, 0, rig.sent[name][0], Status.RESET, 10_000.0, closed=True))
     assert len(rig.sent[name]) == 1
-    assert not rig.gateway.in_flight.pending_requests
+    assert not rig.gateway.pending_requests.by_id
 
 
 def test_slow_client_does_not_make_its_server_look_slow(rig):
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -333,7 +333,7 @@
         "used_at": "metered_use_at_ms",
         "asked": "demand_units",
         "asked_at": "demand_updated_ms",
-        "elsewhere": "peer_in_flight",
+        "elsewhere": "peer_occupied_places",
     }
     kept = [state_document.CUSTOMER_COLUMNS.index(name) + 2 for name in columns]
     rows = {tuple(row[:2]): [row[place] for place in kept] for row in document["customers"]}
--- a/tests/test_quota_meter.py
+++ b/tests/test_quota_meter.py
@@ -146,7 +146,7 @@
         rig.finish(name, Status.OK)
         rig.run(10.0)
     assert len(rig.gateway.customers.rows) < 600
-    assert len(rig.gateway.in_flight.pending_requests) == 0
+    assert len(rig.gateway.pending_requests.by_id) == 0
 
 
 def test_hold_past_the_latency_objective_is_a_rejection(even):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -138,7 +138,7 @@
             assert all(answer == b"%016x" % number for number, answer in answers)
             assert len({number for number, _ in answers}) == len(answers)
             assert not made.driver.requests
-            assert not made.driver.gateway.in_flight.pending_requests
+            assert not made.driver.gateway.pending_requests.by_id
 
     run(test())
 
--- a/tests/test_request_rules.py
+++ b/tests/test_request_rules.py
@@ -19,7 +19,7 @@
 
 
 def pending(rig: Rig, **ask) -> PendingRequest:
-    return rig.gateway.in_flight.pending_requests[rig.ask(**ask)]
+    return rig.gateway.pending_requests.by_id[rig.ask(**ask)]
 
 
 # ---- Retry budget
@@ -112,7 +112,7 @@
             rig.gateway.outlier_detection.record_failure(server_of(request), key, "silent")
     assert is_candidate(safe, server_of(safe))
     assert not is_candidate(unsafe, server_of(unsafe))
-    rig.gateway.in_flight.answer(safe)
+    rig.gateway.pending_requests.answer(safe)
     assert not is_candidate(safe, server_of(safe))
 
 
--- a/tests/test_request_state.py
+++ b/tests/test_request_state.py
@@ -13,13 +13,13 @@
 
 
 def state(rig: Rig, name: str) -> RequestState:
-    return rig.gateway.in_flight.pending_requests[name].state
+    return rig.gateway.pending_requests.by_id[name].state
 
 
 @pytest.mark.parametrize("current", RequestState)
 @pytest.mark.parametrize("requested", RequestState)
 def test_a_request_moves_along_the_table_and_nowhere_else(rig, current, requested):
-    pending = rig.gateway.in_flight.pending_requests[rig.ask()]
+    pending = rig.gateway.pending_requests.by_id[rig.ask()]
     pending.state = current
     if requested in TRANSITIONS[current]:
         pending.move_to(requested)
@@ -36,17 +36,17 @@
     rig.run(200.0)
     assert state(rig, names[-1]) is RequestState.IN_FLIGHT
     rig.finish(names[-1])
-    assert names[-1] not in rig.gateway.in_flight.pending_requests
+    assert names[-1] not in rig.gateway.pending_requests.by_id
 
 
 def test_a_request_without_a_server_is_queued_until_one_is_listed():
     rig = Rig()
     name = rig.ask()
     assert state(rig, name) is RequestState.QUEUED
-    assert list(rig.gateway.in_flight.queued) == [name]
+    assert list(rig.gateway.pending_requests.queued) == [name]
     rig.servers(entry(1), kind=ListKind.COMPLETE)
     assert state(rig, name) is RequestState.IN_FLIGHT
-    assert not rig.gateway.in_flight.queued
+    assert not rig.gateway.pending_requests.queued
 
 
 def test_a_request_whose_client_left_is_kept_until_its_attempt_has_ended(rig):
@@ -54,7 +54,7 @@
     rig.do(ClientDisconnected(name))
     assert state(rig, name) is RequestState.ANSWERED
     rig.finish(name, Status.CANCELLED)
-    assert name not in rig.gateway.in_flight.pending_requests
+    assert name not in rig.gateway.pending_requests.by_id
 
 
 def test_a_response_that_streams_when_its_client_leaves_or_after_the_deadline_is_not_answered_again():
@@ -80,11 +80,11 @@
     names = [rig.ask(), rig.ask()]
     with caplog.at_level(logging.ERROR):
         for name in names:
-            rig.gateway.in_flight.answer(rig.gateway.in_flight.pending_requests[name])
-            rig.gateway.in_flight.answer(rig.gateway.in_flight.pending_requests[name])
+            rig.gateway.pending_requests.answer(rig.gateway.pending_requests.by_id[name])
+            rig.gateway.pending_requests.answer(rig.gateway.pending_requests.by_id[name])
     assert illegal_transitions.counts.total() == 2
     assert len(caplog.records) == 1
     for name in names:
         rig.finish(name)
-    assert not rig.gateway.in_flight.pending_requests
+    assert not rig.gateway.pending_requests.by_id
     assert rig.ask() in rig.sent
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -99,7 +99,7 @@
 
 def test_keyed_is_failed_outside_its_window(rig):
     name = rig.ask(class_name="keyed", patience=3900.0)
-    rig.gateway.in_flight.pending_requests[name].tried_servers.clear()  # the window alone decides
+    rig.gateway.pending_requests.by_id[name].tried_servers.clear()  # the window alone decides
     rig.now += 3000.0
     rig.finish(name, Status.ERROR)
     assert len(rig.sent[name]) == 1
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -140,10 +140,10 @@
     held = [name for name in names if name not in rig.answers and name not in rig.sent]
     assert len(out) == len(held) == 1
     rig.run(500.0)  # the hold is over, the cap of one is not: it is queued
-    assert held[0] in rig.gateway.in_flight.queued
+    assert held[0] in rig.gateway.pending_requests.queued
     waiting = rig.ask("q")
     assert waiting not in rig.answers
-    assert waiting not in rig.gateway.in_flight.queued
+    assert waiting not in rig.gateway.pending_requests.queued
     tell(rig, plans=(Plan("other"),))
     assert rig.answers[rig.ask("q")] == "Reject"
     rig.finish(out[0])
@@ -153,7 +153,7 @@
     assert waiting in rig.sent
     rig.finish(waiting)
     assert {rig.answers[name] for name in (*out, *held, waiting)} == {"Ok"}
-    assert not rig.gateway.in_flight.pending_requests
+    assert not rig.gateway.pending_requests.by_id
 
 
 def test_class_removed_or_of_another_idempotency_leaves_what_is_pending_as_it_was_taken():
@@ -175,7 +175,7 @@
     rig.finish(two)
     rig.run(5000.0)
     assert rig.answers[two] == "Ok"
-    assert not rig.gateway.in_flight.pending_requests
+    assert not rig.gateway.pending_requests.by_id
 
 
 def test_ceiling_halved_with_attempts_out_holds_for_all_that_still_comes():
@@ -213,7 +213,7 @@
     for name in names + more:
         rig.finish(name)
     rig.run(10.0)
-    pending_requests = rig.gateway.in_flight.pending_requests
+    pending_requests = rig.gateway.pending_requests.by_id
     assert sum(len(pending.attempts_in_flight) for pending in pending_requests.values()) <= cap // 2
     for name in [name for name in rig.sent if name not in rig.answers]:
         rig.finish(name)
--- a/tests/test_state_document.py
+++ b/tests/test_state_document.py
@@ -43,7 +43,7 @@
     "asked_at": "demand_updated_ms",
     "ceiling": "ceiling_level_units",
     "ceiling_at": "ceiling_updated_ms",
-    "elsewhere": "peer_in_flight",
+    "elsewhere": "peer_occupied_places",
     "epoch": "settings_epoch",
     "out": "attempts_in_flight",
     "held": "pending_count",
