--- a/tests/test_request_state.py
+++ b/tests/test_request_state.py
@@ -75,7 +75,7 @@
 def test_in_service_an_illegal_transition_is_counted_and_the_gateway_goes_on(rig, monkeypatch, caplog):
     # A fault of the program marks a request as answered twice: raised here, its connections would be lost
     # with the process. It is logged once, and this request and all others end as they would have.
-    monkeypatch.setattr(illegal_transitions, "raised", False)
+    monkeypatch.setattr(illegal_transitions, "raises", False)
     monkeypatch.setattr(illegal_transitions, "counts", IllegalTransitions().counts)
     names = [rig.ask(), rig.ask()]
     with caplog.at_level(logging.ERROR):
