--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -12,7 +12,7 @@
 
 from quota_gateway.api import Plan, Request, RequestClass
 from quota_gateway.policy.attempts import Attempts
-from quota_gateway.policy.concurrency_cap import ConcurrencyCap
+from quota_gateway.policy.concurrency_cap import CustomerConcurrencyCap
 from quota_gateway.policy.customers import Customers
 from quota_gateway.policy.quota_meter import REJECT_OVER_QUOTA, Admit, Hold, RejectOverQuota
 from quota_gateway.state import Context, Customer, GiveUpReason, PendingRequest, RequestState, Server
@@ -48,7 +48,7 @@
         self,
         context: Context,
         customers: Customers,
-        concurrency_cap: ConcurrencyCap,
+        concurrency_cap: CustomerConcurrencyCap,
         attempts: Attempts,
     ) -> None:
         self.context = context
@@ -82,8 +82,8 @@
         pending = PendingRequest(request, request_class, plan, customer, now_ms, slow_start_draw, epoch)
         self._admit(pending, decision)
 
-    def useful_hold_ms(self, request_class: RequestClass) -> float:
-        """How long a request may wait and still be answered within its latency objective.
+    def useful_wait_ms(self, request_class: RequestClass) -> float:
+        """How long a request may be held or queued and still be answered within its latency objective.
 
         A response later than that is worth little or nothing.
         """
@@ -93,13 +93,15 @@
     def longest_hold_ms(self, request: Request, request_class: RequestClass) -> float:
         """The longest delay for which a new request is held rather than rejected.
 
-        It ends with the client's timeout, with this gateway, and with the useful hold, which is scaled by the
+        It ends with the client's timeout, with this gateway, and with the useful wait, which is scaled by the
         class's priority weight. Without the scaling priorities would invert at a customer over its quota: its
         excess settles where the class with the longest objective is still held, and classes with shorter
-        objectives, maybe of more weight, would always be rejected.
+        objectives, maybe of more weight, would always be rejected. The weight alone scales it, as only
+        requests of one customer, and so of one price, compete here; in the queue those of all customers
+        compete for the servers' time, so ``queue_priority`` counts price, units and latency as well.
         """
         highest_weight = self.context.highest_priority_weight
-        useful_ms = max(0.0, self.useful_hold_ms(request_class)) * request_class.priority_weight
+        useful_ms = max(0.0, self.useful_wait_ms(request_class)) * request_class.priority_weight
         remaining_ms = self.responses.shutdown_at_ms - self.context.now_ms
         return min(request.client_timeout_ms, remaining_ms, useful_ms / highest_weight)
 
@@ -177,9 +179,9 @@
     def _queue(self, pending: PendingRequest, rate_ceiling_wait_ms: float) -> None:
         """Queue a request, or leave it in the queue, and shed one if too many are queued now."""
         if pending.state is not QUEUED:
-            useful_until_ms = pending.arrived_ms + self.useful_hold_ms(pending.request_class)
+            useful_until_ms = pending.arrived_ms + self.useful_wait_ms(pending.request_class)
             useful_ms = max(0.0, useful_until_ms - self.context.now_ms)
-            self.context.arm(useful_ms, self._on_useful_hold_ended, pending)
+            self.context.arm(useful_ms, self._on_useful_wait_ended, pending)
             self.pending_requests.enqueue(pending)
         shed = self.request_to_shed()
         if shed:
@@ -193,7 +195,8 @@
     def request_to_shed(self) -> PendingRequest | None:
         """The queued request of least priority, if more are queued than may be in flight at once.
 
-        A longer queue would outlast the latency objective of what waits in it.
+        A longer queue would outlast the latency objective of what waits in it. Without any listed server
+        there is nothing to measure it by; with servers that are listed and not ready it stays bounded.
         """
         queued = self.pending_requests.queued
         if not self.server_selection.endpoints.servers:
@@ -207,8 +210,12 @@
         if pending.state is QUEUED:
             self._send_or_queue(pending)
 
-    def _on_useful_hold_ended(self, pending: PendingRequest) -> None:
-        """A response could no longer be within the objective; without any server it waits on all the same."""
+    def _on_useful_wait_ended(self, pending: PendingRequest) -> None:
+        """A response could no longer be within the objective.
+
+        As long as no server is ready, whether some are listed or not, the request waits on: giving it up
+        would not let another one be served.
+        """
         if pending.state is QUEUED and self.server_selection.endpoints.ready:
             self.responses.reject_or_fail(pending, self.queued_reason(pending))
 
--- a/quota_gateway/policy/concurrency_cap.py
+++ b/quota_gateway/policy/concurrency_cap.py
@@ -12,7 +12,7 @@
 OVERUSE_EXPONENT = 3.0
 
 
-class ConcurrencyCap:
+class CustomerConcurrencyCap:
     """Compares a customer's attempts in flight with this gateway's share of its cap. Owns nothing."""
 
     def __init__(self, context: Context, quota_meter: QuotaMeter) -> None:
--- a/quota_gateway/policy/concurrency_limit.py
+++ b/quota_gateway/policy/concurrency_limit.py
@@ -26,7 +26,7 @@
 MAX_QUICK_SERVERS = 10  # remembered for each class
 
 
-class ConcurrencyLimit:
+class AdaptiveConcurrencyLimit:
     """Limit on attempts within their latency threshold, and the latencies that move it.
 
     Without it servers that have become slow, whatever the cause, would get work faster than they finish it,
--- a/quota_gateway/policy/endpoint_list.py
+++ b/quota_gateway/policy/endpoint_list.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from quota_gateway.api import DiscoveryMode, ListKind, ServerList, Subscribe
-from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
+from quota_gateway.policy.concurrency_limit import AdaptiveConcurrencyLimit
 from quota_gateway.policy.slow_start import SlowStart
 from quota_gateway.state import Endpoints, SettingsEpochs
 
@@ -17,7 +17,7 @@
         self,
         endpoints: Endpoints,
         slow_start: SlowStart,
-        concurrency_limit: ConcurrencyLimit,
+        concurrency_limit: AdaptiveConcurrencyLimit,
         epochs: SettingsEpochs,
     ) -> None:
         self.context = slow_start.context
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -13,8 +13,8 @@
 from quota_gateway.policy.admin_down import AdminDown
 from quota_gateway.policy.admission import Admission
 from quota_gateway.policy.attempts import Attempts
-from quota_gateway.policy.concurrency_cap import ConcurrencyCap
-from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
+from quota_gateway.policy.concurrency_cap import CustomerConcurrencyCap
+from quota_gateway.policy.concurrency_limit import AdaptiveConcurrencyLimit
 from quota_gateway.policy.customers import Customers
 from quota_gateway.policy.drain import RETRY_ELSEWHERE_MS, Drain
 from quota_gateway.policy.endpoint_list import EndpointList
@@ -46,9 +46,9 @@
         self.quota_meter = QuotaMeter(context)
         self.slow_start = SlowStart(context)
         self.outlier_detection = OutlierDetection(context)
-        self.concurrency_limit = ConcurrencyLimit(context)
+        self.concurrency_limit = AdaptiveConcurrencyLimit(context)
         self.rate_ceiling = RateCeiling(context)
-        self.concurrency_cap = ConcurrencyCap(context, self.quota_meter)
+        self.concurrency_cap = CustomerConcurrencyCap(context, self.quota_meter)
         self.customers = Customers(context, self.quota_meter, self.rate_ceiling)
         self.epochs = self.customers.epochs
         self.load_reports = LoadReports(context, self.endpoints)
--- a/quota_gateway/policy/hedging.py
+++ b/quota_gateway/policy/hedging.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from quota_gateway.api import Idempotency
-from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
+from quota_gateway.policy.concurrency_limit import AdaptiveConcurrencyLimit
 from quota_gateway.policy.outlier_detection import OutlierDetection
 from quota_gateway.policy.retry_budget import RetryBudget
 from quota_gateway.policy.retry_policy import may_retry
@@ -41,7 +41,7 @@
     def __init__(
         self,
         context: Context,
-        concurrency_limit: ConcurrencyLimit,
+        concurrency_limit: AdaptiveConcurrencyLimit,
         outlier_detection: OutlierDetection,
         server_selection: ServerSelection,
         retry_budget: RetryBudget,
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -5,7 +5,7 @@
 from math import inf
 
 from quota_gateway.api import Cancel, ClientDisconnected, Fail, Plan, Reject, ShutdownBegun
-from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
+from quota_gateway.policy.concurrency_limit import AdaptiveConcurrencyLimit
 from quota_gateway.policy.peer_usage import PeerUsageExchange
 from quota_gateway.policy.retry_policy import is_client_retry_harmless
 from quota_gateway.state import Context, Customer, GiveUpReason, OutcomeCounters, PendingRequest
@@ -18,7 +18,7 @@
     """Gives the final answers that come from this gateway and counts them by reason."""
 
     def __init__(
-        self, context: Context, concurrency_limit: ConcurrencyLimit, peer_usage: PeerUsageExchange
+        self, context: Context, concurrency_limit: AdaptiveConcurrencyLimit, peer_usage: PeerUsageExchange
     ) -> None:
         self.context = context
         self.concurrency_limit = concurrency_limit
--- a/quota_gateway/policy/server_selection.py
+++ b/quota_gateway/policy/server_selection.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection
 
 from quota_gateway.api import Idempotency
-from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
+from quota_gateway.policy.concurrency_limit import AdaptiveConcurrencyLimit
 from quota_gateway.policy.outlier_detection import FailurePriors, OutlierDetection
 from quota_gateway.policy.retry_policy import retry_group
 from quota_gateway.policy.slow_start import SlowStart
@@ -29,7 +29,7 @@
         self,
         load_reports: LoadReports,
         outlier_detection: OutlierDetection,
-        concurrency_limit: ConcurrencyLimit,
+        concurrency_limit: AdaptiveConcurrencyLimit,
         slow_start: SlowStart,
     ) -> None:
         self.context = load_reports.context
--- a/tests/test_concurrency_cap.py
+++ b/tests/test_concurrency_cap.py
@@ -14,7 +14,7 @@
 from conftest import SETTINGS, entry, rig_with
 
 from quota_gateway import Limits, Plan, Reject, Request
-from quota_gateway.policy.concurrency_cap import READING_LIFETIME_FACTOR, ConcurrencyCap
+from quota_gateway.policy.concurrency_cap import READING_LIFETIME_FACTOR, CustomerConcurrencyCap
 from quota_gateway.policy.quota_meter import QuotaMeter
 from quota_gateway.state import Context, Customer, PendingRequest
 
@@ -31,10 +31,10 @@
         return next(self.numbers)
 
 
-def cap(*draws: float) -> ConcurrencyCap:
+def cap(*draws: float) -> CustomerConcurrencyCap:
     context = Context(SETTINGS, 1, 4000.0)
     context.random = Draws(*draws)
-    return ConcurrencyCap(context, QuotaMeter(context))
+    return CustomerConcurrencyCap(context, QuotaMeter(context))
 
 
 def customer(gateways: int, **columns: float) -> Customer:
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -22,8 +22,8 @@
     Status,
     state_document,
 )
-from quota_gateway.policy.concurrency_cap import ConcurrencyCap
-from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
+from quota_gateway.policy.concurrency_cap import CustomerConcurrencyCap
+from quota_gateway.policy.concurrency_limit import AdaptiveConcurrencyLimit
 from quota_gateway.policy.customers import Customers
 from quota_gateway.policy.outlier_detection import OutlierDetection
 from quota_gateway.policy.quota_meter import Admit, Hold, QuotaMeter, RejectOverQuota
@@ -102,7 +102,7 @@
 def test_a_ceiling_starts_at_nought_and_a_cap_is_one_at_least():
     made = context(now=0.0)
     ceiling = RateCeiling(made)
-    cap = ConcurrencyCap(made, QuotaMeter(made))
+    cap = CustomerConcurrencyCap(made, QuotaMeter(made))
     plan = Plan("x", ceiling_rate=10.0, ceiling_burst=20.0, max_in_flight=1)
     waiting = pending(SETTINGS.classes[0])
     waiting.plan = plan
@@ -135,7 +135,11 @@
 
 
 def test_the_concurrency_limit_moves_by_what_responses_show():
-    concurrency, server, kind = ConcurrencyLimit(context()), Server(entry(1), 0.1), SETTINGS.classes[0]
+    concurrency, server, kind = (
+        AdaptiveConcurrencyLimit(context()),
+        Server(entry(1), 0.1),
+        SETTINGS.classes[0],
+    )
     concurrency.start(servers=10, gateways=2)
     assert concurrency.limit == 10.0
     assert not concurrency.is_reached()
--- a/tests/test_request_rules.py
+++ b/tests/test_request_rules.py
@@ -139,7 +139,7 @@
     admission = rig.gateway.admission
     request = pending(rig, patience=300.0).request
     patient = pending(rig, patience=4000.0).request
-    assert admission.useful_hold_ms(SAFE) == 2000.0 - 400.0
+    assert admission.useful_wait_ms(SAFE) == 2000.0 - 400.0
     assert admission.longest_hold_ms(patient, SAFE) == (2000.0 - 400.0) / 3.0  # its weight is a third
     assert admission.longest_hold_ms(patient, UNSAFE) == 1000.0 - 200.0
     assert admission.longest_hold_ms(request, UNSAFE) == 300.0
