--- a/quota_gateway/api/events.py
+++ b/quota_gateway/api/events.py
@@ -66,9 +66,9 @@
 class AttemptEnded(AttemptMessage):
     """How an attempt ended; one for each ``Send``. If ``closed``, the request has had its final answer.
 
-    ``metered_use_percent`` is a late reading of the customer's use over all gateways, in percent of its rate.
-    ``final_units`` replaces the estimate of the request. ``load`` has a value for each of
-    ``Settings.load_fields``.
+    ``metered_use_percent`` is a late reading of the customer's use over all gateways, in percent of its rate,
+    or of its cap where it has no rate. ``final_units`` replaces the estimate of the request. ``load`` has a
+    value for each of ``Settings.load_fields``.
     """
 
     server: int
--- a/quota_gateway/api/settings.py
+++ b/quota_gateway/api/settings.py
@@ -75,8 +75,10 @@
     """A plan: what each of its customers may use over all gateways.
 
     Its quota is ``rate`` units a second with a ``burst`` in units; beyond it a gateway may go, at a cost. Its
-    rate ceiling (``ceiling_rate`` units a second, ``ceiling_burst`` units) and its concurrency cap
-    (``max_in_flight`` attempts) are hard. A rate, a ceiling rate or a cap of 0 means that there is none.
+    rate ceiling (``ceiling_rate`` units a second, ``ceiling_burst`` units) is hard. Its concurrency cap
+    (``max_in_flight`` attempts) is aimed at: it may be exceeded by one attempt for each gateway and by the
+    bonus that the gateways' shares have for unused quota. A rate, a ceiling rate or a cap of 0 means that
+    there is none.
     """
 
     name: str
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -70,7 +70,7 @@
         if reason := self._exceeded_limit(request, customer, plan):
             self._reject(request, customer, plan, reason)
             return
-        slow_start_draw = self.context.random.random()
+        draw = self.context.random.random()
         now_ms = self.context.now_ms
         self.quota_meter.record_demand(customer, plan, request.units, now_ms)
         decision = self.quota_decision(request, request_class, customer, plan)
@@ -79,7 +79,7 @@
             return
         self.quota_meter.apply(customer, decision, now_ms)
         epoch = self.customers.epochs.epoch
-        pending = PendingRequest(request, request_class, plan, customer, now_ms, slow_start_draw, epoch)
+        pending = PendingRequest(request, request_class, plan, customer, now_ms, draw, epoch)
         self._admit(pending, decision)
 
     def useful_wait_ms(self, request_class: RequestClass) -> float:
@@ -162,7 +162,7 @@
             return Queue(wait_ms)
         if self.concurrency_cap.is_reached(pending, now_ms):
             return QUEUE
-        if self.concurrency_limit.is_reached(pending.slow_start_draw):
+        if self.concurrency_limit.is_reached(pending.draw):
             return QUEUE
         return self.server_selection.first(pending) or QUEUE
 
--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -56,6 +56,7 @@
         self.concurrency_limit.add(request_id, number)
         begin_within_ms = idempotency_window_left_ms(pending, now_ms)
         self.context.actions.append(Send(request_id, server.id, begin_within_ms=begin_within_ms))
+        # The hedging delay, and the time after which silence is a failure.
         threshold_ms = LATENCY_THRESHOLD_RATIO * pending.request_class.latency_objective_ms
         self.context.arm(threshold_ms, self._on_latency_threshold, (pending, number))
 
@@ -142,6 +143,8 @@
         self.outlier_detection.record_failure(attempt.server, pending.failure_keys.request_class, "silent")
         if not self.hedging.is_candidate(pending, attempt.server):
             return
+        # Set before the decision, as the silent attempt may be running: the retry rules then offer only
+        # servers where a second run has no second effect.
         if pending.first_possible_run is None:
             pending.first_possible_run = attempt
         decision = self.hedging.decide(pending, attempt.server)
--- a/quota_gateway/policy/concurrency_cap.py
+++ b/quota_gateway/policy/concurrency_cap.py
@@ -1,4 +1,8 @@
-"""Concurrency cap: the hard limit on a customer's attempts in flight, over all gateways."""
+"""Concurrency cap: the limit that a customer's attempts in flight are to keep, over all gateways.
+
+Each gateway keeps its quota share of the cap, without asking the others. Together they may exceed it: each
+admits at least one attempt, and a late reading of unused quota adds a bonus to all shares.
+"""
 
 from __future__ import annotations
 
--- a/quota_gateway/policy/concurrency_limit.py
+++ b/quota_gateway/policy/concurrency_limit.py
@@ -22,7 +22,9 @@
 LIMIT_INCREASE = 0.035  # attempts for each quick response while the limit is used up
 LIMIT_DECREASE = 0.3  # attempts for each slow response: one in ten keeps the limit level
 QUICK_RATIO = 0.3  # of the latency objective: faster responses raise the limit
-LATENCY_THRESHOLD_RATIO = 0.5  # of the latency objective: slower responses lower the limit
+# Of the latency objective. A response slower than this threshold lowers the limit. An attempt without one by
+# then no longer counts, is a failure of its server and may be hedged: policy/attempts.py has the timer.
+LATENCY_THRESHOLD_RATIO = 0.5
 MAX_QUICK_SERVERS = 10  # remembered for each class
 
 
@@ -68,7 +70,7 @@
         """Whether no further attempt may be sent.
 
         The draw, 0 to 1, decides on the fraction of a limit: with a limit of 1.4 every request may be the
-        first in flight, and four in ten may be the second.
+        first in flight, and four in ten may be the second; with a limit of 0.4 four in ten may be the first.
         """
         return len(self.attempts_within_threshold) >= self.limit - draw
 
--- a/quota_gateway/policy/hedging.py
+++ b/quota_gateway/policy/hedging.py
@@ -55,8 +55,8 @@
     def is_candidate(self, pending: PendingRequest, server: Server) -> bool:
         """Whether a request that is silent at this server may run a second time, elsewhere.
 
-        It may if it is unanswered, not tried twice already, can be repeated without a second effect, and the
-        server is a suspected outlier: on a good server the response is most likely on its way.
+        It may if it is unanswered, has no second attempt in flight, can be repeated without a second effect,
+        and the server is a suspected outlier: on a good server the response is most likely on its way.
         """
         if pending.request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             return False
--- a/quota_gateway/policy/outlier_detection.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: how likely a server fails a request, by its recent failures.
+"""Outlier detection: how likely a server fails a request. Nothing is ejected: failures raise its cost.
 
 Failures are recorded for a server as a whole, for a class there, and for a class of one plan there, as a
 server may fail for one of these and serve the others well.
--- a/quota_gateway/policy/quota_meter.py
+++ b/quota_gateway/policy/quota_meter.py
@@ -189,7 +189,10 @@
     # ---- What others report, and the passing of time
 
     def record_reading(self, customer: Customer, metered_use_percent: float, now_ms: float) -> None:
-        """Store a late reading of the customer's use over all gateways, in percent of its rate."""
+        """Store a late reading of the customer's use over all gateways.
+
+        It is in percent of its rate, or of its cap where it has no rate.
+        """
         customer.metered_use_ratio = metered_use_percent / 100.0
         customer.metered_use_at_ms = now_ms
 
--- a/quota_gateway/policy/server_selection.py
+++ b/quota_gateway/policy/server_selection.py
@@ -12,7 +12,7 @@
 from quota_gateway.state import LoadReports, PendingRequest, Server
 
 REPORTED_QUEUE_WEIGHT = 1.0  # of a request in a reported queue, beside one of our own in flight
-CROSS_ZONE_WEIGHT = 10.0  # mean latencies for each unit of the price of a zone crossing
+CROSS_ZONE_WEIGHT = 10.0  # relative cost per unit of the price of a zone crossing
 RANDOM_COST_RATIO = 0.1  # keeps gateways with the same reports from choosing alike
 FAILURE_COST = 6.0  # mean latencies: a failure costs most of a request's value
 SAMPLE_SIZE = 10  # servers compared that are drawn at random
@@ -52,9 +52,9 @@
         latency_ratio = self.latencies.server_ratio(server)
         cost = latency_ratio * load * (1.0 + FAILURE_COST * failure_probability)
         if self.load_reports.idle_connections_reported and not server.has_idle_connection:
-            # Paid once, as a failure is, however busy the server.
+            # Paid once, however busy the server: added, where the load and failures multiply.
             cost += FAILURE_COST * settings.handshake_price
-        # A request that falls into the share of a warming server should take it.
+        # Only requests drawn for a warming server get here; the discount makes them take it.
         cost *= self.slow_start.capacity_ratio(server)
         if server.zone != settings.zone:
             cost *= 1.0 + CROSS_ZONE_WEIGHT * settings.cross_zone_price
@@ -68,7 +68,7 @@
         ready = self.endpoints.ready
         if len(ready) <= 2 * SAMPLE_SIZE:
             return self._best(pending, ready)
-        phase = (1.0 - pending.slow_start_draw) % 1.0
+        phase = (1.0 - pending.draw) % 1.0
         width = self.slow_start.widest_share_ratio(len(ready))
         warming_up = self.endpoints.warming_up_in(phase, width)
         sample = self.random.sample(ready, SAMPLE_SIZE)
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -38,7 +38,7 @@
         capacity_ratio = self.capacity_ratio(server)
         if capacity_ratio >= 1.0:
             return True
-        distance = (pending.slow_start_draw + server.slow_start_phase) % 1.0
+        distance = (pending.draw + server.slow_start_phase) % 1.0
         return distance < self._even_share_limit() * capacity_ratio / ready_servers
 
     def widest_share_ratio(self, ready_servers: int) -> float:
--- a/quota_gateway/state/customer.py
+++ b/quota_gateway/state/customer.py
@@ -11,8 +11,9 @@
 class Customer:
     """One customer's row, with the columns of several decisions.
 
-    The module named above a group of columns writes them; all others only read. An object for each decision
-    would be several hundred thousand objects for a hundred thousand customers.
+    The module named above a group of columns writes them. Others only read, but for ``state_document.py``,
+    which restores most of them after a hot restart. An object for each decision would be several hundred
+    thousand objects for a hundred thousand customers.
     """
 
     __slots__ = (
@@ -51,16 +52,17 @@
         # Written by policy/quota_meter.py
         self.excess_milliunits = 0.0  # level of the leaky bucket at its last update
         self.excess_updated_ms = now_ms
-        self.metered_use_ratio = 0.0  # late reading of the use over all gateways, in rates of the plan
+        # Late reading of the use over all gateways: of its rate, or of its cap where it has no rate.
+        self.metered_use_ratio = 0.0
         self.metered_use_at_ms = -inf
         self.demand_units = 0.0  # level of a leaky bucket that counts rejected requests as well
         self.demand_updated_ms = now_ms
 
-        # Written by policy/rate_ceiling.py
+        # Written by policy/rate_ceiling.py and, where a change of settings lowers it, by policy/customers.py
         self.ceiling_level_units = ceiling_level_units  # of this gateway's share of the token bucket
         self.ceiling_updated_ms = now_ms
 
-        # Written by policy/settings_change.py and, at a transition's end, by policy/customers.py
+        # Written by policy/settings_change.py; counted down and ended by policy/customers.py
         self.transition_plan: Plan | None = None  # stricter limits while earlier requests are pending
         self.transition_epoch = 0
         self.pending_before_transition = 0
--- a/quota_gateway/state/pending_request.py
+++ b/quota_gateway/state/pending_request.py
@@ -34,7 +34,7 @@
         "deadline_ms",
         "settings_epoch",
         "failure_keys",
-        "slow_start_draw",
+        "draw",
         "state",
         "rate_ceiling_timer_armed",
         "attempts_started",
@@ -50,7 +50,7 @@
         plan: Plan,
         customer: Customer,
         now_ms: float,
-        slow_start_draw: float,
+        draw: float,
         settings_epoch: int,
     ) -> None:
         # The request, and what holds for it until its end, whatever the settings become.
@@ -62,7 +62,7 @@
         self.settings_epoch = settings_epoch
         self.failure_keys = failure_keys(request_class.name, plan.name)
         # Drawn once: which servers in slow start it may go to, and its rank at a reached concurrency limit.
-        self.slow_start_draw = slow_start_draw
+        self.draw = draw
 
         # policy/responses.py
         self.deadline_ms = now_ms + request.client_timeout_ms
--- a/quota_gateway/state/server.py
+++ b/quota_gateway/state/server.py
@@ -9,7 +9,11 @@
 
 
 class Server:
-    """One server's row. The comment above a group of columns names the module that writes them."""
+    """One server's row.
+
+    The comment above a group of columns names the module that writes them; ``state_document.py`` restores
+    most of them after a hot restart.
+    """
 
     __slots__ = (
         "id",
@@ -36,7 +40,8 @@
         # Drawn once: where on the circle of requests' draws, 0 to 1, its share begins while it warms up.
         self.slow_start_phase = slow_start_phase
 
-        # state/endpoints.py: when operators put it back, and by when it must be used after that.
+        # state/endpoints.py: when operators put it back, and by when it must be used after that; the first
+        # attempt, in state/pending_requests.py, meets that.
         self.restored_ms = 0.0
         self.must_be_used_by_ms = inf
 
@@ -64,7 +69,7 @@
 
     def update(self, entry: ServerEntry) -> None:
         """Take over an entry of the endpoint list; one that operators put back was started then at least."""
-        # state/endpoints.py
+        # From the endpoint list; state/endpoints.py also sets the start and readiness, for operators.
         self.zone = entry.zone
         self.cell = entry.cell
         self.started_ms = max(entry.started_ms, self.restored_ms)
