--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -77,7 +77,7 @@
         if isinstance(decision, RejectOverQuota):
             self._reject(request, customer, plan, GiveUpReason.OVER_QUOTA)
             return
-        self.quota_meter.apply(customer, decision, now_ms)
+        self.quota_meter.store_excess(customer, decision, now_ms)
         epoch = self.customers.epochs.epoch
         pending = PendingRequest(request, request_class, plan, customer, now_ms, draw, epoch)
         self._admit(pending, decision)
@@ -107,7 +107,7 @@
 
     def _exceeded_limit(self, request: Request, customer: Customer, plan: Plan) -> GiveUpReason | None:
         """A limit other than the quota for which a new request is rejected; may draw a random number."""
-        if request.is_retry and self.quota_meter.has_thin_share(customer, plan):
+        if request.is_retry and self.quota_meter.has_share_below_one_request(customer, plan):
             return GiveUpReason.THIN_SHARE_RETRY
         if self.concurrency_cap.rejects_for_overuse(customer, plan, self.context.now_ms):
             return GiveUpReason.OVER_CONCURRENCY_CAP
@@ -125,7 +125,10 @@
         return decision
 
     def _reject(self, request: Request, customer: Customer, plan: Plan, reason: GiveUpReason) -> None:
-        """Reject a new request, with the time after which its customer's quota share has room for it."""
+        """Reject a new request, with the time after which its customer's quota share has room for it.
+
+        Without a quota a late reading of the concurrency cap has rejected it: the next reading may not.
+        """
         self.responses.count_given_up(reason, plan)
         if plan.rate:
             retry_after_ms = self.quota_meter.retry_after_ms(
--- a/quota_gateway/policy/peer_usage.py
+++ b/quota_gateway/policy/peer_usage.py
@@ -20,6 +20,10 @@
         self.customers = customers
         self.peer_has_taken_over = False
 
+    def on_hot_restart_begun(self) -> None:
+        """The next process takes over: from now on customers' use is reported to it."""
+        self.peer_has_taken_over = True
+
     def report(
         self, customer: Customer, charged_units: float, metered_use_percent: float | None = None
     ) -> None:
--- a/quota_gateway/policy/quota_meter.py
+++ b/quota_gateway/policy/quota_meter.py
@@ -49,7 +49,11 @@
 
 
 class QuotaMeter:
-    """Owns customers' excess, the demand they show here and the late readings of their use."""
+    """Owns customers' excess, the demand they show here and the late readings of their use.
+
+    A request's demand is recorded first (``record_demand``), as the decision counts on it (``decide``). If
+    the request is taken, its excess is stored (``store_excess``); one over quota shows in the demand alone.
+    """
 
     def __init__(self, context: Context) -> None:
         self.context = context
@@ -62,7 +66,7 @@
     # ---- The admission rule
 
     def decide(self, customer: Customer, plan: Plan, units: float, now_ms: float) -> QuotaDecision:
-        """Whether a request of so many units is within quota. Stores nothing: see ``apply``.
+        """Whether a request of so many units is within quota. Stores nothing: see ``store_excess``.
 
         Its demand must have been recorded before (``record_demand``). Up to a burst of excess the request is
         admitted, up to ``REJECT_BURSTS`` of them it is held until the excess has drained to one burst.
@@ -77,7 +81,7 @@
         delay_ms = max(0.0, excess_milliunits - burst_milliunits) / drain_milliunits_per_ms
         return Hold(delay_ms, excess_milliunits) if delay_ms else Admit(excess_milliunits)
 
-    def apply(self, customer: Customer, decision: Admit | Hold, now_ms: float) -> None:
+    def store_excess(self, customer: Customer, decision: Admit | Hold, now_ms: float) -> None:
         """Store the excess of a request that is taken."""
         if decision.excess_milliunits is not None:
             customer.excess_milliunits = decision.excess_milliunits
@@ -90,7 +94,10 @@
             customer.demand_updated_ms = now_ms
 
     def retry_after_ms(self, customer: Customer, plan: Plan, units: float, now_ms: float) -> float:
-        """Time until a request of so many units would be admitted if no other came."""
+        """Time until a request of so many units would be admitted if no other came.
+
+        0 without a quota: then nothing here bounds the request.
+        """
         if not plan.rate:
             return 0.0
         drain_milliunits_per_ms = self._drain_milliunits_per_ms(customer, plan, now_ms)
@@ -108,14 +115,16 @@
         unused_ratio = self._unused_ratio(customer, at_ms, lifetime_ms)
         return min(1.0, (1.0 + UNUSED_QUOTA_BONUS_RATIO * unused_ratio) / customer.serving_gateways)
 
-    def has_thin_share(self, customer: Customer, plan: Plan) -> bool:
+    def has_share_below_one_request(self, customer: Customer, plan: Plan) -> bool:
         """Whether the even share is less than a request, in its burst and over a reading's lifetime.
 
-        Each gateway lets a customer's first request pass; where the share is thin, these first ones add up to
-        many times the quota, and no gateway hears of the customer often enough to notice. A customer far over
-        its quota gets there by trying the gateways in turn. So, for thin shares only, a marked retry is
-        rejected (most likely another gateway rejected it for quota, but a retry after a failure is rejected
-        as well), and the last reading counts until a request has drained; see ``_thin_burst_milliunits``.
+        Such a share is called thin. Each gateway lets a customer's first request pass; where the share is
+        thin, these first ones add up to many times the quota, and no gateway hears of the customer often
+        enough to notice. A customer far over its quota gets there by trying the gateways in turn.
+
+        So two rules hold for thin shares only. A marked retry is rejected: most likely another gateway
+        rejected it for quota, but a retry after a failure is rejected as well. And the last reading counts
+        until a request has drained; see ``_thin_burst_milliunits``.
         """
         is_below_one = plan.burst < customer.largest_request_units * customer.serving_gateways
         return is_below_one and self._request_drain_ms(customer, plan) > self.reading_lifetime_ms
@@ -149,7 +158,7 @@
 
     def _burst_milliunits(self, customer: Customer, plan: Plan, units: float, now_ms: float) -> float:
         """Excess up to which a request of so many units goes at once."""
-        if self.has_thin_share(customer, plan):
+        if self.has_share_below_one_request(customer, plan):
             return self._thin_burst_milliunits(customer, plan, units, now_ms)
         return self._even_burst_milliunits(customer, plan)
 
--- a/quota_gateway/policy/settings_change.py
+++ b/quota_gateway/policy/settings_change.py
@@ -93,7 +93,7 @@
 
     def begin_hot_restart(self, _: HotRestartBegun) -> None:
         """The next process takes over, maybe with other settings: bring every row up to this moment."""
-        self.peer_usage.peer_has_taken_over = True
+        self.peer_usage.on_hot_restart_begun()
         self._begin_epoch(self.epochs.plans, self.epochs.gateways)
         self._begin_transitions({})
         self.customers.catch_up_last(len(self.epochs.lagging_customers))
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -62,7 +62,7 @@
         decision = meter.decide(customer, METERED, 1.0, 0.0)
         decisions.append(decision)
         if not isinstance(decision, RejectOverQuota):
-            meter.apply(customer, decision, 0.0)
+            meter.store_excess(customer, decision, 0.0)
     admitted = [Admit(1000.0 * count) for count in range(1, 5)]
     held = [Hold(200.0 * count, 4000.0 + 1000.0 * count) for count in range(1, 5)]
     assert decisions == [*admitted, *held, RejectOverQuota()]
@@ -83,7 +83,7 @@
     decisions = [meter.decide(customer, METERED, 3.0, 100.0) for _ in range(2)]
     assert decisions == [Admit(3000.0 - 1000.0)] * 2
     assert [getattr(customer, name) for name in Customer.__slots__] == before
-    meter.apply(customer, decisions[0], 100.0)
+    meter.store_excess(customer, decisions[0], 100.0)
     assert customer.excess_milliunits == 2000.0
     assert customer.excess_updated_ms == 100.0
 
@@ -94,7 +94,7 @@
     meter.record_demand(customer, Plan("free"), 5.0, 100.0)
     decision = meter.decide(customer, Plan("free"), 5.0, 100.0)
     assert decision == Admit(None)
-    meter.apply(customer, decision, 100.0)
+    meter.store_excess(customer, decision, 100.0)
     assert (customer.excess_milliunits, customer.excess_updated_ms) == (0.0, 7.0)
     assert (customer.demand_units, customer.demand_updated_ms) == (0.0, 7.0)
 
