--- a/quota_gateway/api/enums.py
+++ b/quota_gateway/api/enums.py
@@ -50,10 +50,7 @@
 
 
 class Status(Enum):
-    """How an attempt, a health check or a counter call ended.
-
-    Of OVERLOADED, CONNECT_FAILED and NOT_SENT it is certain that nothing was executed.
-    """
+    """How an attempt, a health check or a counter call ended."""
 
     OK = "ok"
     ERROR = "error"
@@ -64,6 +61,11 @@
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
 
+    @property
+    def is_certainly_not_run(self) -> bool:
+        """Whether it is certain that the server executed nothing."""
+        return self in (Status.OVERLOADED, Status.CONNECT_FAILED, Status.NOT_SENT)
+
 
 @dataclass(frozen=True, slots=True)
 class RequestMessage:
--- a/quota_gateway/net/clients/commands.py
+++ b/quota_gateway/net/clients/commands.py
@@ -12,6 +12,7 @@
 POST = b"CALL.POST"
 WORDS = {GET: 4, POST: 5}  # of each command: its name, customer, request id, fields, and a body
 
+# The decisions answer some ticks before what remains: FINAL_ANSWER_TICKS in policy/responses.py.
 CLIENT_MARGIN_MS = 10.0  # kept of a client's timeout: the network both ways, and a loop that is late
 MAX_CUSTOMER_NUMBER = (1 << 33) - 1
 CUSTOMER_DIGITS = 16
--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -17,6 +17,7 @@
 
 log = logging.getLogger(__name__)
 
+# Of the time for a repeat to arrive at a server; a client's has CLIENT_MARGIN_MS in net/clients/commands.py.
 DELIVERY_MARGIN_MS = 10.0  # for the last byte's way to the server, and a loop that is late
 
 
--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -11,7 +11,7 @@
 from quota_gateway.policy.rate_ceiling import RateCeiling
 from quota_gateway.policy.responses import Responses
 from quota_gateway.policy.retry_budget import RetryBudget
-from quota_gateway.policy.retry_policy import idempotency_window_left_ms, may_have_run, may_retry
+from quota_gateway.policy.retry_policy import idempotency_window_left_ms, may_retry
 from quota_gateway.policy.server_selection import ServerSelection
 from quota_gateway.state import Attempt, Context, GiveUpReason, PendingRequest, Server
 
@@ -54,7 +54,7 @@
         number = self.pending_requests.start_attempt(pending, server, now_ms)
         self.context.decay.attempts_started += 1
         self.concurrency_limit.add(request_id, number)
-        begin_within_ms = idempotency_window_left_ms(pending, now_ms)
+        begin_within_ms = idempotency_window_left_ms(pending, now_ms) or 0.0  # 0: nothing bounds it
         self.context.actions.append(Send(request_id, server.id, begin_within_ms=begin_within_ms))
         # The hedging delay, and the time after which silence is a failure.
         threshold_ms = LATENCY_THRESHOLD_RATIO * pending.request_class.latency_objective_ms
@@ -98,7 +98,7 @@
 
         While another attempt is in flight, or a response streams, that one decides.
         """
-        if may_have_run(status) and pending.first_possible_run is None:
+        if not status.is_certainly_not_run and pending.first_possible_run is None:
             pending.first_possible_run = failed
         if pending.attempts_in_flight or pending.state.is_streaming:
             return
--- a/quota_gateway/policy/concurrency_limit.py
+++ b/quota_gateway/policy/concurrency_limit.py
@@ -55,7 +55,12 @@
         return request_class.latency_objective_ms * INITIAL_LATENCY_RATIO
 
     def start(self, servers: int, gateways: int) -> None:
-        """Set the limit by the first endpoint list: an even part of a cautious limit at each server."""
+        """Set the limit by the first endpoint list: an even part of a cautious limit at each server.
+
+        By this gateway's even part of the servers: ``INITIAL_ATTEMPTS_PER_SERVER`` for each. Where that is
+        less than ``MIN_INITIAL_LIMIT``, it is raised to that, but to no more than
+        ``MAX_INITIAL_ATTEMPTS_PER_SERVER`` for each.
+        """
         servers_per_gateway = servers / gateways
         self.limit = max(
             INITIAL_ATTEMPTS_PER_SERVER * servers_per_gateway,
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -10,7 +10,9 @@
 from quota_gateway.policy.retry_policy import is_client_retry_harmless
 from quota_gateway.state import Context, Customer, GiveUpReason, OutcomeCounters, PendingRequest
 
-FINAL_ANSWER_TICKS = 2.0  # before the deadline: one tick for the timer to fire, one to spare
+# Before the deadline: one tick for the timer to fire, one to spare. The network's time is off the client's
+# timeout already (CLIENT_MARGIN_MS in net/clients/commands.py).
+FINAL_ANSWER_TICKS = 2.0
 COUNTERS_LOG_INTERVAL_MS = 5000.0
 
 
@@ -83,6 +85,7 @@
         queue_ms = self.concurrency_limit.queue_wait_ms(
             pending.request_class, len(self.pending_requests.queued)
         )
+        # 0 units: those of the request were charged as it was taken.
         quota_ms = self.quota_meter.retry_after_ms(pending.customer, pending.plan, 0.0, self.context.now_ms)
         return max(queue_ms, quota_ms)
 
--- a/quota_gateway/policy/retry_policy.py
+++ b/quota_gateway/policy/retry_policy.py
@@ -5,12 +5,11 @@
 
 from __future__ import annotations
 
-from quota_gateway.api import Idempotency, IdempotencyScope, Status
+from quota_gateway.api import Idempotency, IdempotencyScope
 from quota_gateway.policy.retry_budget import RetryBudget
 from quota_gateway.state import PendingRequest, ServerGroup
 
 ALL_SERVERS = ServerGroup()
-STATUSES_OF_ATTEMPTS_NOT_RUN = (Status.OVERLOADED, Status.CONNECT_FAILED, Status.NOT_SENT)
 
 
 def may_retry(pending: PendingRequest, max_attempts: int, retry_budget: RetryBudget) -> bool:
@@ -18,21 +17,15 @@
     return pending.attempts_started < max_attempts and retry_budget.allows_retry()
 
 
-def may_have_run(status: Status) -> bool:
-    """Whether an attempt that failed with this status may have had its effect."""
-    return status not in STATUSES_OF_ATTEMPTS_NOT_RUN
+def idempotency_window_left_ms(pending: PendingRequest, now_ms: float) -> float | None:
+    """Time in which a retry with the request's idempotency key has to arrive; 0 or less if it has passed.
 
-
-def idempotency_window_left_ms(pending: PendingRequest, now_ms: float) -> float:
-    """Time in which a retry with the request's idempotency key has to arrive.
-
-    0 where nothing bounds it: no attempt may have run yet, or the class has no idempotency key. Below 0 the
-    window has passed.
+    None where nothing bounds it: no attempt may have run yet, or the class has no idempotency key.
     """
     if pending.first_possible_run is None:
-        return 0.0
+        return None
     if pending.request_class.idempotency is not Idempotency.WITH_KEY:
-        return 0.0
+        return None
     return pending.first_possible_run.started_ms + pending.request_class.idempotency_window_ms - now_ms
 
 
@@ -47,7 +40,8 @@
         return ALL_SERVERS
     if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
         return None
-    if idempotency_window_left_ms(pending, now_ms) <= 0.0:
+    window_left_ms = idempotency_window_left_ms(pending, now_ms)
+    if window_left_ms is not None and window_left_ms <= 0.0:
         return None
     first_server = pending.first_possible_run.server
     if request_class.idempotency_scope is IdempotencyScope.ALL:
--- a/tests/test_request_rules.py
+++ b/tests/test_request_rules.py
@@ -11,7 +11,6 @@
     MAX_STORED_RETRIES,
     RetryBudget,
 )
-from quota_gateway.policy.retry_policy import may_have_run
 from quota_gateway.state import GiveUpReason, PendingRequest, RequestState, Server
 
 SAFE = next(item for item in SETTINGS.classes if item.name == "safe")
@@ -54,7 +53,8 @@
 
 @pytest.mark.parametrize("status", [status for status in Status if status is not Status.OK])
 def test_an_attempt_may_have_run_unless_its_status_proves_that_it_did_not(status):
-    assert may_have_run(status) is (status not in (Status.OVERLOADED, Status.CONNECT_FAILED, Status.NOT_SENT))
+    not_run = (Status.OVERLOADED, Status.CONNECT_FAILED, Status.NOT_SENT)
+    assert status.is_certainly_not_run is (status in not_run)
 
 
 # ---- Hedged requests
