--- a/quota_gateway/policy/concurrency_limit.py
+++ b/quota_gateway/policy/concurrency_limit.py
@@ -10,7 +10,7 @@
 from math import inf
 
 from quota_gateway.api import RequestClass
-from quota_gateway.state import Context, Latencies, PendingRequest, Server
+from quota_gateway.state import AttemptKey, Context, Latencies, PendingRequest, Server
 
 INITIAL_LATENCY_RATIO = 0.2  # of a class's latency objective: its mean latency until responses were seen
 MEAN_LATENCY_WEIGHT = 0.03  # of one response in a class's mean latency
@@ -39,7 +39,7 @@
 
     def __init__(self, context: Context) -> None:
         self.limit = inf  # attempts; until the first endpoint list there is no limit
-        self.attempts_within_threshold: set[tuple[str, int]] = set()  # request id and number of the attempt
+        self.attempts_within_threshold: set[AttemptKey] = set()
         self.latencies = Latencies(
             context.decay, MEAN_LATENCY_WEIGHT, SERVER_LATENCY_WEIGHT, MAX_QUICK_SERVERS
         )
@@ -81,11 +81,11 @@
 
     def add(self, request_id: str, attempt: int) -> None:
         """Count an attempt that is sent."""
-        self.attempts_within_threshold.add((request_id, attempt))
+        self.attempts_within_threshold.add(AttemptKey(request_id, attempt))
 
     def remove(self, request_id: str, attempt: int) -> None:
         """Stop counting an attempt that has ended, begun to stream or passed its threshold."""
-        self.attempts_within_threshold.discard((request_id, attempt))
+        self.attempts_within_threshold.discard(AttemptKey(request_id, attempt))
 
     def on_response(self, server: Server, request_class: RequestClass, latency_ms: float) -> None:
         """Learn from a good response, or from the beginning of one."""
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -9,13 +9,14 @@
 from quota_gateway.state.outcome_counters import OutcomeCounters
 from quota_gateway.state.pending_request import Attempt, PendingRequest
 from quota_gateway.state.pending_requests import PendingRequests
-from quota_gateway.state.records import CustomerKey, FailureKeys, FailureRecord, Moment
+from quota_gateway.state.records import AttemptKey, CustomerKey, FailureKeys, FailureRecord, Moment
 from quota_gateway.state.request_state import RequestState
 from quota_gateway.state.server import Server
 from quota_gateway.state.settings_epochs import SettingsEpochs
 
 __all__ = [
     "Attempt",
+    "AttemptKey",
     "Context",
     "Customer",
     "CustomerKey",
--- a/quota_gateway/state/pending_requests.py
+++ b/quota_gateway/state/pending_requests.py
@@ -7,7 +7,7 @@
 from quota_gateway.api.enums import AttemptMessage
 from quota_gateway.state.customer import Customer
 from quota_gateway.state.pending_request import Attempt, PendingRequest
-from quota_gateway.state.records import CustomerKey
+from quota_gateway.state.records import AttemptKey, CustomerKey
 from quota_gateway.state.request_state import RequestState
 from quota_gateway.state.server import Server
 
@@ -54,7 +54,7 @@
         pending.tried_servers.add(server.id)
         pending.attempts_in_flight[number] = Attempt(server, now_ms)
         pending.customer.attempts_in_flight += 1
-        server.attempts_in_flight.add((request_id, number))
+        server.attempts_in_flight.add(AttemptKey(request_id, number))
         server.must_be_used_by_ms = inf
         return number
 
@@ -68,7 +68,7 @@
     def end_attempt(self, pending: PendingRequest, number: int) -> Attempt:
         """Record that an attempt in flight is over; returns it."""
         attempt = pending.attempts_in_flight.pop(number)
-        attempt.server.attempts_in_flight.discard((pending.request.request_id, number))
+        attempt.server.attempts_in_flight.discard(AttemptKey(pending.request.request_id, number))
         pending.customer.attempts_in_flight -= 1
         return attempt
 
--- a/quota_gateway/state/records.py
+++ b/quota_gateway/state/records.py
@@ -10,6 +10,13 @@
 CustomerKey = tuple[str, str]
 
 
+class AttemptKey(NamedTuple):
+    """One attempt among all of a gateway's."""
+
+    request_id: str
+    number: int
+
+
 # The next two are plain tuples, as CPython reads these faster than instances of any class, and each choice of
 # a server reads one of both for each server that it compares.
 
--- a/quota_gateway/state/server.py
+++ b/quota_gateway/state/server.py
@@ -5,7 +5,7 @@
 from math import inf
 
 from quota_gateway.api import ServerEntry, ServerState
-from quota_gateway.state.records import NEVER, FailureRecord
+from quota_gateway.state.records import NEVER, AttemptKey, FailureRecord
 
 
 class Server:
@@ -45,8 +45,8 @@
         self.restored_ms = 0.0
         self.must_be_used_by_ms = inf
 
-        # state/pending_requests.py: request id and number of each attempt.
-        self.attempts_in_flight: set[tuple[str, int]] = set()
+        # state/pending_requests.py
+        self.attempts_in_flight: set[AttemptKey] = set()
 
         # state/estimates.py, LoadReports
         self.has_idle_connection = False
