--- a/quota_gateway/api/actions.py
+++ b/quota_gateway/api/actions.py
@@ -61,6 +61,7 @@
     active: bool = True
 
 
+# The next three are in the simulator's protocol; no decision emits them.
 @dataclass(frozen=True, slots=True)
 class FetchList:
     """Ask discovery for the complete endpoint list once."""
@@ -95,6 +96,7 @@
     keep_idle_ms: float = float("inf")
 
 
+# The next two are in the simulator's protocol; no decision emits them.
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
     """Send bytes to one gateway, or to all if ``peer`` is -1."""
--- a/quota_gateway/api/events.py
+++ b/quota_gateway/api/events.py
@@ -44,7 +44,7 @@
 class Request(RequestMessage):
     """A client's request.
 
-    Its customer's requests may come through ``gateway_span`` gateways, counted from ``first_gateway``.
+    Its customer's requests may come through ``requested_gateways`` gateways, counted from ``first_gateway``.
     """
 
     class_name: str
@@ -52,19 +52,19 @@
     customer: str
     client_timeout_ms: float
     units: float = 1.0
-    gateway_span: int = 1
+    requested_gateways: int = 1
     first_gateway: int = 0
     is_retry: bool = False
     is_write: bool = False
 
     def __post_init__(self) -> None:
         require_numbers(self, 0.0, units=self.units, client_timeout_ms=self.client_timeout_ms)
-        require_numbers(self, 1, gateway_span=self.gateway_span)
+        require_numbers(self, 1, requested_gateways=self.requested_gateways)
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded(AttemptMessage):
-    """How an attempt ended; one for each ``Send``. If ``closed``, the request has had its final answer.
+    """How an attempt ended; one for each ``Send``. ``request_answered``: it was the final answer.
 
     ``metered_use_percent`` is a late reading of the customer's use over all gateways, in percent of its rate,
     or of its cap where it has no rate. ``final_units`` replaces the estimate of the request. ``load`` has a
@@ -74,7 +74,7 @@
     server: int
     status: Status
     latency_ms: float
-    closed: bool = False
+    request_answered: bool = False
     metered_use_percent: float | None = None
     final_units: float | None = None
     load: tuple[float, ...] | None = None
@@ -168,6 +168,7 @@
     """The other process of this gateway has ended, and has nothing in flight any more."""
 
 
+# The simulator's protocol alone has the next two; no decision takes them.
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
     """Bytes from another gateway."""
--- a/quota_gateway/net/clients/commands.py
+++ b/quota_gateway/net/clients/commands.py
@@ -76,7 +76,7 @@
             customer=_customer(customer),
             client_timeout_ms=max(0.0, timeout_ms - CLIENT_MARGIN_MS - waited_ms),
             units=_number(fields, UNITS_FIELD, "1", MIN_UNITS, MAX_FIELD_VALUE),
-            gateway_span=int(_number(fields, SPAN_FIELD, str(self.gateways), 1, MAX_FIELD_VALUE)),
+            requested_gateways=int(_number(fields, SPAN_FIELD, str(self.gateways), 1, MAX_FIELD_VALUE)),
             first_gateway=int(_number(fields, FIRST_FIELD, "0", 0, MAX_FIELD_VALUE)),
             is_retry=fields.get(RETRY_FIELD) == b"1",
             is_write=name == POST,
--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -81,7 +81,7 @@
         if succeeded and event.final_units is not None and not pending.state.is_answered:
             self.responses.settle_units(pending.customer, pending.request.units, event.final_units)
         if not pending.state.is_answered:
-            if succeeded or event.closed:
+            if succeeded or event.request_answered:
                 self.pending_requests.answer(pending)
             else:
                 self._retry_or_answer(pending, event.status, attempt)
--- a/quota_gateway/policy/concurrency_limit.py
+++ b/quota_gateway/policy/concurrency_limit.py
@@ -43,7 +43,7 @@
         self.latencies = Latencies(
             context.decay, MEAN_LATENCY_WEIGHT, SERVER_LATENCY_WEIGHT, MAX_QUICK_SERVERS
         )
-        self.latencies.keep(self.mean_latencies_ms(context.classes.values()))
+        self.latencies.set_classes(self.mean_latencies_ms(context.classes.values()))
 
     def mean_latencies_ms(self, classes: Iterable[RequestClass]) -> dict[str, float]:
         """Mean latencies of these classes by name: as observed, or else the initial ones."""
--- a/quota_gateway/policy/customers.py
+++ b/quota_gateway/policy/customers.py
@@ -35,14 +35,14 @@
         now_ms = self.context.now_ms
         customer = self.rows.get(key)
         if customer is None:
-            level_units = self.rate_ceiling.unseen_level_units(plan, request.gateway_span, now_ms)
+            level_units = self.rate_ceiling.unseen_level_units(plan, request.requested_gateways, now_ms)
             customer = Customer(key, now_ms, level_units, self.epochs.epoch)
             self.rows[key] = customer
         else:
             self.rows.move_to_end(key)
             self._catch_up_if_lagging(customer)
-        customer.requested_gateways = request.gateway_span
-        customer.serving_gateways = min(request.gateway_span, self.epochs.gateways)
+        customer.requested_gateways = request.requested_gateways
+        customer.serving_gateways = min(request.requested_gateways, self.epochs.gateways)
         customer.largest_request_units = max(customer.largest_request_units, request.units)
         self._evict_idle(now_ms)
         return customer
--- a/quota_gateway/policy/settings_change.py
+++ b/quota_gateway/policy/settings_change.py
@@ -81,7 +81,7 @@
         # Whatever can fail has been computed by now: from here on the change is complete.
         self._begin_epoch(plans, gateways)
         self.context.configure(settings)
-        self.concurrency_limit.latencies.keep(latency)
+        self.concurrency_limit.latencies.set_classes(latency)
         self.outlier_detection.rates.keep_only(
             self.context.classes, plans, self.endpoint_list.endpoints.servers.values()
         )
--- a/quota_gateway/recording/names.py
+++ b/quota_gateway/recording/names.py
@@ -35,7 +35,7 @@
     api.ShutdownBegun: "Stopping",
 }
 RECORDED_FIELD_NAMES: dict[type, dict[str, str]] = {
-    api.AttemptEnded: {"metered_use_percent": "used_percent"},
+    api.AttemptEnded: {"metered_use_percent": "used_percent", "request_answered": "closed"},
     api.Contract: {
         "initial_capacity_ratio": "cold_share",
         "overload_multiple": "tip_multiple",
@@ -48,7 +48,7 @@
         "metered_use_percent": "used_percent",
     },
     api.Plan: {"overuse_cost": "over_cost", "overuse_value": "over_worth"},
-    api.Request: {"client_timeout_ms": "patience_ms", "gateway_span": "width"},
+    api.Request: {"client_timeout_ms": "patience_ms", "requested_gateways": "width"},
     api.RequestClass: {
         "idempotency": "effect",
         "idempotency_scope": "key_scope",
--- a/quota_gateway/simulation/baselines.py
+++ b/quota_gateway/simulation/baselines.py
@@ -37,7 +37,7 @@
             case api.AttemptEnded() if event.request_id in self.where:
                 self.out[event.server] = self.out.get(event.server, 0) - 1
                 del self.where[event.request_id]
-                return [] if event.closed else [api.Fail(event.request_id)]
+                return [] if event.request_answered else [api.Fail(event.request_id)]
         return []
 
     def _take(self, event: api.ServerList) -> None:
--- a/quota_gateway/state/estimates.py
+++ b/quota_gateway/state/estimates.py
@@ -11,6 +11,8 @@
 from quota_gateway.state.records import NO_FAILURES, FailureRecord, failure_keys
 from quota_gateway.state.server import Server
 
+FLEET_PRIOR_OUTCOMES = 1.0  # one success assumed beside those of all servers: a lone failure is a rate of 0.5
+
 
 class FailureRates:
     """Failure rates by key: of each server, and of all, which stand in while a server has shown little."""
@@ -29,9 +31,13 @@
             records[name] = (failures * remaining_ratio + failed, outcomes * remaining_ratio + 1.0, moment)
 
     def prior(self, fleet_key: str) -> float:
-        """The failures of all servers, in outcomes, that count beside a server's own."""
+        """The failures of all servers, in outcomes, that count beside a server's own.
+
+        Not decayed to the present, which would shrink both counts alike: the rate holds until newer
+        outcomes change it.
+        """
         failures, outcomes, _ = self.records.get(fleet_key, NO_FAILURES)
-        return self.prior_weight * failures / (outcomes + 1.0)
+        return self.prior_weight * failures / (outcomes + FLEET_PRIOR_OUTCOMES)
 
     def highest(self, server: Server, keys: Sequence[str], priors: Sequence[float]) -> float:
         """The highest failure rate, 0 to 1, expected at a server under these keys with their priors."""
@@ -70,7 +76,7 @@
         self.mean_ms: dict[str, float] = {}  # by class
         self.quick_servers: dict[str, dict[int, Server]] = {}  # by class, then by number, latest last
 
-    def keep(self, mean_ms: Mapping[str, float]) -> None:
+    def set_classes(self, mean_ms: Mapping[str, float]) -> None:
         """The classes are these from now on, with these mean latencies."""
         self.mean_ms = dict(mean_ms)
         self.quick_servers = {name: self.quick_servers.get(name, {}) for name in mean_ms}
--- a/quota_gateway/state_document.py
+++ b/quota_gateway/state_document.py
@@ -154,7 +154,7 @@
             if server_numbers.get(server_id) in gateway.endpoints.servers
         },
         mean_latency_ms={
-            class_name: _number(document["latency"].get(class_name, mean_ms))
+            class_name: _checked_number(document["latency"].get(class_name, mean_ms))
             for class_name, mean_ms in latencies.mean_ms.items()
         },
         quick_servers={
@@ -166,12 +166,12 @@
             for class_name in latencies.quick_servers
         },
         failure_records=_read_failure_records(document["marks"]),
-        concurrency_limit=_number(document["pool"]),
-        retry_tokens=_number(document["retries"]),
-        attempts_started=int(_number(document["sends"])),
-        started_at_ms=_number(document["started_at"]),
+        concurrency_limit=_checked_number(document["pool"]),
+        retry_tokens=_checked_number(document["retries"]),
+        attempts_started=int(_checked_number(document["sends"])),
+        started_at_ms=_checked_number(document["started_at"]),
         unseen_levels={
-            str(plan_name): BucketLevel(_number(level), _number(at))
+            str(plan_name): BucketLevel(_checked_number(level), _checked_number(at))
             for plan_name, (level, at, *_) in document.get("fresh", {}).items()
         },
     )
@@ -230,7 +230,7 @@
         demand,
         demand_updated,
         occupied_places,
-    ) = map(_number, columns[: len(CUSTOMER_COLUMNS)])
+    ) = map(_checked_number, columns[: len(CUSTOMER_COLUMNS)])
     customer = Customer(key, 0.0, 0.0, gateway.epochs.epoch)
     customer.excess_milliunits = excess
     customer.excess_updated_ms = excess_updated
@@ -265,19 +265,19 @@
 
 def _read_server(row: Document) -> LoadedServer:
     return LoadedServer(
-        latency_ratio=_number(row["ratio"]),
+        latency_ratio=_checked_number(row["ratio"]),
         latency_ratio_at=_moment(row["ratio_at"]),
-        reported_queue=_number(row["queue"]),
+        reported_queue=_checked_number(row["queue"]),
         reported_queue_at=_moment(row["queue_at"]),
         failure_records=_read_failure_records(row["marks"]),
-        slow_start_phase=_number(row["phase"]),
-        restored_ms=_number(row["back"]),
-        must_be_used_by_ms=_number(row["owed_at"]),
-        started_ms=_number(row["started"]),
+        slow_start_phase=_checked_number(row["phase"]),
+        restored_ms=_checked_number(row["back"]),
+        must_be_used_by_ms=_checked_number(row["owed_at"]),
+        started_ms=_checked_number(row["started"]),
     )
 
 
-def _number(value: Any) -> float:
+def _checked_number(value: Any) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)) or isnan(value):
         raise ValueError(f"{value!r} is no number")
     return float(value)
@@ -285,11 +285,11 @@
 
 def _moment(value: Any) -> Moment:
     at_ms, attempts_started, *_ = value
-    return _number(at_ms), int(_number(attempts_started))
+    return _checked_number(at_ms), int(_checked_number(attempts_started))
 
 
 def _read_failure_records(rows: Any) -> dict[str, FailureRecord]:
     return {
-        str(key): (_number(failures), _number(outcomes), _moment(recorded_at))
+        str(key): (_checked_number(failures), _checked_number(outcomes), _moment(recorded_at))
         for key, (failures, outcomes, recorded_at, *_) in rows.items()
     }
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -33,7 +33,7 @@
 
     def ask(self, name: str, at_ms: float, units: float = 1.0, plan: Plan = PLAN) -> Customer:
         self.context.begin_event(at_ms)
-        request = Request("r", "safe", plan.name, name, 1000.0, units, gateway_span=2)
+        request = Request("r", "safe", plan.name, name, 1000.0, units, requested_gateways=2)
         return self.customers.find_or_add(request, plan)
 
     def names(self) -> list[str]:
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -295,7 +295,7 @@
     rig.run(10_000.0)
     assert len(rig.sent[name]) == 1
     assert name not in rig.answers
-    rig.do(AttemptEnded(name, 0, rig.sent[name][0], Status.RESET, 10_000.0, closed=True))
+    rig.do(AttemptEnded(name, 0, rig.sent[name][0], Status.RESET, 10_000.0, request_answered=True))
     assert len(rig.sent[name]) == 1
     assert not rig.gateway.pending_requests.by_id
 
@@ -307,6 +307,6 @@
     rig.do(StreamStarted(name, 0, server.id, 50.0))
     pool = rig.gateway.concurrency_limit.limit
     rig.run(3900.0)
-    rig.do(AttemptEnded(name, 0, server.id, Status.OK, 3900.0, closed=True))
+    rig.do(AttemptEnded(name, 0, server.id, Status.OK, 3900.0, request_answered=True))
     assert rig.gateway.concurrency_limit.limit == pool
     assert rig.gateway.concurrency_limit.latencies.mean_ms["safe"] < before
--- a/tests/test_net_driver.py
+++ b/tests/test_net_driver.py
@@ -41,7 +41,7 @@
         return actions
 
     def outcomes(self):
-        return [(e.attempt, e.status, e.closed) for e in self.events if isinstance(e, AttemptEnded)]
+        return [(e.attempt, e.status, e.request_answered) for e in self.events if isinstance(e, AttemptEnded)]
 
 
 def scripted(gateway, script, wait_ms=60_000.0):
