--- a/quota_gateway/api/actions.py
+++ b/quota_gateway/api/actions.py
@@ -98,10 +98,10 @@
 
 # The next two are in the simulator's protocol; no decision emits them.
 @dataclass(frozen=True, slots=True)
-class SendToPeer:
-    """Send bytes to one gateway, or to all if ``peer`` is -1."""
+class SendToGateway:
+    """Send bytes to one gateway, or to all if ``gateway`` is -1."""
 
-    peer: int
+    gateway: int
     data: bytes
 
 
@@ -125,7 +125,7 @@
     | FetchList
     | HealthCheck
     | CloseIdle
-    | SendToPeer
+    | SendToGateway
     | IncrementCounter
     | SetServerUsable
     | SetServing
--- a/quota_gateway/api/events.py
+++ b/quota_gateway/api/events.py
@@ -170,7 +170,7 @@
 
 # The simulator's protocol alone has the next two; no decision takes them.
 @dataclass(frozen=True, slots=True)
-class PeerMessage:
+class GatewayMessage:
     """Bytes from another gateway."""
 
     sender: int
@@ -195,7 +195,7 @@
     | ClientDisconnected
     | TimerFired
     | HealthCheckResult
-    | PeerMessage
+    | GatewayMessage
     | CounterResult
     | ShutdownBegun
     | ServerAdminDown
--- a/quota_gateway/api/settings.py
+++ b/quota_gateway/api/settings.py
@@ -122,7 +122,7 @@
     may_duplicate: bool = False  # whether hedged requests are allowed
     can_cancel: bool = False
     can_probe: bool = False
-    can_message_peers: bool = False
+    can_message_gateways: bool = False
     can_advise_retry: bool = False
     max_open: int = 1_000_000
     connect_timeout_ms: float = 250.0
--- a/quota_gateway/recording/names.py
+++ b/quota_gateway/recording/names.py
@@ -19,6 +19,7 @@
     api.ClientDisconnected: "ClientGone",
     api.CounterResult: "CounterReply",
     api.DrainChanged: "Drain",
+    api.GatewayMessage: "PeerMessage",
     api.HealthCheck: "Probe",
     api.HealthCheckResult: "ProbeResult",
     api.HotRestartBegun: "HandOver",
@@ -27,7 +28,7 @@
     api.PeerExited: "OtherGone",
     api.PeerUsage: "Elsewhere",
     api.Reject: "Refuse",
-    api.SendToPeer: "TellPeer",
+    api.SendToGateway: "TellPeer",
     api.ServerAdminDown: "ServerByHand",
     api.SetServerUsable: "SetUsable",
     api.SetServing: "Admit",
@@ -42,6 +43,7 @@
         "overload_window_ms": "tip_window_ms",
         "poll_within_ms": "ask_within_ms",
     },
+    api.Limits: {"can_message_gateways": "can_message_peers"},
     api.PeerUsage: {
         "charged_units": "charged",
         "occupied_places": "in_hand",
@@ -59,6 +61,7 @@
         "priority_weight": "worth",
     },
     api.ServerAdminDown: {"admin_down": "out"},
+    api.SendToGateway: {"gateway": "peer"},
     api.SetServing: {"keep_idle_ms": "linger_ms"},
     api.IdleConnectionChanged: {"has_idle": "idle"},
 }
--- a/quota_gateway/recording/random_driver.py
+++ b/quota_gateway/recording/random_driver.py
@@ -237,7 +237,7 @@
             self.draw.choice(
                 (
                     api.HealthCheckResult(server, api.Status.OK, 5.0, (0.1, 3.0)),
-                    api.PeerMessage(1, b"x"),
+                    api.GatewayMessage(1, b"x"),
                     api.CounterResult(1, api.Status.OK, 2.0, 3.0),
                     api.TimerFired(10**9),
                     api.AttemptEnded("nobody", 0, server, api.Status.OK, 5.0),
--- a/quota_gateway/settings_fields.py
+++ b/quota_gateway/settings_fields.py
@@ -75,7 +75,7 @@
     BooleanField("may_duplicate", "may_duplicate", help="whether requests may be hedged"),
     BooleanField("cancelling", "can_cancel", help="whether attempts may be cancelled"),
     BooleanField("probes", "can_probe", help="not used by any decision"),
-    BooleanField("peers", "can_message_peers", help="whether gateways may gossip"),
+    BooleanField("peers", "can_message_gateways", help="whether gateways may gossip"),
     BooleanField("retry_after", "can_advise_retry", help="whether rejections may advise when to retry"),
     IntegerField("open_cap", "max_open", minimum=1, help="not used by any decision"),
     NumberField("connect_timeout_ms", "connect_timeout_ms", unit="ms", help="of a connection to a server"),
--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -94,7 +94,7 @@
     "Sampled": lambda f: api.HealthCheckResult(
         f["server"], STATUS[f["code"]], f["delay_seen_ms"], _load(f["gauge"])
     ),
-    "Memo": lambda f: api.PeerMessage(f["origin_peer"], bytes.fromhex(f["body"])),
+    "Memo": lambda f: api.GatewayMessage(f["origin_peer"], bytes.fromhex(f["body"])),
     "Reckoned": lambda f: api.CounterResult(
         f["counter_key"], STATUS[f["code"]], f["reading"] or 0.0, f["delay_seen_ms"]
     ),
@@ -111,7 +111,7 @@
     api.FetchList: lambda _: ("Fetch", {}),
     api.HealthCheck: lambda a: ("Touch", {"server": a.server}),
     api.CloseIdle: lambda a: ("DropConns", {"server": a.server}),
-    api.SendToPeer: lambda a: ("Share", {"dst": a.peer, "body": a.data.hex()}),
+    api.SendToGateway: lambda a: ("Share", {"dst": a.gateway, "body": a.data.hex()}),
     api.IncrementCounter: lambda a: (
         "Add",
         {"counter_key": a.name, "add": a.amount, "expire_in_ms": a.lifetime_ms},
