--- a/quota_gateway/api/settings.py
+++ b/quota_gateway/api/settings.py
@@ -1,4 +1,8 @@
-"""Settings of the decisions, validated as they are made. All times are milliseconds."""
+"""Settings of the decisions, validated as they are made. All times are milliseconds.
+
+Fields marked "accepted, unused" are read by no decision: configurations and recordings have them. They stand
+where they do as recordings keep the order of fields.
+"""
 
 from __future__ import annotations
 
@@ -46,11 +50,11 @@
     deadline_ms: float
     idempotency: Idempotency
     priority_weight: float = 1.0
-    late_value_ratio: float = 0.0
+    late_value_ratio: float = 0.0  # accepted, unused
     idempotency_scope: IdempotencyScope = IdempotencyScope.ALL
     idempotency_window_ms: float = 0.0  # how long servers remember an idempotency key
-    streamed: bool = False
-    objective_stretch: float = 0.0
+    streamed: bool = False  # accepted, unused
+    objective_stretch: float = 0.0  # accepted, unused
 
     def __post_init__(self) -> None:
         require(bool(self.name), self, "name", self.name, "is empty")
@@ -86,11 +90,11 @@
     burst: float = 0.0
     max_in_flight: int = 0
     price: float = 1.0  # factor of the classes' priority weights
-    overuse_value: float = 0.0
+    overuse_value: float = 0.0  # accepted, unused
     overuse_cost: float = 0.0
     ceiling_rate: float = 0.0
     ceiling_burst: float = 0.0
-    ceiling_slack: float = 0.0
+    ceiling_slack: float = 0.0  # accepted, unused
 
     def __post_init__(self) -> None:
         require(bool(self.name), self, "name", self.name, "is empty")
@@ -121,10 +125,10 @@
     max_attempts: int = 1  # of one request
     may_duplicate: bool = False  # whether hedged requests are allowed
     can_cancel: bool = False
-    can_probe: bool = False
-    can_message_gateways: bool = False
+    can_probe: bool = False  # accepted, unused
+    can_message_gateways: bool = False  # accepted, unused
     can_advise_retry: bool = False
-    max_open: int = 1_000_000
+    max_open: int = 1_000_000  # accepted, unused
     connect_timeout_ms: float = 250.0
     max_retry_after_ms: float = 0.0
     connection_idle_ms: float = DEFAULT_IDLE_MS
@@ -144,12 +148,12 @@
 class Contract:
     """Figures of the platform's rules: for answers, draining servers and servers that warm up."""
 
-    answer_slack_ms: float = 0.0
-    drain_grace_ms: float = 0.0
+    answer_slack_ms: float = 0.0  # accepted, unused
+    drain_grace_ms: float = 0.0  # accepted, unused
     initial_capacity_ratio: float = 1.0  # of a server that has just started
     warm_up_ms: float = 0.0
     overload_multiple: float = 1.0
-    overload_window_ms: float = 0.0
+    overload_window_ms: float = 0.0  # accepted, unused
     poll_within_ms: float = 0.0  # how soon discovery must be polled
 
     def __post_init__(self) -> None:
@@ -173,7 +177,7 @@
     """All settings of a gateway's decisions."""
 
     gateways: int  # how many share the customers' quotas
-    index: int  # of this gateway among them
+    index: int  # of this gateway among them; no decision reads it
     zone: str
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
@@ -183,9 +187,9 @@
     load_fields: tuple[str, ...] = ()  # names of the values in servers' load reports
     meter_period_ms: float = 0.0
     largest_units: float = 1.0  # of one request
-    settles: bool = False
-    has_counter: bool = False
-    counter_timeout_ms: float = 0.0
+    settles: bool = False  # accepted, unused
+    has_counter: bool = False  # accepted, unused
+    counter_timeout_ms: float = 0.0  # accepted, unused
     tick_ms: float = 1.0  # resolution of timers
     cross_zone_price: float = 0.0
     handshake_price: float = 0.0
