--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Two processes of one gateway: what the next one gets, what it makes of what is none, who may pass what."""
+"""Hot restart: what the successor receives, what it makes of invalid state, who may hand over to whom."""
 
 import asyncio
 import json
@@ -108,7 +108,7 @@
     assert customer.excess_milliunits == old.gateway.customers.rows["metered", "c"].excess_milliunits > 1000.0
 
 
-def test_server_known_to_fail_before_is_doubted_after_and_one_put_back_is_still_cold():
+def test_server_known_to_fail_before_is_suspected_after_and_one_put_back_is_still_warming_up():
     old = Rig()
     old.servers(entry(1), entry(2))
     for _ in range(12):
@@ -531,7 +531,7 @@
     run(test())
 
 
-def test_process_that_comes_beside_the_successor_starts_plainly(tmp_path):
+def test_process_that_comes_while_a_successor_serves_starts_plainly(tmp_path):
     """Two successors of one process would charge and accept side by side."""
 
     async def test():
