--- a/quota_gateway/net/clients/commands.py
+++ b/quota_gateway/net/clients/commands.py
@@ -12,6 +12,7 @@
 POST = b"CALL.POST"
 WORDS = {GET: 4, POST: 5}  # of each command: its name, customer, request id, fields, and a body
 
+# The decisions answer some ticks before what remains: FINAL_ANSWER_TICKS in policy/responses.py.
 CLIENT_MARGIN_MS = 10.0  # kept of a client's timeout: the network both ways, and a loop that is late
 MAX_CUSTOMER_NUMBER = (1 << 33) - 1
 CUSTOMER_DIGITS = 16
@@ -75,7 +76,7 @@
             customer=_customer(customer),
             client_timeout_ms=max(0.0, timeout_ms - CLIENT_MARGIN_MS - waited_ms),
             units=_number(fields, UNITS_FIELD, "1", MIN_UNITS, MAX_FIELD_VALUE),
-            gateway_span=int(_number(fields, SPAN_FIELD, str(self.gateways), 1, MAX_FIELD_VALUE)),
+            requested_gateways=int(_number(fields, SPAN_FIELD, str(self.gateways), 1, MAX_FIELD_VALUE)),
             first_gateway=int(_number(fields, FIRST_FIELD, "0", 0, MAX_FIELD_VALUE)),
             is_retry=fields.get(RETRY_FIELD) == b"1",
             is_write=name == POST,
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -12,7 +12,7 @@
 
 from quota_gateway.api import Plan, Request, RequestClass
 from quota_gateway.policy.attempts import Attempts
-from quota_gateway.policy.concurrency_cap import ConcurrencyCap
+from quota_gateway.policy.concurrency_cap import CustomerConcurrencyCap
 from quota_gateway.policy.customers import Customers
 from quota_gateway.policy.quota_meter import REJECT_OVER_QUOTA, Admit, Hold, RejectOverQuota
 from quota_gateway.state import Context, Customer, GiveUpReason, PendingRequest, RequestState, Server
@@ -48,7 +48,7 @@
         self,
         context: Context,
         customers: Customers,
-        concurrency_cap: ConcurrencyCap,
+        concurrency_cap: CustomerConcurrencyCap,
         attempts: Attempts,
     ) -> None:
         self.context = context
@@ -60,7 +60,7 @@
         self.responses = attempts.responses
         self.concurrency_limit = attempts.concurrency_limit
         self.server_selection = attempts.server_selection
-        self.in_flight = attempts.in_flight
+        self.pending_requests = attempts.pending_requests
 
     # ---- New requests
 
@@ -70,20 +70,20 @@
         if reason := self._exceeded_limit(request, customer, plan):
             self._reject(request, customer, plan, reason)
             return
-        slow_start_draw = self.context.random.random()
+        draw = self.context.random.random()
         now_ms = self.context.now_ms
         self.quota_meter.record_demand(customer, plan, request.units, now_ms)
         decision = self.quota_decision(request, request_class, customer, plan)
         if isinstance(decision, RejectOverQuota):
             self._reject(request, customer, plan, GiveUpReason.OVER_QUOTA)
             return
-        self.quota_meter.apply(customer, decision, now_ms)
+        self.quota_meter.store_excess(customer, decision, now_ms)
         epoch = self.customers.epochs.epoch
-        pending = PendingRequest(request, request_class, plan, customer, now_ms, slow_start_draw, epoch)
+        pending = PendingRequest(request, request_class, plan, customer, now_ms, draw, epoch)
         self._admit(pending, decision)
 
-    def useful_hold_ms(self, request_class: RequestClass) -> float:
-        """How long a request may wait and still be answered within its latency objective.
+    def useful_wait_ms(self, request_class: RequestClass) -> float:
+        """How long a request may be held or queued and still be answered within its latency objective.
 
         A response later than that is worth little or nothing.
         """
@@ -93,19 +93,21 @@
     def longest_hold_ms(self, request: Request, request_class: RequestClass) -> float:
         """The longest delay for which a new request is held rather than rejected.
 
-        It ends with the client's timeout, with this gateway, and with the useful hold, which is scaled by the
+        It ends with the client's timeout, with this gateway, and with the useful wait, which is scaled by the
         class's priority weight. Without the scaling priorities would invert at a customer over its quota: its
         excess settles where the class with the longest objective is still held, and classes with shorter
-        objectives, maybe of more weight, would always be rejected.
+        objectives, maybe of more weight, would always be rejected. The weight alone scales it, as only
+        requests of one customer, and so of one price, compete here; in the queue those of all customers
+        compete for the servers' time, so ``queue_priority`` counts price, units and latency as well.
         """
         highest_weight = self.context.highest_priority_weight
-        useful_ms = max(0.0, self.useful_hold_ms(request_class)) * request_class.priority_weight
+        useful_ms = max(0.0, self.useful_wait_ms(request_class)) * request_class.priority_weight
         remaining_ms = self.responses.shutdown_at_ms - self.context.now_ms
         return min(request.client_timeout_ms, remaining_ms, useful_ms / highest_weight)
 
     def _exceeded_limit(self, request: Request, customer: Customer, plan: Plan) -> GiveUpReason | None:
         """A limit other than the quota for which a new request is rejected; may draw a random number."""
-        if request.is_retry and self.quota_meter.has_thin_share(customer, plan):
+        if request.is_retry and self.quota_meter.has_share_below_one_request(customer, plan):
             return GiveUpReason.THIN_SHARE_RETRY
         if self.concurrency_cap.rejects_for_overuse(customer, plan, self.context.now_ms):
             return GiveUpReason.OVER_CONCURRENCY_CAP
@@ -123,7 +125,10 @@
         return decision
 
     def _reject(self, request: Request, customer: Customer, plan: Plan, reason: GiveUpReason) -> None:
-        """Reject a new request, with the time after which its customer's quota share has room for it."""
+        """Reject a new request, with the time after which its customer's quota share has room for it.
+
+        Without a quota a late reading of the concurrency cap has rejected it: the next reading may not.
+        """
         self.responses.count_given_up(reason, plan)
         if plan.rate:
             retry_after_ms = self.quota_meter.retry_after_ms(
@@ -135,11 +140,11 @@
 
     def _admit(self, pending: PendingRequest, decision: Admit | Hold) -> None:
         """Take a request; it is sent or queued at once, or at the end of its hold."""
-        self.in_flight.add(pending)
+        self.pending_requests.add(pending)
         self.responses.peer_usage.report(pending.customer, pending.request.units)
         self.responses.arm_deadline(pending)
         if isinstance(decision, Hold):
-            self.in_flight.hold(pending)
+            self.pending_requests.hold(pending)
             self.context.arm(decision.delay_ms, self._on_hold_ended, pending)
         else:
             self._send_or_queue(pending)
@@ -160,7 +165,7 @@
             return Queue(wait_ms)
         if self.concurrency_cap.is_reached(pending, now_ms):
             return QUEUE
-        if self.concurrency_limit.is_reached(pending.slow_start_draw):
+        if self.concurrency_limit.is_reached(pending.draw):
             return QUEUE
         return self.server_selection.first(pending) or QUEUE
 
@@ -177,10 +182,10 @@
     def _queue(self, pending: PendingRequest, rate_ceiling_wait_ms: float) -> None:
         """Queue a request, or leave it in the queue, and shed one if too many are queued now."""
         if pending.state is not QUEUED:
-            useful_until_ms = pending.arrived_ms + self.useful_hold_ms(pending.request_class)
+            useful_until_ms = pending.arrived_ms + self.useful_wait_ms(pending.request_class)
             useful_ms = max(0.0, useful_until_ms - self.context.now_ms)
-            self.context.arm(useful_ms, self._on_useful_hold_ended, pending)
-            self.in_flight.enqueue(pending)
+            self.context.arm(useful_ms, self._on_useful_wait_ended, pending)
+            self.pending_requests.enqueue(pending)
         shed = self.request_to_shed()
         if shed:
             self.responses.reject_or_fail(shed, GiveUpReason.QUEUE_FULL)
@@ -193,9 +198,10 @@
     def request_to_shed(self) -> PendingRequest | None:
         """The queued request of least priority, if more are queued than may be in flight at once.
 
-        A longer queue would outlast the latency objective of what waits in it.
+        A longer queue would outlast the latency objective of what waits in it. Without any listed server
+        there is nothing to measure it by; with servers that are listed and not ready it stays bounded.
         """
-        queued = self.in_flight.queued
+        queued = self.pending_requests.queued
         if not self.server_selection.endpoints.servers:
             return None
         if len(queued) <= max(1.0, self.concurrency_limit.limit):
@@ -207,8 +213,12 @@
         if pending.state is QUEUED:
             self._send_or_queue(pending)
 
-    def _on_useful_hold_ended(self, pending: PendingRequest) -> None:
-        """A response could no longer be within the objective; without any server it waits on all the same."""
+    def _on_useful_wait_ended(self, pending: PendingRequest) -> None:
+        """A response could no longer be within the objective.
+
+        As long as no server is ready, whether some are listed or not, the request waits on: giving it up
+        would not let another one be served.
+        """
         if pending.state is QUEUED and self.server_selection.endpoints.ready:
             self.responses.reject_or_fail(pending, self.queued_reason(pending))
 
@@ -223,10 +233,10 @@
 
     def release_queued(self) -> None:
         """Try all queued requests again, those of highest priority first."""
-        if not self.in_flight.queued:
+        if not self.pending_requests.queued:
             return
         by_priority = sorted(
-            self.in_flight.queued.values(), key=self.concurrency_limit.queue_priority, reverse=True
+            self.pending_requests.queued.values(), key=self.concurrency_limit.queue_priority, reverse=True
         )
         for pending in by_priority:
             if pending.state is QUEUED:  # it may have been shed meanwhile
--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -11,7 +11,7 @@
 from quota_gateway.policy.rate_ceiling import RateCeiling
 from quota_gateway.policy.responses import Responses
 from quota_gateway.policy.retry_budget import RetryBudget
-from quota_gateway.policy.retry_policy import idempotency_window_left_ms, may_have_run, may_retry
+from quota_gateway.policy.retry_policy import idempotency_window_left_ms, may_retry
 from quota_gateway.policy.server_selection import ServerSelection
 from quota_gateway.state import Attempt, Context, GiveUpReason, PendingRequest, Server
 
@@ -32,7 +32,7 @@
         self.server_selection = server_selection
         self.outlier_detection = server_selection.outlier_detection
         self.responses = responses
-        self.in_flight = responses.in_flight
+        self.pending_requests = responses.pending_requests
         self.retry_budget = RetryBudget()
         self.hedging = Hedging(
             context,
@@ -51,11 +51,12 @@
             self.retry_budget.on_first_attempt()
         else:
             self.retry_budget.on_retry()
-        number = self.in_flight.start_attempt(pending, server, now_ms)
+        number = self.pending_requests.start_attempt(pending, server, now_ms)
         self.context.decay.attempts_started += 1
         self.concurrency_limit.add(request_id, number)
-        begin_within_ms = idempotency_window_left_ms(pending, now_ms)
+        begin_within_ms = idempotency_window_left_ms(pending, now_ms) or 0.0  # 0: nothing bounds it
         self.context.actions.append(Send(request_id, server.id, begin_within_ms=begin_within_ms))
+        # The hedging delay, and the time after which silence is a failure.
         threshold_ms = LATENCY_THRESHOLD_RATIO * pending.request_class.latency_objective_ms
         self.context.arm(threshold_ms, self._on_latency_threshold, (pending, number))
 
@@ -64,10 +65,10 @@
 
         Returns whether the attempt was known: then there may be capacity for queued requests.
         """
-        pending = self.in_flight.pending_with(event)
+        pending = self.pending_requests.pending_with(event)
         if pending is None:
             return False
-        attempt = self.in_flight.end_attempt(pending, event.attempt)
+        attempt = self.pending_requests.end_attempt(pending, event.attempt)
         server = attempt.server
         succeeded = event.status is Status.OK
         self.concurrency_limit.remove(event.request_id, event.attempt)
@@ -80,8 +81,8 @@
         if succeeded and event.final_units is not None and not pending.state.is_answered:
             self.responses.settle_units(pending.customer, pending.request.units, event.final_units)
         if not pending.state.is_answered:
-            if succeeded or event.closed:
-                self.in_flight.answer(pending)
+            if succeeded or event.request_answered:
+                self.pending_requests.answer(pending)
             else:
                 self._retry_or_answer(pending, event.status, attempt)
         self.responses.finish_if_idle(pending)
@@ -97,7 +98,7 @@
 
         While another attempt is in flight, or a response streams, that one decides.
         """
-        if may_have_run(status) and pending.first_possible_run is None:
+        if not status.is_certainly_not_run and pending.first_possible_run is None:
             pending.first_possible_run = failed
         if pending.attempts_in_flight or pending.state.is_streaming:
             return
@@ -123,10 +124,10 @@
         The latency is measured here: what the rest of the response takes depends on the client's pace.
         Returns whether that was news: then there may be capacity for queued requests.
         """
-        pending = self.in_flight.pending_with(event)
+        pending = self.pending_requests.pending_with(event)
         if pending is None or pending.state.is_streaming:
             return False
-        self.in_flight.begin_stream(pending)
+        self.pending_requests.begin_stream(pending)
         server = pending.attempts_in_flight[event.attempt].server
         self.concurrency_limit.remove(event.request_id, event.attempt)
         self.concurrency_limit.on_response(server, pending.request_class, event.latency_ms)
@@ -142,6 +143,8 @@
         self.outlier_detection.record_failure(attempt.server, pending.failure_keys.request_class, "silent")
         if not self.hedging.is_candidate(pending, attempt.server):
             return
+        # Set before the decision, as the silent attempt may be running: the retry rules then offer only
+        # servers where a second run has no second effect.
         if pending.first_possible_run is None:
             pending.first_possible_run = attempt
         decision = self.hedging.decide(pending, attempt.server)
--- a/quota_gateway/policy/concurrency_cap.py
+++ b/quota_gateway/policy/concurrency_cap.py
@@ -1,4 +1,8 @@
-"""Concurrency cap: the hard limit on a customer's attempts in flight, over all gateways."""
+"""Concurrency cap: the limit that a customer's attempts in flight are to keep, over all gateways.
+
+Each gateway keeps its quota share of the cap, without asking the others. Together they may exceed it: each
+admits at least one attempt, and a late reading of unused quota adds a bonus to all shares.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 OVERUSE_EXPONENT = 3.0
 
 
-class ConcurrencyCap:
+class CustomerConcurrencyCap:
     """Compares a customer's attempts in flight with this gateway's share of its cap. Owns nothing."""
 
     def __init__(self, context: Context, quota_meter: QuotaMeter) -> None:
@@ -25,8 +29,8 @@
         cap = (customer.transition_plan or pending.plan).max_in_flight
         if not cap:
             return False
-        in_flight = customer.attempts_in_flight + customer.peer_in_flight
-        return in_flight >= max(1, int(cap * self.quota_meter.quota_share(customer, now_ms)))
+        occupied_places = customer.attempts_in_flight + customer.peer_occupied_places
+        return occupied_places >= max(1, int(cap * self.quota_meter.quota_share(customer, now_ms)))
 
     def rejects_for_overuse(self, customer: Customer, plan: Plan, now_ms: float) -> bool:
         """Whether to reject a request by the late reading of the cap's use; draws a random number.
--- a/quota_gateway/policy/concurrency_limit.py
+++ b/quota_gateway/policy/concurrency_limit.py
@@ -10,7 +10,7 @@
 from math import inf
 
 from quota_gateway.api import RequestClass
-from quota_gateway.state import Context, Latencies, PendingRequest, Server
+from quota_gateway.state import AttemptKey, Context, Latencies, PendingRequest, Server
 
 INITIAL_LATENCY_RATIO = 0.2  # of a class's latency objective: its mean latency until responses were seen
 MEAN_LATENCY_WEIGHT = 0.03  # of one response in a class's mean latency
@@ -22,11 +22,13 @@
 LIMIT_INCREASE = 0.035  # attempts for each quick response while the limit is used up
 LIMIT_DECREASE = 0.3  # attempts for each slow response: one in ten keeps the limit level
 QUICK_RATIO = 0.3  # of the latency objective: faster responses raise the limit
-LATENCY_THRESHOLD_RATIO = 0.5  # of the latency objective: slower responses lower the limit
+# Of the latency objective. A response slower than this threshold lowers the limit. An attempt without one by
+# then no longer counts, is a failure of its server and may be hedged: policy/attempts.py has the timer.
+LATENCY_THRESHOLD_RATIO = 0.5
 MAX_QUICK_SERVERS = 10  # remembered for each class
 
 
-class ConcurrencyLimit:
+class AdaptiveConcurrencyLimit:
     """Limit on attempts within their latency threshold, and the latencies that move it.
 
     Without it servers that have become slow, whatever the cause, would get work faster than they finish it,
@@ -37,11 +39,11 @@
 
     def __init__(self, context: Context) -> None:
         self.limit = inf  # attempts; until the first endpoint list there is no limit
-        self.attempts_within_threshold: set[tuple[str, int]] = set()  # request id and number of the attempt
+        self.attempts_within_threshold: set[AttemptKey] = set()
         self.latencies = Latencies(
             context.decay, MEAN_LATENCY_WEIGHT, SERVER_LATENCY_WEIGHT, MAX_QUICK_SERVERS
         )
-        self.latencies.keep(self.mean_latencies_ms(context.classes.values()))
+        self.latencies.set_classes(self.mean_latencies_ms(context.classes.values()))
 
     def mean_latencies_ms(self, classes: Iterable[RequestClass]) -> dict[str, float]:
         """Mean latencies of these classes by name: as observed, or else the initial ones."""
@@ -53,7 +55,12 @@
         return request_class.latency_objective_ms * INITIAL_LATENCY_RATIO
 
     def start(self, servers: int, gateways: int) -> None:
-        """Set the limit by the first endpoint list: an even part of a cautious limit at each server."""
+        """Set the limit by the first endpoint list: an even part of a cautious limit at each server.
+
+        By this gateway's even part of the servers: ``INITIAL_ATTEMPTS_PER_SERVER`` for each. Where that is
+        less than ``MIN_INITIAL_LIMIT``, it is raised to that, but to no more than
+        ``MAX_INITIAL_ATTEMPTS_PER_SERVER`` for each.
+        """
         servers_per_gateway = servers / gateways
         self.limit = max(
             INITIAL_ATTEMPTS_PER_SERVER * servers_per_gateway,
@@ -68,17 +75,17 @@
         """Whether no further attempt may be sent.
 
         The draw, 0 to 1, decides on the fraction of a limit: with a limit of 1.4 every request may be the
-        first in flight, and four in ten may be the second.
+        first in flight, and four in ten may be the second; with a limit of 0.4 four in ten may be the first.
         """
         return len(self.attempts_within_threshold) >= self.limit - draw
 
     def add(self, request_id: str, attempt: int) -> None:
         """Count an attempt that is sent."""
-        self.attempts_within_threshold.add((request_id, attempt))
+        self.attempts_within_threshold.add(AttemptKey(request_id, attempt))
 
     def remove(self, request_id: str, attempt: int) -> None:
         """Stop counting an attempt that has ended, begun to stream or passed its threshold."""
-        self.attempts_within_threshold.discard((request_id, attempt))
+        self.attempts_within_threshold.discard(AttemptKey(request_id, attempt))
 
     def on_response(self, server: Server, request_class: RequestClass, latency_ms: float) -> None:
         """Learn from a good response, or from the beginning of one."""
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -13,11 +13,11 @@
 from quota_gateway.policy.admin_down import AdminDown
 from quota_gateway.policy.admission import Admission
 from quota_gateway.policy.attempts import Attempts
-from quota_gateway.policy.concurrency_cap import ConcurrencyCap
-from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
+from quota_gateway.policy.concurrency_cap import CustomerConcurrencyCap
+from quota_gateway.policy.concurrency_limit import AdaptiveConcurrencyLimit
 from quota_gateway.policy.customers import Customers
+from quota_gateway.policy.drain import RETRY_ELSEWHERE_MS, Drain
 from quota_gateway.policy.endpoint_list import EndpointList
-from quota_gateway.policy.graceful_shutdown import RETRY_ELSEWHERE_MS, GracefulShutdown
 from quota_gateway.policy.outlier_detection import OutlierDetection
 from quota_gateway.policy.peer_usage import PeerUsageExchange
 from quota_gateway.policy.quota_meter import QuotaMeter
@@ -26,7 +26,7 @@
 from quota_gateway.policy.server_selection import ServerSelection
 from quota_gateway.policy.settings_change import SettingsChange
 from quota_gateway.policy.slow_start import SlowStart
-from quota_gateway.state import Context, Endpoints, GiveUpReason, InFlightRequests, LoadReports
+from quota_gateway.state import Context, Endpoints, GiveUpReason, LoadReports, PendingRequests
 
 ESTIMATE_DECAY_MS = 4000.0  # time constant of estimates, so that a server is tried again; see `Decay`
 
@@ -42,20 +42,20 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.context = context = Context(settings, seed, ESTIMATE_DECAY_MS)
         self.endpoints = Endpoints(context.random)
-        self.in_flight = InFlightRequests()
+        self.pending_requests = PendingRequests()
         self.quota_meter = QuotaMeter(context)
         self.slow_start = SlowStart(context)
         self.outlier_detection = OutlierDetection(context)
-        self.concurrency_limit = ConcurrencyLimit(context)
+        self.concurrency_limit = AdaptiveConcurrencyLimit(context)
         self.rate_ceiling = RateCeiling(context)
-        self.concurrency_cap = ConcurrencyCap(context, self.quota_meter)
+        self.concurrency_cap = CustomerConcurrencyCap(context, self.quota_meter)
         self.customers = Customers(context, self.quota_meter, self.rate_ceiling)
         self.epochs = self.customers.epochs
         self.load_reports = LoadReports(context, self.endpoints)
         self.server_selection = ServerSelection(
             self.load_reports, self.outlier_detection, self.concurrency_limit, self.slow_start
         )
-        self.peer_usage = PeerUsageExchange(context, self.in_flight, self.customers)
+        self.peer_usage = PeerUsageExchange(context, self.pending_requests, self.customers)
         self.responses = Responses(context, self.concurrency_limit, self.peer_usage)
         self.attempts = Attempts(context, self.rate_ceiling, self.server_selection, self.responses)
         self.admission = Admission(context, self.customers, self.concurrency_cap, self.attempts)
@@ -64,7 +64,7 @@
             self.endpoints, self.slow_start, self.concurrency_limit, self.epochs
         )
         self.admin_down = AdminDown(context, self.endpoint_list)
-        self.graceful_shutdown = GracefulShutdown(context)
+        self.drain = Drain(context)
         self.settings_change = SettingsChange(
             self.peer_usage, self.outlier_detection, self.endpoint_list, self.release_queued
         )
@@ -83,7 +83,7 @@
             api.ServerAdminDown: then_release(self.admin_down.on_server_admin_down),
             api.HealthCheckResult: self.load_reports.on_health_check_result,
             api.IdleConnectionChanged: self.load_reports.on_idle_connection_changed,
-            api.DrainChanged: self.graceful_shutdown.on_drain_changed,
+            api.DrainChanged: self.drain.on_drain_changed,
             api.ShutdownBegun: self.responses.on_shutdown_begun,
             api.HotRestartBegun: self.settings_change.begin_hot_restart,
             api.PeerUsage: then_release(self.peer_usage.on_peer_usage),
@@ -110,14 +110,14 @@
 
     def _on_request(self, event: api.Request) -> None:
         """Pass a new request on to admission, if it is one that this gateway may serve."""
-        if event.request_id in self.in_flight.pending_requests:
+        if event.request_id in self.pending_requests.by_id:
             return  # it is being served, and may have run: a rejection here would be its answer
         request_class = self.context.classes.get(event.class_name)
         plan = self.epochs.plans.get(event.plan)
         if request_class is None or plan is None:
             self.context.log_once(f"rejected: unknown class {event.class_name!r} or plan {event.plan!r}")
             self.responses.reject(event.request_id, 0.0)
-        elif self.graceful_shutdown.is_drained:
+        elif self.drain.is_drained:
             self.responses.count_given_up(GiveUpReason.GATEWAY_DRAINED, plan)
             self.responses.reject(event.request_id, RETRY_ELSEWHERE_MS)
         else:
--- a/quota_gateway/policy/hedging.py
+++ b/quota_gateway/policy/hedging.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from quota_gateway.api import Idempotency
-from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
+from quota_gateway.policy.concurrency_limit import AdaptiveConcurrencyLimit
 from quota_gateway.policy.outlier_detection import OutlierDetection
 from quota_gateway.policy.retry_budget import RetryBudget
 from quota_gateway.policy.retry_policy import may_retry
@@ -41,7 +41,7 @@
     def __init__(
         self,
         context: Context,
-        concurrency_limit: ConcurrencyLimit,
+        concurrency_limit: AdaptiveConcurrencyLimit,
         outlier_detection: OutlierDetection,
         server_selection: ServerSelection,
         retry_budget: RetryBudget,
@@ -55,8 +55,8 @@
     def is_candidate(self, pending: PendingRequest, server: Server) -> bool:
         """Whether a request that is silent at this server may run a second time, elsewhere.
 
-        It may if it is unanswered, not tried twice already, can be repeated without a second effect, and the
-        server is a suspected outlier: on a good server the response is most likely on its way.
+        It may if it is unanswered, has no second attempt in flight, can be repeated without a second effect,
+        and the server is a suspected outlier: on a good server the response is most likely on its way.
         """
         if pending.request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             return False
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -5,12 +5,14 @@
 from math import inf
 
 from quota_gateway.api import Cancel, ClientDisconnected, Fail, Plan, Reject, ShutdownBegun
-from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
+from quota_gateway.policy.concurrency_limit import AdaptiveConcurrencyLimit
 from quota_gateway.policy.peer_usage import PeerUsageExchange
 from quota_gateway.policy.retry_policy import is_client_retry_harmless
 from quota_gateway.state import Context, Customer, GiveUpReason, OutcomeCounters, PendingRequest
 
-FINAL_ANSWER_TICKS = 2.0  # before the deadline: one tick for the timer to fire, one to spare
+# Before the deadline: one tick for the timer to fire, one to spare. The network's time is off the client's
+# timeout already (CLIENT_MARGIN_MS in net/clients/commands.py).
+FINAL_ANSWER_TICKS = 2.0
 COUNTERS_LOG_INTERVAL_MS = 5000.0
 
 
@@ -18,12 +20,12 @@
     """Gives the final answers that come from this gateway and counts them by reason."""
 
     def __init__(
-        self, context: Context, concurrency_limit: ConcurrencyLimit, peer_usage: PeerUsageExchange
+        self, context: Context, concurrency_limit: AdaptiveConcurrencyLimit, peer_usage: PeerUsageExchange
     ) -> None:
         self.context = context
         self.concurrency_limit = concurrency_limit
         self.peer_usage = peer_usage
-        self.in_flight = peer_usage.in_flight
+        self.pending_requests = peer_usage.pending_requests
         self.customers = peer_usage.customers
         self.quota_meter = peer_usage.customers.quota_meter
         self.shutdown_at_ms = inf  # when this gateway will be ended
@@ -52,7 +54,7 @@
         Their clients would otherwise lose the connection without an answer.
         """
         self.shutdown_at_ms = self.context.now_ms + event.within_ms
-        for pending in list(self.in_flight.pending_requests.values()):
+        for pending in list(self.pending_requests.by_id.values()):
             if not pending.state.is_answered and pending.deadline_ms > self.shutdown_at_ms:
                 self.arm_deadline(pending)
 
@@ -64,7 +66,7 @@
             self.context.log(
                 f"given up: {text}; concurrency limit {limit.limit:.1f}, "
                 f"attempts within threshold {len(limit.attempts_within_threshold)}, "
-                f"queued {len(self.in_flight.queued)}"
+                f"queued {len(self.pending_requests.queued)}"
             )
 
     def reject_or_fail(self, pending: PendingRequest, reason: GiveUpReason) -> None:
@@ -76,20 +78,23 @@
             self.reject(pending.request.request_id, self.retry_after_ms(pending))
         else:
             self.context.actions.append(Fail(pending.request.request_id))
-        self.in_flight.answer(pending)
+        self.pending_requests.answer(pending)
         self._abandon(pending)
 
     def retry_after_ms(self, pending: PendingRequest) -> float:
         """When the client may retry: the quota share has room then, and the queue of now has been served."""
-        queue_ms = self.concurrency_limit.queue_wait_ms(pending.request_class, len(self.in_flight.queued))
+        queue_ms = self.concurrency_limit.queue_wait_ms(
+            pending.request_class, len(self.pending_requests.queued)
+        )
+        # 0 units: those of the request were charged as it was taken.
         quota_ms = self.quota_meter.retry_after_ms(pending.customer, pending.plan, 0.0, self.context.now_ms)
         return max(queue_ms, quota_ms)
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
         """The client has left: no answer is owed any more."""
-        pending = self.in_flight.pending_requests.get(event.request_id)
+        pending = self.pending_requests.by_id.get(event.request_id)
         if pending and not pending.state.is_answered:
-            self.in_flight.answer(pending)
+            self.pending_requests.answer(pending)
             self._abandon(pending)
 
     def _abandon(self, pending: PendingRequest) -> None:
@@ -114,6 +119,6 @@
         """Forget an answered request that has no attempt in flight, and notify the next process."""
         if not pending.state.is_answered:
             return
-        if self.in_flight.finish(pending):
+        if self.pending_requests.finish(pending):
             self.customers.request_ended(pending)
         self.peer_usage.report(pending.customer, 0.0)
--- a/quota_gateway/recording/names.py
+++ b/quota_gateway/recording/names.py
@@ -21,6 +21,7 @@
     api.ClientDisconnected: "ClientGone",
     api.CounterResult: "CounterReply",
     api.DrainChanged: "Drain",
+    api.GatewayMessage: "PeerMessage",
     api.HealthCheck: "Probe",
     api.HealthCheckResult: "ProbeResult",
     api.HotRestartBegun: "HandOver",
@@ -29,7 +30,7 @@
     api.PeerExited: "OtherGone",
     api.PeerUsage: "Elsewhere",
     api.Reject: "Refuse",
-    api.SendToPeer: "TellPeer",
+    api.SendToGateway: "TellPeer",
     api.ServerAdminDown: "ServerByHand",
     api.SetServerUsable: "SetUsable",
     api.SetServing: "Admit",
@@ -37,20 +38,21 @@
     api.ShutdownBegun: "Stopping",
 }
 RECORDED_FIELD_NAMES: dict[type, dict[str, str]] = {
-    api.AttemptEnded: {"metered_use_percent": "used_percent"},
+    api.AttemptEnded: {"metered_use_percent": "used_percent", "request_answered": "closed"},
     api.Contract: {
         "initial_capacity_ratio": "cold_share",
         "overload_multiple": "tip_multiple",
         "overload_window_ms": "tip_window_ms",
         "poll_within_ms": "ask_within_ms",
     },
+    api.Limits: {"can_message_gateways": "can_message_peers"},
     api.PeerUsage: {
         "charged_units": "charged",
-        "in_flight": "in_hand",
+        "occupied_places": "in_hand",
         "metered_use_percent": "used_percent",
     },
     api.Plan: {"overuse_cost": "over_cost", "overuse_value": "over_worth"},
-    api.Request: {"client_timeout_ms": "patience_ms", "gateway_span": "width"},
+    api.Request: {"client_timeout_ms": "patience_ms", "requested_gateways": "width"},
     api.RequestClass: {
         "idempotency": "effect",
         "idempotency_scope": "key_scope",
@@ -61,6 +63,7 @@
         "priority_weight": "worth",
     },
     api.ServerAdminDown: {"admin_down": "out"},
+    api.SendToGateway: {"gateway": "peer"},
     api.SetServing: {"keep_idle_ms": "linger_ms"},
     api.IdleConnectionChanged: {"has_idle": "idle"},
 }
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -33,7 +33,7 @@
 
     def ask(self, name: str, at_ms: float, units: float = 1.0, plan: Plan = PLAN) -> Customer:
         self.context.begin_event(at_ms)
-        request = Request("r", "safe", plan.name, name, 1000.0, units, gateway_span=2)
+        request = Request("r", "safe", plan.name, name, 1000.0, units, requested_gateways=2)
         return self.customers.find_or_add(request, plan)
 
     def names(self) -> list[str]:
@@ -88,7 +88,7 @@
     assert world.names() == ["a", "x"]
 
 
-@pytest.mark.parametrize("column", ["pending_count", "peer_in_flight"])
+@pytest.mark.parametrize("column", ["pending_count", "peer_occupied_places"])
 def test_row_with_something_in_flight_is_kept_but_not_those_behind_it(column):
     world = World()
     setattr(world.ask("a", 0.0), column, 1)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -87,7 +87,7 @@
     new = next_rig(old)
     assert sent(new, 1, plan="capped") == 0
     told = [a for a in old.finish(names[0]) if isinstance(a, PeerUsage)]
-    assert told[-1].in_flight == 1
+    assert told[-1].occupied_places == 1
     for news in told:
         new.do(news)
     assert len(new.sent) == 1
@@ -317,7 +317,7 @@
             assert new.hot_restart.operator_wishes() == OperatorWishes(("s-2",), drained=True)
             new.driver.post(DrainChanged(False))
             await new.hot_restart.share_wishes()
-            assert not old.driver.gateway.graceful_shutdown.is_draining
+            assert not old.driver.gateway.drain.is_draining
             old.driver.post(ServerAdminDown(registry.number("s-2"), False))
             await old.hot_restart.share_wishes()
             assert new.hot_restart.operator_wishes() == OperatorWishes((), drained=False)
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -22,8 +22,8 @@
     Status,
     state_document,
 )
-from quota_gateway.policy.concurrency_cap import ConcurrencyCap
-from quota_gateway.policy.concurrency_limit import ConcurrencyLimit
+from quota_gateway.policy.concurrency_cap import CustomerConcurrencyCap
+from quota_gateway.policy.concurrency_limit import AdaptiveConcurrencyLimit
 from quota_gateway.policy.customers import Customers
 from quota_gateway.policy.outlier_detection import OutlierDetection
 from quota_gateway.policy.quota_meter import Admit, Hold, QuotaMeter, RejectOverQuota
@@ -62,7 +62,7 @@
         decision = meter.decide(customer, METERED, 1.0, 0.0)
         decisions.append(decision)
         if not isinstance(decision, RejectOverQuota):
-            meter.apply(customer, decision, 0.0)
+            meter.store_excess(customer, decision, 0.0)
     admitted = [Admit(1000.0 * count) for count in range(1, 5)]
     held = [Hold(200.0 * count, 4000.0 + 1000.0 * count) for count in range(1, 5)]
     assert decisions == [*admitted, *held, RejectOverQuota()]
@@ -83,7 +83,7 @@
     decisions = [meter.decide(customer, METERED, 3.0, 100.0) for _ in range(2)]
     assert decisions == [Admit(3000.0 - 1000.0)] * 2
     assert [getattr(customer, name) for name in Customer.__slots__] == before
-    meter.apply(customer, decisions[0], 100.0)
+    meter.store_excess(customer, decisions[0], 100.0)
     assert customer.excess_milliunits == 2000.0
     assert customer.excess_updated_ms == 100.0
 
@@ -94,7 +94,7 @@
     meter.record_demand(customer, Plan("free"), 5.0, 100.0)
     decision = meter.decide(customer, Plan("free"), 5.0, 100.0)
     assert decision == Admit(None)
-    meter.apply(customer, decision, 100.0)
+    meter.store_excess(customer, decision, 100.0)
     assert (customer.excess_milliunits, customer.excess_updated_ms) == (0.0, 7.0)
     assert (customer.demand_units, customer.demand_updated_ms) == (0.0, 7.0)
 
@@ -102,7 +102,7 @@
 def test_a_ceiling_starts_at_nought_and_a_cap_is_one_at_least():
     made = context(now=0.0)
     ceiling = RateCeiling(made)
-    cap = ConcurrencyCap(made, QuotaMeter(made))
+    cap = CustomerConcurrencyCap(made, QuotaMeter(made))
     plan = Plan("x", ceiling_rate=10.0, ceiling_burst=20.0, max_in_flight=1)
     waiting = pending(SETTINGS.classes[0])
     waiting.plan = plan
@@ -135,7 +135,11 @@
 
 
 def test_the_concurrency_limit_moves_by_what_responses_show():
-    concurrency, server, kind = ConcurrencyLimit(context()), Server(entry(1), 0.1), SETTINGS.classes[0]
+    concurrency, server, kind = (
+        AdaptiveConcurrencyLimit(context()),
+        Server(entry(1), 0.1),
+        SETTINGS.classes[0],
+    )
     concurrency.start(servers=10, gateways=2)
     assert concurrency.limit == 10.0
     assert not concurrency.is_reached()
@@ -333,7 +337,7 @@
         "used_at": "metered_use_at_ms",
         "asked": "demand_units",
         "asked_at": "demand_updated_ms",
-        "elsewhere": "peer_in_flight",
+        "elsewhere": "peer_occupied_places",
     }
     kept = [state_document.CUSTOMER_COLUMNS.index(name) + 2 for name in columns]
     rows = {tuple(row[:2]): [row[place] for place in kept] for row in document["customers"]}
--- a/tests/test_request_rules.py
+++ b/tests/test_request_rules.py
@@ -11,7 +11,6 @@
     MAX_STORED_RETRIES,
     RetryBudget,
 )
-from quota_gateway.policy.retry_policy import may_have_run
 from quota_gateway.state import GiveUpReason, PendingRequest, RequestState, Server
 
 SAFE = next(item for item in SETTINGS.classes if item.name == "safe")
@@ -19,7 +18,7 @@
 
 
 def pending(rig: Rig, **ask) -> PendingRequest:
-    return rig.gateway.in_flight.pending_requests[rig.ask(**ask)]
+    return rig.gateway.pending_requests.by_id[rig.ask(**ask)]
 
 
 # ---- Retry budget
@@ -54,7 +53,8 @@
 
 @pytest.mark.parametrize("status", [status for status in Status if status is not Status.OK])
 def test_an_attempt_may_have_run_unless_its_status_proves_that_it_did_not(status):
-    assert may_have_run(status) is (status not in (Status.OVERLOADED, Status.CONNECT_FAILED, Status.NOT_SENT))
+    not_run = (Status.OVERLOADED, Status.CONNECT_FAILED, Status.NOT_SENT)
+    assert status.is_certainly_not_run is (status in not_run)
 
 
 # ---- Hedged requests
@@ -112,7 +112,7 @@
             rig.gateway.outlier_detection.record_failure(server_of(request), key, "silent")
     assert is_candidate(safe, server_of(safe))
     assert not is_candidate(unsafe, server_of(unsafe))
-    rig.gateway.in_flight.answer(safe)
+    rig.gateway.pending_requests.answer(safe)
     assert not is_candidate(safe, server_of(safe))
 
 
@@ -139,7 +139,7 @@
     admission = rig.gateway.admission
     request = pending(rig, patience=300.0).request
     patient = pending(rig, patience=4000.0).request
-    assert admission.useful_hold_ms(SAFE) == 2000.0 - 400.0
+    assert admission.useful_wait_ms(SAFE) == 2000.0 - 400.0
     assert admission.longest_hold_ms(patient, SAFE) == (2000.0 - 400.0) / 3.0  # its weight is a third
     assert admission.longest_hold_ms(patient, UNSAFE) == 1000.0 - 200.0
     assert admission.longest_hold_ms(request, UNSAFE) == 300.0
