--- a/quota_gateway/policy/settings_change.py
+++ b/quota_gateway/policy/settings_change.py
@@ -97,7 +97,7 @@
         self._begin_epoch(self.epochs.plans, self.epochs.gateways)
         self._begin_transitions({})
         self.customers.catch_up_last(len(self.epochs.lagging_customers))
-        self.context.log(f"handed over with {len(self.pending_requests.by_id)} requests in flight")
+        self.context.log(f"handed over with {len(self.pending_requests.by_id)} requests pending")
 
     def _on_fleet_updated(self, epoch: int) -> None:
         """Let the smaller number of gateways hold, unless another change came in between."""
--- a/quota_gateway/recording/names.py
+++ b/quota_gateway/recording/names.py
@@ -76,7 +76,7 @@
     (r"(server \S+) suspected((?: for .*)?: \w+)", r"\1 doubted\2"),
     (r"drained by an operator", "drained by hand"),
     (r"drain ended by an operator", "takes clients again"),
-    (r"(handed over with \d+) requests in flight", r"\1 requests in hand"),
+    (r"(handed over with \d+) requests pending", r"\1 requests in hand"),
     (r"rejected: (unknown class .*)", r"refused: \1"),
 )
 
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -43,7 +43,7 @@
         ("server s-1 suspected for a b: timeout", "server s-1 doubted for a b: timeout"),
         ("drained by an operator", "drained by hand"),
         ("drain ended by an operator", "takes clients again"),
-        ("handed over with 4 requests in flight", "handed over with 4 requests in hand"),
+        ("handed over with 4 requests pending", "handed over with 4 requests in hand"),
         ("rejected: unknown class 'x' or plan 'y'", "refused: unknown class 'x' or plan 'y'"),
         ("another line", "another line"),
     ],
