--- a/quota_gateway/state/context.py
+++ b/quota_gateway/state/context.py
@@ -3,10 +3,9 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from functools import partial
 from math import inf
 from random import Random
-from typing import TypeVar
+from typing import Any, NamedTuple, TypeVar
 
 from quota_gateway.api import Action, Log, SetTimer, Settings, TimerFired
 from quota_gateway.state.decay import Decay
@@ -16,6 +15,13 @@
 Argument = TypeVar("Argument")
 
 
+class ArmedTimer(NamedTuple):
+    """What to call when a timer is due. A gateway holds several for each pending request."""
+
+    callback: Callable[[Any], None]
+    argument: Any
+
+
 class Context:
     """The settings, the event being handled with its actions in order, and the armed timers.
 
@@ -28,7 +34,7 @@
         self.started_ms = inf  # time of the first event
         self.now_ms = -inf  # time of the event being handled
         self.actions: list[Action] = []
-        self.timers: dict[int, Callable[[], None]] = {}  # by token
+        self.timers: dict[int, ArmedTimer] = {}  # by token
         self.last_token = 0
         self.logged_once: set[str] = set()
         self.configure(settings)
@@ -53,14 +59,14 @@
     def arm(self, delay_ms: float, callback: Callable[[Argument], None], argument: Argument) -> None:
         """Call back with this argument after the delay. Timers are not taken back."""
         self.last_token += 1
-        self.timers[self.last_token] = partial(callback, argument)
+        self.timers[self.last_token] = ArmedTimer(callback, argument)
         self.actions.append(SetTimer(self.last_token, delay_ms))
 
     def fire(self, event: TimerFired) -> None:
         """A timer is due; one with an unknown token does nothing."""
-        callback = self.timers.pop(event.token, None)
-        if callback:
-            callback()
+        timer = self.timers.pop(event.token, None)
+        if timer:
+            timer.callback(timer.argument)
 
     def log(self, text: str) -> None:
         """Log a line."""
