--- a/quota_gateway/fault_bench/scenario.py
+++ b/quota_gateway/fault_bench/scenario.py
@@ -8,7 +8,7 @@
 import re
 from fnmatch import fnmatchcase
 from pathlib import Path
-from typing import Any, Literal
+from typing import Any, Literal, get_args
 
 import msgspec
 from msgspec import Struct
@@ -17,7 +17,7 @@
 
 MOST_GATEWAYS = 50
 CONDITION = re.compile(r"(asked|answered|open|ready)(?: (g\d+))? >= (\d+)")
-OF_PROCESS = (
+ProcessAct = Literal[
     "kill",
     "stop",
     "term",
@@ -30,50 +30,25 @@
     "call",
     "no-folder",
     "full",
-)
-OF_LINK = ("delay", "silent", "reset", "lose", "cut", "refuse")
-OF_SERVER = ("slow", "failing", "mute", "release", "drain")
-Do = Literal[
-    "kill",
-    "stop",
-    "term",
-    "hup",
-    "start",
-    "upgrade",
-    "busy",
-    "descriptors",
-    "memory",
-    "call",
-    "no-folder",
-    "full",
-    "delay",
-    "silent",
-    "reset",
-    "lose",
-    "cut",
-    "refuse",
-    "partition",
-    "slow",
-    "failing",
-    "mute",
-    "release",
-    "drain",
-    "no-discovery",
-    "skew",
-    "rollout",
 ]
+LinkAct = Literal["delay", "silent", "reset", "lose", "cut", "refuse"]
+ServerAct = Literal["slow", "failing", "mute", "release", "drain"]
+Act = Literal[ProcessAct, LinkAct, "partition", ServerAct, "no-discovery", "skew", "rollout"]
+OF_PROCESS = get_args(ProcessAct)
+OF_LINK = get_args(LinkAct)
+OF_SERVER = get_args(ServerAct)
 CONTROLLER = "controller"  # what kill and stop call the processes that carry out rollouts
 
 
 class Step(Struct, forbid_unknown_fields=True, frozen=True):
-    """One act, ``at_s`` after the first request and once ``when`` holds ("open g1 >= 5"); see docs/rig.md.
+    """One act, ``at_s`` after the first request and once ``when`` holds ("open g1 >= 5").
 
-    ``on`` names gateways (``g0``), servers (``s-1``) or links (``g*>s-1``), with wildcards. Undone after
-    ``for_s``, 0: never. ``amount``: ms of a delay, bytes of a cut or of memory, descriptors, a factor,
-    or ms by which discovery's clock is ahead.
+    ``docs/fault_bench.md`` has the acts. ``on`` names gateways (``g0``), servers (``s-1``) or links
+    (``g*>s-1``), with wildcards. Undone after ``for_s``, 0: never. ``amount``: ms of a delay, bytes of a cut
+    or of memory, descriptors, a factor, or ms by which discovery's clock is ahead.
     """
 
-    do: Do
+    do: Act
     on: tuple[str, ...] = ()
     at_s: Amount = 0.0
     when: str = ""
