--- a/quota_gateway/state/pending_request.py
+++ b/quota_gateway/state/pending_request.py
@@ -9,7 +9,7 @@
 from quota_gateway.state.records import failure_keys
 from quota_gateway.state.request_state import TRANSITIONS, RequestState
 from quota_gateway.state.server import Server
-from quota_gateway.state_machine import illegal_transitions
+from quota_gateway.state_machine import transition
 
 NEW_REQUEST = RequestState.ADMITTED
 
@@ -81,6 +81,4 @@
 
     def move_to(self, state: RequestState) -> None:
         """Change the state. Raises IllegalTransitionError in tests if the table has no such transition."""
-        if state not in TRANSITIONS[self.state]:
-            illegal_transitions.report("request", self.state, state)
-        self.state = state
+        self.state = transition("request", TRANSITIONS, self.state, state)
