--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -46,9 +46,7 @@
 def _run() -> int:
     """Run one gateway until SIGTERM."""
     hang_up = HangUpSignal()
-    logging.basicConfig(stream=sys.stderr, level=logging.INFO, format=LOG_FORMAT)
-    for handler in logging.getLogger().handlers:
-        handler.addFilter(RateLimitedLog())
+    _configure_logging()
     config = _load(os.environ)
     if config is None:
         return EXIT_CONFIGURATION
@@ -60,6 +58,13 @@
     return EXIT_OK
 
 
+def _configure_logging() -> None:
+    """Send the log to standard error, at a bounded rate; handlers that are there already stay as they are."""
+    handler = logging.StreamHandler(sys.stderr)
+    handler.addFilter(RateLimitedLog())
+    logging.basicConfig(handlers=[handler], level=logging.INFO, format=LOG_FORMAT)
+
+
 def _check(path: str) -> int:
     """Check a file without serving; its faults, if any, go to standard error."""
     config = _load({**os.environ, "EDGE_CONFIG": path})
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -2,6 +2,7 @@
 
 import copy
 import json
+import logging
 import os
 from dataclasses import FrozenInstanceError
 from dataclasses import fields as dataclass_fields
@@ -18,6 +19,7 @@
 from quota_gateway.config import read, read_file
 from quota_gateway.config_reader import parse
 from quota_gateway.errors import ConfigurationError
+from quota_gateway.process.log_limiter import MAX_LINES_PER_S
 from quota_gateway.settings_reader import settings_from
 
 GOOD = {
@@ -377,6 +379,18 @@
     assert "settings: missing, want a table" in capsys.readouterr().err
 
 
+def test_start_bounds_its_own_log_and_no_handler_that_was_there_before(tmp_path, monkeypatch, caplog):
+    """The bound on lines stayed on pytest's handlers: a later test of a log line failed beside many lines."""
+    path = tmp_path / "config.json"
+    path.write_text("{}")
+    monkeypatch.setenv("EDGE_CONFIG", str(path))
+    assert program.main() == 2
+    lines = 3 * MAX_LINES_PER_S  # beyond the bound also where a second ends among them
+    for number in range(lines):
+        logging.getLogger("quota_gateway").error("line %d", number)
+    assert len(caplog.records) == lines
+
+
 def test_a_million_faults_are_not_all_told():
     with pytest.raises(ConfigurationError) as caught:
         read(json.dumps({"x": [float("nan")] * 5000}).encode(), {})
