--- a/quota_gateway/net/clients/connection.py
+++ b/quota_gateway/net/clients/connection.py
@@ -479,8 +479,9 @@
         self.stall_timer.start(self.transport)
 
     def resume_writing(self) -> None:
-        """Called by the event loop as the client takes data again."""
+        """Called by the event loop as the client takes data again: commands are read again, and its end."""
         self.is_stuck = False
+        self._update_reading()
         if self.state is not ClientState.LINGERING:
             self.stall_timer.cancel()
         self.flush()
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -196,6 +196,82 @@
     run(test())
 
 
+async def take(sock: socket.socket, size: int) -> bytes:
+    """Read exactly so many bytes."""
+    got = bytearray()
+    while len(got) < size:
+        got += await asyncio.get_running_loop().sock_recv(sock, min(1 << 20, size - len(got)))
+    return bytes(got)
+
+
+async def slow_reader_with_a_value(gateway, server: FakeServer) -> socket.socket:
+    """A client that left its reply unread until the gateway could write no more, and then took all of it."""
+    sock = await narrow(gateway.clients.listener.getsockname()[1])
+    await asyncio.get_running_loop().sock_sendall(sock, call(1))
+    await server.until(lambda: len(server.commands) == 1)
+    writer(server, 1).transport.set_write_buffer_limits(2 * LENGTH)
+    writer(server, 1).write(HEAD + VALUE + TAIL)
+    (client,) = gateway.clients.connections
+    await until(lambda: client.is_stuck)
+    await take(sock, len(b"$%d\r\n" % LENGTH) + LENGTH + 2)
+    await until(lambda: not client.is_stuck)
+    return sock
+
+
+def test_client_that_took_a_long_value_slowly_is_read_again():
+    """A client is slow to take its reply; nothing is read from it meanwhile. Then it sends its next request.
+
+    The connection was never read again: the request stayed in the kernel until its client gave it up, with no
+    answer and no line in the log. A client that has caught up has to be read like any other.
+    """
+
+    async def test():
+        server = held(1)
+        async with node(server) as gateway:
+            sock = await slow_reader_with_a_value(gateway, server)
+            await asyncio.get_running_loop().sock_sendall(sock, call(2))
+            assert await take(sock, 7) == b"$1\r\nv\r\n"
+            sock.close()
+
+    run(test())
+
+
+def test_end_of_a_client_that_took_a_long_value_slowly_is_seen():
+    """It closes after its slow reply: unread, its end kept the connection and its descriptor for good."""
+
+    async def test():
+        server = held(1)
+        async with node(server) as gateway:
+            sock = await slow_reader_with_a_value(gateway, server)
+            sock.close()
+            await until(lambda: not gateway.clients.connections)
+
+    run(test())
+
+
+def test_client_that_took_many_short_replies_slowly_is_read_again():
+    """As with a long value, where the replies of many requests together are more than the client takes."""
+
+    async def test():
+        value = b"$60000\r\n" + b"x" * 60_000 + b"\r\n"
+        count = 60  # fewer than may be in flight on a connection, more bytes than both ends' sockets hold
+        server = FakeServer(lambda _words: b"*3\r\n%b$-1\r\n$-1\r\n" % value)
+        async with node(server) as gateway:
+            loop = asyncio.get_running_loop()
+            sock = await narrow(gateway.clients.listener.getsockname()[1])
+            await loop.sock_sendall(sock, b"".join(call(number) for number in range(count)))
+            await server.until(lambda: len(server.commands) == count)
+            await until(lambda: not gateway.driver.requests)
+            (client,) = gateway.clients.connections
+            assert client.is_stuck
+            assert await take(sock, count * len(value)) == count * value
+            await loop.sock_sendall(sock, call(count))
+            assert await take(sock, len(value)) == value
+            sock.close()
+
+    run(test())
+
+
 def test_reads_are_smaller_when_many_values_are_on_their_way():
     async def test():
         async with node() as gateway:
