--- a/quota_gateway/net/admin_commands.py
+++ b/quota_gateway/net/admin_commands.py
@@ -72,6 +72,7 @@
             self._driver.metrics.to_json(
                 self._gateway.responses.outcome_counters.totals,
                 len(self._driver.requests),
+                self._driver.unanswered_count(),
                 self.configuration_digest(),
             )
         )
--- a/quota_gateway/net/clients/connection.py
+++ b/quota_gateway/net/clients/connection.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 from collections import deque
 from enum import Enum
 from typing import TYPE_CHECKING, cast
@@ -13,12 +14,15 @@
 from quota_gateway.net.clients.commands import GET, POST, CommandError
 from quota_gateway.net.clients.replies import ReplySlot, StreamedValue
 from quota_gateway.net.clients.stall_timer import StallTimer
+from quota_gateway.net.close_reason import CloseReason
 from quota_gateway.net.sockets import has_unread_bytes
 from quota_gateway.state_machine import transition
 
 if TYPE_CHECKING:
     from quota_gateway.net.clients.registry import ClientRegistry
 
+log = logging.getLogger(__name__)
+
 MAX_PIPELINED = 64  # commands of one connection in flight; more are read up to a bound, and wait
 READ_BYTES = 64 * 1024
 MAX_BODY_ROUNDS = 3  # further command timeouts granted to a body while its bytes come
@@ -52,6 +56,7 @@
     def __init__(self, clients: ClientRegistry) -> None:
         self.clients = clients
         self.state = ClientState.OPEN
+        self.close_reason: CloseReason | None = None  # None until this gateway ends it
         self.transport: asyncio.Transport | None = None
         self.opened_at_s = clients.loop.time()
         self.idle_since = self.opened_at_s
@@ -123,9 +128,13 @@
         slots = self.slots
         self.slots = deque()
         self.count_unsent(-self.unsent_bytes)
+        if slots and self.close_reason:
+            log.warning(
+                "closed a client's connection with %d replies owed: %s", len(slots), self.close_reason.value
+            )
         for slot in slots:
             if slot.answer is None:
-                self.clients.driver.client_disconnected(slot.request_id)
+                self.clients.driver.client_disconnected(slot.request_id, self.close_reason)
 
     # ---- Commands in
 
@@ -149,8 +158,8 @@
         self.total_read_bytes += nbytes
         self.discarded_bytes += nbytes
         is_endless = self.discarded_bytes > MAX_DISCARDED_BYTES
-        if self.state is ClientState.LINGERING and is_endless and self.transport:
-            self.transport.abort()
+        if self.state is ClientState.LINGERING and is_endless:
+            self.abort()
         else:
             self._update_reading()
 
@@ -360,7 +369,8 @@
                 value.source.resume()
             return False
         if not value.is_complete:
-            self.close()
+            self.clients.driver.metrics.broken_off_total += 1
+            self.close(CloseReason.VALUE_BROKE_OFF)
         return True
 
     def count_unsent(self, added_bytes: int) -> None:
@@ -425,7 +435,7 @@
 
     # ---- The end
 
-    def close(self) -> None:
+    def close(self, reason: CloseReason = CloseReason.BETWEEN_REQUESTS) -> None:
         """Half-close behind the replies that were written; commands without a reply are dropped.
 
         The one way to end a connection in order. What still comes is read and discarded for a short time: a
@@ -435,6 +445,7 @@
         if self.transport is None or self.state is ClientState.LINGERING:
             return
         self._enter(ClientState.LINGERING)
+        self.close_reason = reason
         self.linger_timer = self.clients.loop.call_later(LINGER_S, self._on_lingered)
         self.clients.uncount(self)
         self.clients.lingering[self] = None
@@ -443,14 +454,24 @@
         try:
             self.transport.write_eof()
         except (OSError, RuntimeError):  # the connection has ended meanwhile
+            self.abort()
+
+    def abort(self, reason: CloseReason = CloseReason.BETWEEN_REQUESTS) -> None:
+        """End at once; what the client has not taken is lost. After a close the reason of that one stands."""
+        self.close_reason = self.close_reason or reason
+        if self.transport:
             self.transport.abort()
 
     def _on_lingered(self) -> None:
         """End for good; a client that is slow to take its replies has as long as any slow one."""
         if self.transport and self.transport.get_write_buffer_size():
-            self.stall_timer.start(self.transport)
-        elif self.transport:
-            self.transport.abort()
+            self.stall_timer.start(self.transport, self._on_stalled)
+        else:
+            self.abort()
+
+    def _on_stalled(self) -> None:
+        """Called by the stall timer: the client has taken no byte for its whole time."""
+        self.abort(CloseReason.STALLED)
 
     def detach(self) -> None:
         """Release the socket: another process has it by now."""
@@ -476,7 +497,7 @@
         assert self.transport
         self.is_stuck = True
         self._update_reading()
-        self.stall_timer.start(self.transport)
+        self.stall_timer.start(self.transport, self._on_stalled)
 
     def resume_writing(self) -> None:
         """Called by the event loop as the client takes data again: commands are read again, and its end."""
--- a/quota_gateway/net/clients/registry.py
+++ b/quota_gateway/net/clients/registry.py
@@ -13,6 +13,7 @@
 from quota_gateway.net.clients.commands import CommandParser
 from quota_gateway.net.clients.connection import COMMAND_TIMEOUT_S, READ_BYTES, Client
 from quota_gateway.net.clients.listener import BACKLOG, bind
+from quota_gateway.net.close_reason import CloseReason
 from quota_gateway.net.driver import Driver
 
 MAX_WAITING_BYTES = 2 * 1024 * 1024  # read behind the most commands that may be in flight
@@ -192,7 +193,7 @@
             if oldest is None or oldest.transport is None:
                 return
             del self.lingering[oldest]
-            oldest.transport.abort()
+            oldest.abort()
 
     def count_unsent(self, added_bytes: int) -> None:
         """Count replies that wait to be written; over the budget the client that holds most is closed.
@@ -202,8 +203,8 @@
         self.unsent.add(added_bytes)
         if added_bytes > 0 and self.unsent.is_exceeded():
             most = max(self.connections, key=lambda client: client.unsent_bytes, default=None)
-            if most and most.transport:
-                most.transport.abort()
+            if most:
+                most.abort(CloseReason.UNSENT_BUDGET)
 
     def uncount(self, client: Client) -> None:
         """Remove a connection from the count: it has ended, or only discards what still comes."""
@@ -250,5 +251,4 @@
     def abort(self) -> None:
         """Close what is left, at the very end."""
         for client in [*self.connections, *self.lingering]:
-            if client.transport:
-                client.transport.abort()
+            client.abort(CloseReason.PROCESS_END)
--- /dev/null
+++ b/quota_gateway/net/close_reason.py
@@ -0,0 +1,18 @@
+"""Why this gateway ends a connection of a client."""
+
+from __future__ import annotations
+
+from enum import Enum
+
+
+class CloseReason(Enum):
+    """Why this gateway ends a client's connection; the value is the text of the log and of the counters.
+
+    Only ``BETWEEN_REQUESTS`` is a close in order: the others may leave requests without an answer.
+    """
+
+    BETWEEN_REQUESTS = "between requests"
+    VALUE_BROKE_OFF = "a long value broke off"  # nothing else tells the client that it is incomplete
+    STALLED = "the client takes no replies"
+    UNSENT_BUDGET = "too many unsent bytes of replies"  # over all clients; this one held most
+    PROCESS_END = "the process ends"
--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -10,6 +10,7 @@
 
 from quota_gateway import api
 from quota_gateway.net.client_request import ClientRequest
+from quota_gateway.net.close_reason import CloseReason
 from quota_gateway.net.metrics import GatewayMetrics
 from quota_gateway.net.servers import Attempt, Reply, ServerPool, Sink, Source
 from quota_gateway.net.timer_queue import TimerQueue
@@ -100,15 +101,23 @@
         self.requests[request.request_id] = request
         self.post(event)
 
-    def client_disconnected(self, request_id: str) -> None:
-        """Take note that a client has left: no answer is due any more."""
+    def client_disconnected(self, request_id: str, close_reason: CloseReason | None = None) -> None:
+        """Take note that a connection has ended: no answer can be given any more.
+
+        ``close_reason``: why this gateway ended it; None where the client has left.
+        """
         request = self.requests.get(request_id)
         if request and (request.streamed_attempt or not request.is_answered):
-            self.metrics.disconnected_total += not request.is_answered
+            if not request.is_answered:
+                self.metrics.count_disconnected(close_reason)
             request.is_answered = True
             self.post(api.ClientDisconnected(request_id))
             self.forget_if_done(request)
 
+    def unanswered_count(self) -> int:
+        """Requests whose clients wait for an answer."""
+        return sum(not request.is_answered for request in self.requests.values())
+
     # ---- Attempts
 
     def _send(self, action: api.Send) -> None:
--- a/quota_gateway/net/metrics.py
+++ b/quota_gateway/net/metrics.py
@@ -14,6 +14,7 @@
 from math import log2
 from pathlib import Path
 
+from quota_gateway.net.close_reason import CloseReason
 from quota_gateway.state import GiveUpReason
 
 LATENCY_BUCKETS_PER_DOUBLING = 4  # a bucket is 19% wide
@@ -41,7 +42,11 @@
 
 
 class GatewayMetrics:
-    """Counters of requests and of what became of them."""
+    """Counters of requests and of what became of them.
+
+    A request that was read ends in exactly one of five ways: served, rejected, failed, its client left, or
+    this gateway closed its connection. So `requests_total` is their sum and the requests without an end yet.
+    """
 
     def __init__(self) -> None:
         self.started_s = time.time()
@@ -50,6 +55,8 @@
         self.rejected_total = 0
         self.failed_total = 0
         self.disconnected_total = 0  # the client left before its answer
+        self.dropped: Counter[CloseReason] = Counter()  # this gateway closed the connection before
+        self.broken_off_total = 0  # of those served: the rest of a long value never came
         self.late_total = 0  # served after the latency objective of their class
         self.attempts_total = 0
         self.latency_buckets = [0] * (MAX_LATENCY_BUCKET + 1)  # requests served, by bucket
@@ -63,14 +70,36 @@
         else:
             self.failed_total += 1
 
+    def count_disconnected(self, close_reason: CloseReason | None) -> None:
+        """Count a request whose connection ended first; the reason is None where its client left."""
+        if close_reason is None:
+            self.disconnected_total += 1
+        else:
+            self.dropped[close_reason] += 1
+
+    def ended_total(self) -> int:
+        """Requests that have ended, in one way each."""
+        return (
+            self.served_total
+            + self.rejected_total
+            + self.failed_total
+            + self.disconnected_total
+            + self.dropped.total()
+        )
+
     def count_served(self, latency_ms: float, latency_objective_ms: float) -> None:
         """Count a request as served; one with a long value as the value begins."""
         self.served_total += 1
         self.late_total += latency_ms > latency_objective_ms
         self.latency_buckets[latency_bucket(latency_ms)] += 1
 
-    def to_json(self, reasons: Counter[GiveUpReason], in_flight: int, configuration_digest: str) -> str:
-        """All counters as a JSON object on one line, by the keys that operators' tools read."""
+    def to_json(
+        self, reasons: Counter[GiveUpReason], in_flight: int, unanswered: int, configuration_digest: str
+    ) -> str:
+        """All counters as a JSON object on one line, by the keys that operators' tools read.
+
+        ``in_flight``: requests that are not done with; ``unanswered``: those of them without an end.
+        """
         document = {
             "pid": os.getpid(),
             "since": round(self.started_s, 3),
@@ -81,6 +110,9 @@
             "refused": self.rejected_total,
             "failed": self.failed_total,
             "gone": self.disconnected_total,
+            "dropped": {reason.value: total for reason, total in self.dropped.items()},
+            "unanswered": unanswered,
+            "broken_off": self.broken_off_total,
             "late": self.late_total,
             "attempts": self.attempts_total,
             "in_hand": in_flight,
--- a/quota_gateway/rollout/figures.py
+++ b/quota_gateway/rollout/figures.py
@@ -48,8 +48,8 @@
     """A report: the counts of one gateway process since its start.
 
     The keys and the latency buckets are those of `net.metrics`; buckets count served requests only.
-    `client_left`, `in_flight`, `config_digest` and `rejections_by_reason` are checked as a report is decoded,
-    and not used by rollouts.
+    `client_left`, `dropped`, `unanswered`, `broken_off`, `in_flight`, `config_digest` and
+    `rejections_by_reason` are checked as a report is decoded, and not used by rollouts.
     """
 
     pid: int = 0
@@ -58,6 +58,9 @@
     rejected: int = 0
     failed: int = 0
     client_left: int = 0
+    dropped: dict[str, int] = {}  # the gateway closed the connection, by its reason
+    unanswered: int = 0
+    broken_off: int = 0  # served, but the rest of a long value never came
     late: int = 0  # served after the latency objective
     attempts: int = 0
     in_flight: int = 0
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -5,7 +5,7 @@
 
 import pytest
 from conftest import Rig, entry, rig_with
-from fakes import FakeServer, call, node, resp, run, until
+from fakes import FakeServer, Raw, call, node, resp, run, until
 
 from quota_gateway import AttemptEnded, Limits, Status, StreamStarted
 from quota_gateway.net.clients import connection as client_connection_module
@@ -196,26 +196,18 @@
     run(test())
 
 
-async def take(sock: socket.socket, size: int) -> bytes:
-    """Read exactly so many bytes."""
-    got = bytearray()
-    while len(got) < size:
-        got += await asyncio.get_running_loop().sock_recv(sock, min(1 << 20, size - len(got)))
-    return bytes(got)
-
-
-async def slow_reader_with_a_value(gateway, server: FakeServer) -> socket.socket:
+async def slow_reader_with_a_value(gateway, server: FakeServer) -> Raw:
     """A client that left its reply unread until the gateway could write no more, and then took all of it."""
-    sock = await narrow(gateway.clients.listener.getsockname()[1])
-    await asyncio.get_running_loop().sock_sendall(sock, call(1))
+    raw = Raw(gateway.clients.listener.getsockname()[1], room=4096)
+    raw.send(call(1))
     await server.until(lambda: len(server.commands) == 1)
     writer(server, 1).transport.set_write_buffer_limits(2 * LENGTH)
     writer(server, 1).write(HEAD + VALUE + TAIL)
     (client,) = gateway.clients.connections
     await until(lambda: client.is_stuck)
-    await take(sock, len(b"$%d\r\n" % LENGTH) + LENGTH + 2)
+    await raw.read(len(b"$%d\r\n" % LENGTH) + LENGTH + 2)
     await until(lambda: not client.is_stuck)
-    return sock
+    return raw
 
 
 def test_client_that_took_a_long_value_slowly_is_read_again():
@@ -228,10 +220,10 @@
     async def test():
         server = held(1)
         async with node(server) as gateway:
-            sock = await slow_reader_with_a_value(gateway, server)
-            await asyncio.get_running_loop().sock_sendall(sock, call(2))
-            assert await take(sock, 7) == b"$1\r\nv\r\n"
-            sock.close()
+            raw = await slow_reader_with_a_value(gateway, server)
+            raw.send(call(2))
+            assert await raw.read(7) == b"$1\r\nv\r\n"
+            raw.sock.close()
 
     run(test())
 
@@ -242,8 +234,8 @@
     async def test():
         server = held(1)
         async with node(server) as gateway:
-            sock = await slow_reader_with_a_value(gateway, server)
-            sock.close()
+            raw = await slow_reader_with_a_value(gateway, server)
+            raw.sock.close()
             await until(lambda: not gateway.clients.connections)
 
     run(test())
@@ -257,17 +249,16 @@
         count = 60  # fewer than may be in flight on a connection, more bytes than both ends' sockets hold
         server = FakeServer(lambda _words: b"*3\r\n%b$-1\r\n$-1\r\n" % value)
         async with node(server) as gateway:
-            loop = asyncio.get_running_loop()
-            sock = await narrow(gateway.clients.listener.getsockname()[1])
-            await loop.sock_sendall(sock, b"".join(call(number) for number in range(count)))
+            raw = Raw(gateway.clients.listener.getsockname()[1], room=4096)
+            raw.send(*(call(number) for number in range(count)))
             await server.until(lambda: len(server.commands) == count)
             await until(lambda: not gateway.driver.requests)
             (client,) = gateway.clients.connections
             assert client.is_stuck
-            assert await take(sock, count * len(value)) == count * value
-            await loop.sock_sendall(sock, call(count))
-            assert await take(sock, len(value)) == value
-            sock.close()
+            assert await raw.read(count * len(value)) == count * value
+            raw.send(call(count))
+            assert await raw.read(len(value)) == value
+            raw.sock.close()
 
     run(test())
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -124,7 +124,7 @@
 
 def test_figures_are_read_by_the_keys_that_the_gateway_reports():
     """A key is renamed at one end only: the rollout would judge by zeros."""
-    reported = json.loads(GatewayMetrics().to_json(Counter(), 0, ""))
+    reported = json.loads(GatewayMetrics().to_json(Counter(), 0, 0, ""))
     assert {known.encode_name for known in msgspec.structs.fields(GatewayFigures)} == set(reported)
 
 
