--- a/quota_gateway/failover/gateway.py
+++ b/quota_gateway/failover/gateway.py
@@ -190,7 +190,7 @@
         row = replace(
             opened,
             read_bytes=opened.read_bytes + client.total_read_bytes,
-            written_bytes=opened.written_bytes + client.total_written_bytes,
+            written_bytes=opened.written_bytes + client.replies.total_written_bytes,
             has_requested=client.has_requested,
         )
         self.record.replace_row(recorded.row_index, row.encode())
--- a/quota_gateway/net/clients/connection.py
+++ b/quota_gateway/net/clients/connection.py
@@ -4,15 +4,15 @@
 
 import asyncio
 import logging
-from collections import deque
 from enum import Enum
 from typing import TYPE_CHECKING, cast
 
 from quota_gateway.errors import ProtocolError
-from quota_gateway.net.client_request import ClientRequest
 from quota_gateway.net.clients.command_stream import CommandStream
-from quota_gateway.net.clients.commands import GET, POST, CommandError
-from quota_gateway.net.clients.replies import ReplySlot, StreamedValue
+from quota_gateway.net.clients.command_timer import CommandTimer
+from quota_gateway.net.clients.read_throttle import ReadThrottle
+from quota_gateway.net.clients.replies import ReplySlot
+from quota_gateway.net.clients.reply_queue import ReplyQueue, WriteOutcome
 from quota_gateway.net.clients.stall_timer import StallTimer
 from quota_gateway.net.close_reason import CloseReason
 from quota_gateway.net.sockets import has_unread_bytes
@@ -23,14 +23,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PIPELINED = 64  # commands of one connection in flight; more are read up to a bound, and wait
-READ_BYTES = 64 * 1024
-MAX_BODY_ROUNDS = 3  # further command timeouts granted to a body while its bytes come
-MAX_BAD_COMMANDS = 16  # in a row: a peer that sends more is no client
-MAX_DISCARDED_BYTES = 1024 * 1024  # read behind the last command: a peer that sends more is no client
-# For a first request, and for the rest of a command: a peer that is no client is closed within 3 s.
-COMMAND_TIMEOUT_S = 2.5
-LINGER_S = 0.4  # for what still comes behind a close; with COMMAND_TIMEOUT_S below those 3 s
+LINGER_S = 0.4  # for what still comes behind a close; with COMMAND_TIMEOUT_S below 3 s
 
 
 class ClientState(Enum):
@@ -51,9 +44,14 @@
 
 
 class Client(asyncio.BufferedProtocol):
-    """One client's connection. Owned by ``ClientRegistry``, which counts it and decides when it may go."""
+    """One client's connection. Owned by ``ClientRegistry``, which counts it and decides when it may go.
 
-    def __init__(self, clients: ClientRegistry) -> None:
+    Its parts know nothing of each other or of it: ``stream`` parses, ``throttle`` pauses reading,
+    ``command_timer`` bounds the wait for a command, ``replies`` keeps the order. This class is what joins
+    them: each event of the transport, and each reply that comes, leads through ``_parse`` or ``flush``.
+    """
+
+    def __init__(self, clients: ClientRegistry, waited_s: float = 0.0) -> None:
         self.clients = clients
         self.state = ClientState.OPEN
         self.close_reason: CloseReason | None = None  # None until this gateway ends it
@@ -62,31 +60,21 @@
         self.idle_since = self.opened_at_s
         self.has_requested = False  # a request has come: clients keep such connections between their requests
         self.retained_id = 0  # the number under which the process before this one keeps a copy of it
+        self.linger_timer: asyncio.TimerHandle | None = None
 
         # Commands in
         self.stream = CommandStream()
+        self.throttle = ReadThrottle(clients.waiting)
+        self.command_timer = CommandTimer(clients.loop, waited_s)
         self.is_parsing = False
         self.is_parsing_blocked = False  # the most are in flight, or the client is stuck: commands wait
-        self.is_reading_paused = False
-        self.waiting_bytes = 0  # of commands that wait so
-        self.discarded_bytes = 0  # that came behind the last command
         self.last_read_ms = 0.0  # when the last bytes came, by the driver's clock
         self.bad_commands = 0  # in a row
         self.total_read_bytes = 0  # in all
 
-        # The time that a command has to come
-        self.command_timer: asyncio.TimerHandle | None = None  # runs while a complete command is awaited
-        self.command_timeout_s = COMMAND_TIMEOUT_S
-        self.has_moved = False  # bytes came since the timer was started
-        self.body_rounds = 0
-
         # Replies out
-        self.slots: deque[ReplySlot] = deque()
-        self.is_stuck = False  # the client does not take its replies
-        self.unsent_bytes = 0
-        self.total_written_bytes = 0  # in all
+        self.replies = ReplyQueue(clients.unsent)
         self.stall_timer = StallTimer()
-        self.linger_timer: asyncio.TimerHandle | None = None
 
     def _enter(self, state: ClientState) -> None:
         self.state = transition("connection of a client", TRANSITIONS, self.state, state)
@@ -96,7 +84,7 @@
         # uvloop's transports are not asyncio.Transport by class: no isinstance here
         self.transport = cast(asyncio.Transport, transport)
         if not self.has_requested:
-            self._start_command_timer()
+            self.command_timer.start(self._on_command_timeout)
         self.clients.opened(self)
         if self.clients.is_shutting_down:  # adopted late: the flush of all connections is over
             self.clients.loop.call_soon(self.flush)
@@ -123,11 +111,9 @@
 
     def _drop_pending(self) -> None:
         """Nobody waits for the replies any more: the decisions learn that the client has gone."""
-        self._stop_command_timer()
-        self._count_waiting(0)
-        slots = self.slots
-        self.slots = deque()
-        self.count_unsent(-self.unsent_bytes)
+        self.command_timer.stop()
+        self.throttle.set_waiting(0)
+        slots = self.replies.drop_all()
         if slots and self.close_reason:
             log.warning(
                 "closed a client's connection with %d replies owed: %s", len(slots), self.close_reason.value
@@ -144,10 +130,15 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         """Called by the event loop once bytes are in the buffer."""
-        if not self.takes_commands or self.stream.is_out_of_bounds:
+        self.total_read_bytes += nbytes
+        if self._is_discarding():
             self._discard(nbytes)
         else:
-            self.data_received(bytes(self.clients.buffer[:nbytes]))
+            self._take_bytes(bytes(self.clients.buffer[:nbytes]))
+
+    def _is_discarding(self) -> bool:
+        """Whether what comes is behind the last command that is taken."""
+        return not self.takes_commands or self.stream.is_out_of_bounds
 
     def _discard(self, nbytes: int) -> None:
         """Read and discard what comes behind the last command, up to a bound.
@@ -155,21 +146,17 @@
         Only so is the client's end seen, and a close does not reset the connection under the answers before
         it. A client that never stops sending is cut off at the bound.
         """
-        self.total_read_bytes += nbytes
-        self.discarded_bytes += nbytes
-        is_endless = self.discarded_bytes > MAX_DISCARDED_BYTES
-        if self.state is ClientState.LINGERING and is_endless:
+        self.throttle.discarded_bytes += nbytes
+        if self.state is ClientState.LINGERING and self.throttle.is_discard_exhausted():
             self.abort()
         else:
             self._update_reading()
 
-    def data_received(self, data: bytes) -> None:
-        """Take bytes of commands."""
-        self.total_read_bytes += len(data)
+    def _take_bytes(self, data: bytes) -> None:
         self.clients.connections.move_to_end(self)  # the last to be evicted
         self.idle_since = self.clients.loop.time()
-        self.has_moved = True
         self.last_read_ms = self.clients.driver.clock()
+        self.command_timer.on_bytes()
         self.stream.feed(data)
         self._parse()
 
@@ -184,131 +171,73 @@
             try:
                 command = self.stream.next_command()
             except ProtocolError:
-                self._reject_protocol()
+                self.reject_protocol()
                 break
             if command is None:
                 break
-            self._stop_command_timer()
-            self._take(command)
+            self.command_timer.stop()
+            self.clients.dispatcher.dispatch(self, command)
         self.is_parsing = False
         self.is_parsing_blocked = self._is_full()
-        if self.command_timer is None and (self.stream.is_within_command() or not self.has_requested):
-            self._start_command_timer()
+        is_command_due = self.stream.is_within_command() or not self.has_requested
+        if is_command_due and not self.command_timer.is_running:
+            self.command_timer.start(self._on_command_timeout)
         self._update_reading()
         self._report_all_answered()
         self._close_if_due()
 
     def _is_full(self) -> bool:
-        return self.is_stuck or len(self.slots) >= MAX_PIPELINED
+        return self.replies.is_stuck or self.replies.is_full()
 
     def _update_reading(self) -> None:
-        """Keep reading as long as there is capacity for what comes.
-
-        The client's end is seen only behind its data; once it is seen, commands that are not forwarded yet
-        are dropped.
-        """
+        """Pause or resume reading; called whenever what it depends on may have changed."""
         if self.transport is None or self.transport.is_closing():
             return
-        if not self.takes_commands or self.stream.is_out_of_bounds:
-            pause = self.discarded_bytes > MAX_DISCARDED_BYTES
+        if self._is_discarding():
+            is_pause_due = self.throttle.is_discard_exhausted()
         else:
-            is_waiting = len(self.slots) >= MAX_PIPELINED
-            self._count_waiting(self.stream.bytes_since_command if is_waiting else 0)
-            is_over_budget = self.waiting_bytes >= READ_BYTES and self.clients.waiting.is_exhausted()
-            pause = self.is_stuck or is_over_budget
-        if pause == self.is_reading_paused:
-            return
-        self.is_reading_paused = pause
-        if pause:
-            self.transport.pause_reading()
-        else:
-            self.transport.resume_reading()
-
-    def _count_waiting(self, waiting_bytes: int) -> None:
-        self.clients.waiting.add(waiting_bytes - self.waiting_bytes)
-        self.waiting_bytes = waiting_bytes
-
-    def _start_command_timer(self) -> None:
-        """A peer that sends nothing, half a command or a single PING must not stay for good."""
-        self.command_timer = self.clients.loop.call_later(self.command_timeout_s, self._on_command_timeout)
-        self.command_timeout_s = COMMAND_TIMEOUT_S
-        self.has_moved = False
-
-    def _stop_command_timer(self) -> None:
-        self.body_rounds = 0
-        if self.command_timer:
-            self.command_timer.cancel()
-            self.command_timer = None
+            self.throttle.set_waiting(self.stream.bytes_since_command if self.replies.is_full() else 0)
+            is_pause_due = self.replies.is_stuck or self.throttle.is_over_budget()
+        self.throttle.apply(self.transport, is_pause_due)
 
     def _on_command_timeout(self) -> None:
-        self.command_timer = None
-        body_is_coming = self.has_moved and self.has_requested and self.stream.is_in_body()
-        if self.is_parsing_blocked:  # complete commands may wait behind those in flight: the peer is not late
-            self._start_command_timer()
-        elif body_is_coming and self.body_rounds < MAX_BODY_ROUNDS:
-            self.body_rounds += 1
-            self._start_command_timer()
+        self.command_timer.expired()
+        # Where complete commands may wait behind those in flight, the peer is not late.
+        if self.is_parsing_blocked or (self._is_body_due() and self.command_timer.grant_body_round()):
+            self.command_timer.start(self._on_command_timeout)
         elif self.takes_commands:
-            self._enter(ClientState.ENDING)
+            self.take_no_more_commands()
             if self.stream.is_within_command():
-                self._reply(b"-ERR no whole command in time\r\n")
+                self.reply(b"-ERR no whole command in time\r\n")
             self._update_reading()
             self._close_if_due()
 
-    def _reject_protocol(self) -> None:
-        """Answer what is not RESP with an error; the connection closes after the replies before it."""
-        self._enter(ClientState.ENDING)
-        self._reply(b"-ERR Protocol error\r\n")
+    def _is_body_due(self) -> bool:
+        """Whether all that is missing of a command is its body, on a connection that has been used."""
+        return self.has_requested and self.stream.is_in_body()
 
-    def _take(self, command: object) -> None:
-        if not isinstance(command, list) or not command or not all(isinstance(w, bytes) for w in command):
-            self._reject_protocol()
-            return
-        name = command[0].upper()
-        if name in (GET, POST):
-            self._call(command)
-        elif name == b"PING":
-            self._reply(self.clients.ping_reply())
-        else:
-            self._reject_command(b"-ERR unknown command\r\n")
+    def take_no_more_commands(self) -> None:
+        """Close after the replies that are owed."""
+        self._enter(ClientState.ENDING)
 
-    def _call(self, command: list[bytes]) -> None:
-        driver = self.clients.driver
-        try:
-            # A command behind the most in flight has waited here since it came: its client counts that.
-            call = self.clients.commands.parse(command, driver.clock() - self.last_read_ms)
-            request = call.request
-            if request.request_id in driver.requests:
-                raise CommandError("a request of this id is in hand")
-        except ValueError as error:  # CommandError, or a value that api.Request does not take
-            self._reject_command(f"-ERR {error}\r\n".encode("ascii", "replace"))
-            return
-        self.has_requested = True
-        self.bad_commands = 0
-        slot = ReplySlot(self, None, request.request_id)
-        self.slots.append(slot)
-        pending = ClientRequest(request.request_id, call.encode, slot.fill, slot.begin)
-        pending.latency_objective_ms = call.latency_objective_ms
-        driver.accept(pending, request, request.client_timeout_ms)
-
-    def _reject_command(self, reply: bytes) -> None:
-        """Answer a bad command; the connection stays open, but not for an endless row of them.
-
-        Each costs as much as a request, so megabytes of small commands that are no requests would cost more
-        than all others' requests.
-        """
-        self.bad_commands += 1
-        if self.bad_commands >= MAX_BAD_COMMANDS:
-            self._enter(ClientState.ENDING)
-        self._reply(reply)
+    def reject_protocol(self) -> None:
+        """Answer what is not RESP with an error; the connection closes after the replies before it."""
+        self.take_no_more_commands()
+        self.reply(b"-ERR Protocol error\r\n")
 
     # ---- Replies out
 
-    def _reply(self, reply: bytes) -> None:
-        self.slots.append(ReplySlot(self, reply))
-        self.count_unsent(len(reply))
+    def reply(self, reply: bytes) -> None:
+        """Answer a command at once, in its place."""
+        self.replies.slots.append(ReplySlot(self, reply))
+        self.owe(len(reply))
         self.flush()
 
+    def owe(self, added_bytes: int) -> None:
+        """Count bytes of a reply that waits to be written."""
+        self.replies.count_unsent(added_bytes)
+        self.clients.enforce_unsent_budget()
+
     def flush(self) -> None:
         """Write the replies that are due, in the order of their commands, then see what may be done next."""
         if not self.can_write_replies():
@@ -323,60 +252,45 @@
     def _write_due_replies(self) -> bool:
         """Write what is due; false if the connection ended over it."""
         assert self.transport
-        while self.slots and not self.is_stuck:
-            slot = self.slots[0]
-            if slot.value:
-                if not self._stream(slot.value):
-                    break
-                if self.state is ClientState.LINGERING:  # the value broke off, and the connection with it
-                    return False
-            elif slot.answer is None:
-                break
-            else:
-                self.count_unsent(-len(slot.answer))
-                self.transport.write(slot.answer)
-                self.total_written_bytes += len(slot.answer)
-            self.slots.popleft()
+        owed = len(self.replies.slots)
+        outcome = self.replies.write_due(self.transport)
+        if len(self.replies.slots) < owed:
             self.idle_since = self.clients.loop.time()
-            if self.state is ClientState.LINGERING or self.transport.is_closing():
-                return False
-        return True
+        if outcome is WriteOutcome.VALUE_BROKE_OFF:
+            self.clients.driver.metrics.broken_off_total += 1
+            self.close(CloseReason.VALUE_BROKE_OFF)
+        return outcome is WriteOutcome.DONE
 
     def _report_all_answered(self) -> None:
         """Report that everything that was read has been answered."""
         if (
             self.clients.on_all_answered
-            and not self.slots
+            and not self.replies.slots
             and not self.stream.is_within_command()
             and self.takes_commands
         ):
             self.clients.on_all_answered(self)
 
-    def _stream(self, value: StreamedValue) -> bool:
-        """Write what there is of a streamed value; whether that was the last of it.
+    # ---- Slow clients
 
-        A value that breaks off ends the connection: nothing else tells the client that it is incomplete.
-        """
+    def pause_writing(self) -> None:
+        """Called by the event loop as the client takes no more for now: nothing more is read from it."""
         assert self.transport
-        # From now on the client is stuck as soon as it does not take everything.
-        self.transport.set_write_buffer_limits(0)
-        held = value.take()
-        if held:
-            self.transport.write(held)
-            self.total_written_bytes += len(held)
-        if not value.has_ended:
-            if not self.is_stuck:
-                value.source.resume()
-            return False
-        if not value.is_complete:
-            self.clients.driver.metrics.broken_off_total += 1
-            self.close(CloseReason.VALUE_BROKE_OFF)
-        return True
+        self.replies.is_stuck = True
+        self._update_reading()
+        self.stall_timer.start(self.transport, self._on_stalled)
 
-    def count_unsent(self, added_bytes: int) -> None:
-        """Count what the client is owed and has not been written; see ``ClientRegistry.count_unsent``."""
-        self.unsent_bytes += added_bytes
-        self.clients.count_unsent(added_bytes)
+    def resume_writing(self) -> None:
+        """Called by the event loop as the client takes data again: commands are read again, and its end."""
+        self.replies.is_stuck = False
+        self._update_reading()
+        if self.state is not ClientState.LINGERING:
+            self.stall_timer.cancel()
+        self.flush()
+
+    def _on_stalled(self) -> None:
+        """Called by the stall timer: the client has taken no byte for its whole time."""
+        self.abort(CloseReason.STALLED)
 
     # ---- Between requests
 
@@ -386,7 +300,7 @@
         Commands that were read but not taken yet, as the most were in flight, are taken first: closing then
         would lose them. During the shutdown, bytes that are here unread are read first.
         """
-        if self.slots or not self.can_write_replies():
+        if self.replies.slots or not self.can_write_replies():
             return
         if not self.takes_commands or (self.clients.is_shutting_down and self._may_close()):
             self.close()
@@ -402,7 +316,7 @@
     def _is_between_commands(self) -> bool:
         return (
             self.can_write_replies()
-            and not self.slots
+            and not self.replies.slots
             and self.takes_commands
             and not self.stream.is_within_command()
             and not self.stream.is_out_of_bounds
@@ -456,6 +370,11 @@
         except (OSError, RuntimeError):  # the connection has ended meanwhile
             self.abort()
 
+    def close_idle(self) -> None:
+        """Close unless something is owed on it, or about to be."""
+        if self.can_write_replies() and not self.replies.slots and not self.has_unread_bytes():
+            self.close()
+
     def abort(self, reason: CloseReason = CloseReason.BETWEEN_REQUESTS) -> None:
         """End at once; what the client has not taken is lost. After a close the reason of that one stands."""
         self.close_reason = self.close_reason or reason
@@ -469,10 +388,6 @@
         else:
             self.abort()
 
-    def _on_stalled(self) -> None:
-        """Called by the stall timer: the client has taken no byte for its whole time."""
-        self.abort(CloseReason.STALLED)
-
     def detach(self) -> None:
         """Release the socket: another process has it by now."""
         self.clients.uncount(self)
@@ -484,25 +399,3 @@
         """Answer that there are too many connections."""
         assert self.transport
         self.transport.write(b"-ERR max number of clients reached\r\n")
-
-    def close_idle(self) -> None:
-        """Close unless something is owed on it, or about to be."""
-        if self.can_write_replies() and not self.slots and not self.has_unread_bytes():
-            self.close()
-
-    # ---- Slow clients
-
-    def pause_writing(self) -> None:
-        """Called by the event loop as the client takes no more for now: nothing more is read from it."""
-        assert self.transport
-        self.is_stuck = True
-        self._update_reading()
-        self.stall_timer.start(self.transport, self._on_stalled)
-
-    def resume_writing(self) -> None:
-        """Called by the event loop as the client takes data again: commands are read again, and its end."""
-        self.is_stuck = False
-        self._update_reading()
-        if self.state is not ClientState.LINGERING:
-            self.stall_timer.cancel()
-        self.flush()
--- a/quota_gateway/net/clients/registry.py
+++ b/quota_gateway/net/clients/registry.py
@@ -10,9 +10,10 @@
 
 from quota_gateway import api
 from quota_gateway.net.clients.budget import ByteBudget
-from quota_gateway.net.clients.commands import CommandParser
-from quota_gateway.net.clients.connection import COMMAND_TIMEOUT_S, READ_BYTES, Client
+from quota_gateway.net.clients.command_dispatcher import CommandDispatcher
+from quota_gateway.net.clients.connection import Client
 from quota_gateway.net.clients.listener import BACKLOG, bind
+from quota_gateway.net.clients.read_throttle import READ_BYTES
 from quota_gateway.net.close_reason import CloseReason
 from quota_gateway.net.driver import Driver
 
@@ -32,7 +33,7 @@
 
     def __init__(self, driver: Driver, settings: api.Settings, most_connections: int) -> None:
         self.driver = driver
-        self.commands = CommandParser(settings)
+        self.dispatcher = CommandDispatcher(driver, settings, self.ping_reply)
         self.most_connections = most_connections
         self.loop = asyncio.get_running_loop()
         self.buffer = memoryview(bytearray(READ_BYTES))
@@ -89,9 +90,8 @@
         ``asked``: whether a request had come on it; ``waited_s``: for how long it has been open;
         ``retained_id``: the number of the copy that the process before keeps, 0 for none.
         """
-        client = Client(self)
+        client = Client(self, waited_s)
         client.has_requested = asked
-        client.command_timeout_s = max(0.0, COMMAND_TIMEOUT_S - waited_s)
         client.retained_id = retained_id
         task = self.loop.create_task(self._bring_up(client, sock))
         self.adopting.add(task)
@@ -143,7 +143,7 @@
 
         A connection with requests in flight is closed once they have been answered.
         """
-        self.commands = CommandParser(settings)
+        self.dispatcher.reconfigure(settings)
         self.most_connections = most_connections
         for client in list(self.connections):
             if not self.is_over_limit():
@@ -183,7 +183,7 @@
             if client is not newest and client.is_idle():
                 return client
         for client in self.connections:
-            if client is not newest and not client.slots and not client.has_unread_bytes():
+            if client is not newest and not client.replies.slots and not client.has_unread_bytes():
                 return client
         return newest
 
@@ -195,14 +195,13 @@
             del self.lingering[oldest]
             oldest.abort()
 
-    def count_unsent(self, added_bytes: int) -> None:
-        """Count replies that wait to be written; over the budget the client that holds most is closed.
+    def enforce_unsent_budget(self) -> None:
+        """Close the client that holds most, if more reply bytes wait to be written than may.
 
         Clients that write many requests and read no replies hold little each, and together too much.
         """
-        self.unsent.add(added_bytes)
-        if added_bytes > 0 and self.unsent.is_exceeded():
-            most = max(self.connections, key=lambda client: client.unsent_bytes, default=None)
+        if self.unsent.is_exceeded():
+            most = max(self.connections, key=lambda client: client.replies.unsent_bytes, default=None)
             if most:
                 most.abort(CloseReason.UNSENT_BUDGET)
 
--- a/quota_gateway/net/clients/replies.py
+++ b/quota_gateway/net/clients/replies.py
@@ -24,7 +24,7 @@
     def fill(self, answer: bytes) -> None:
         """Take the command's one reply."""
         self.answer = answer
-        self.connection.count_unsent(len(answer))
+        self.connection.owe(len(answer))
         self.connection.flush()
 
     def begin(self, length: int, source: Source) -> StreamedValue | None:
@@ -56,7 +56,7 @@
             return
         self.buffered += data
         self.connection.flush()
-        if self.buffered or self.connection.is_stuck:
+        if self.buffered or self.connection.replies.is_stuck:
             self.source.pause()
 
     def end(self, whole: bool) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,7 +12,7 @@
 from quota_gateway import Plan, SetServing
 from quota_gateway.net.clients import connection as connection_module
 from quota_gateway.net.clients import registry as registry_module
-from quota_gateway.net.clients.connection import MAX_PIPELINED
+from quota_gateway.net.clients.reply_queue import MAX_PIPELINED
 
 BUSY = b"-ERR max number of clients reached\r\n"
 
@@ -181,7 +181,7 @@
             gateway.clients.stop_listening()
             assert await raw.rest() == (b"", "end")
             raw.send(command[20 * parts :], call(2))  # it crosses the end that the gateway has sent
-            await until(lambda: client.discarded_bytes >= len(command) - 20 * parts)
+            await until(lambda: client.throttle.discarded_bytes >= len(command) - 20 * parts)
             raw.sock.close()
             await until(lambda: not gateway.clients.lingering)
             assert len(fake.commands) == served
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -627,10 +627,10 @@
             raw, client = await resting(old)
             near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
             connections = old.hot_restart.predecessor.connections
-            client.slots.append(None)  # busy: it is not transferred at once
+            client.replies.slots.append(None)  # busy: it is not transferred at once
             session = PeerSession(near, lambda *_: None, lambda _: connections.end())
             connections.begin(session, max_retained=1)
-            client.slots.clear()
+            client.replies.slots.clear()
             far.close()  # its end is not read yet
             raw.send(call(3))
             old.clients.try_to_transfer(client)
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -8,7 +8,7 @@
 from fakes import FakeServer, Raw, call, node, resp, run, until
 
 from quota_gateway import AttemptEnded, Limits, Status, StreamStarted
-from quota_gateway.net.clients import connection as client_connection_module
+from quota_gateway.net.clients import command_timer as command_timer_module
 from quota_gateway.net.clients import registry as registry_module
 from quota_gateway.net.declared_lengths import MAX_VALUE_BYTES, STREAMED_VALUE_BYTES, parse_long_value_head
 from quota_gateway.net.servers import connection as connection_module
@@ -204,9 +204,9 @@
     writer(server, 1).transport.set_write_buffer_limits(2 * LENGTH)
     writer(server, 1).write(HEAD + VALUE + TAIL)
     (client,) = gateway.clients.connections
-    await until(lambda: client.is_stuck)
+    await until(lambda: client.replies.is_stuck)
     await raw.read(len(b"$%d\r\n" % LENGTH) + LENGTH + 2)
-    await until(lambda: not client.is_stuck)
+    await until(lambda: not client.replies.is_stuck)
     return raw
 
 
@@ -254,7 +254,7 @@
             await server.until(lambda: len(server.commands) == count)
             await until(lambda: not gateway.driver.requests)
             (client,) = gateway.clients.connections
-            assert client.is_stuck
+            assert client.replies.is_stuck
             assert await raw.read(count * len(value)) == count * value
             raw.send(call(count))
             assert await raw.read(len(value)) == value
@@ -330,7 +330,7 @@
 
 
 def test_body_may_come_slowly_while_a_head_that_does_not_end_is_closed(monkeypatch):
-    monkeypatch.setattr(client_connection_module, "COMMAND_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(command_timer_module, "COMMAND_TIMEOUT_S", 0.3)
 
     async def test():
         server = FakeServer()
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -6,9 +6,10 @@
 import pytest
 from fakes import FakeServer, array, call, node, resp, run, until
 
-from quota_gateway.net.clients import connection as module
+from quota_gateway.net.clients import command_timer as command_timer_module
+from quota_gateway.net.clients.command_dispatcher import MAX_BAD_COMMANDS
 from quota_gateway.net.clients.command_stream import MAX_COMMAND_BYTES, MAX_WORD_BYTES
-from quota_gateway.net.clients.connection import MAX_PIPELINED
+from quota_gateway.net.clients.reply_queue import MAX_PIPELINED
 from quota_gateway.net.declared_lengths import DeclaredLengths
 
 GOOD = "c=read,t=free,d=4000,units=1,spread=2,first=0"
@@ -222,14 +223,14 @@
 def test_endless_row_of_bad_commands_is_cut_short_and_a_request_between_begins_it_anew():
     async def test():
         async with node(FakeServer()) as gateway:
-            peer, few = await gateway.peer(), (module.MAX_BAD_COMMANDS - 1) * [resp("JUNK")]
+            peer, few = await gateway.peer(), (MAX_BAD_COMMANDS - 1) * [resp("JUNK")]
             for number in range(3):
                 peer.send(*few, call(number))
                 for _ in few:
                     assert await peer.reply() == "-ERR unknown command"
                 assert await peer.reply() == b"%016x" % number
             peer.send(*few, resp("CALL.GET"))
-            for _ in range(module.MAX_BAD_COMMANDS):
+            for _ in range(MAX_BAD_COMMANDS):
                 assert (await peer.reply()).startswith("-ERR ")
             assert await peer.reply() is None
 
@@ -275,9 +276,9 @@
             peer.reader._limit = 1  # the stream stops reading at once
             peer.send(*(call(number, wait=60_000) for number in range(many)))
             (client,) = gateway.clients.connections
-            await until(lambda: client.is_stuck)
-            assert client.is_reading_paused
-            assert len(client.slots) <= MAX_PIPELINED
+            await until(lambda: client.replies.is_stuck)
+            assert client.throttle.is_paused
+            assert len(client.replies.slots) <= MAX_PIPELINED
             assert client.transport.get_write_buffer_size() <= (MAX_PIPELINED + 2) * (len(value) + 100)
             for number in range(many):
                 assert await peer.reply() == b"%016x" % number + value
@@ -352,7 +353,7 @@
     ],
 )
 def test_peer_without_a_whole_request_gets_a_close_and_for_half_a_command_an_error(monkeypatch, sent):
-    monkeypatch.setattr(module, "COMMAND_TIMEOUT_S", 0.5)
+    monkeypatch.setattr(command_timer_module, "COMMAND_TIMEOUT_S", 0.5)
 
     async def test():
         async with node(FakeServer()) as gateway:
@@ -369,7 +370,7 @@
 
 
 def test_client_that_has_asked_may_be_idle_or_wait_for_its_answer(monkeypatch):
-    monkeypatch.setattr(module, "COMMAND_TIMEOUT_S", 0.5)
+    monkeypatch.setattr(command_timer_module, "COMMAND_TIMEOUT_S", 0.5)
 
     async def test():
         server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(b"value"))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -73,7 +73,7 @@
             decisions.concurrency_limit.limit,
             decisions.epochs.epoch,
             {k: (c.excess_milliunits, c.excess_updated_ms) for k, c in decisions.customers.rows.items()},
-            clients.commands,
+            clients.dispatcher.parser,
             clients.most_connections,
             servers.reply_reader,
             servers.most_connections,
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -8,7 +8,7 @@
 import pytest
 from fakes import FakeServer, Raw, array, call, node, resp, run, until
 
-from quota_gateway.net.clients import connection as connection_module
+from quota_gateway.net.clients import command_timer as command_timer_module
 from quota_gateway.net.clients import stall_timer as stall_timer_module
 from quota_gateway.net.close_reason import CloseReason
 
@@ -101,7 +101,7 @@
     A request that ends in no way, or in two, is one that a client waits for in vain or that is counted as
     something it was not. A client that caught up and is not read any more loses its next request unseen.
     """
-    monkeypatch.setattr(connection_module, "COMMAND_TIMEOUT_S", 60.0)  # a client may rest from its start
+    monkeypatch.setattr(command_timer_module, "COMMAND_TIMEOUT_S", 60.0)  # a client may rest from its start
     draw = random.Random(seed)
 
     async def test():
@@ -152,14 +152,15 @@
 async def stall(gateway, server: FakeServer) -> Raw:
     raw, _ = await begin_value(gateway, server, ANSWERS["long value"])
     (client,) = gateway.clients.connections
-    await until(lambda: client.is_stuck)
+    await until(lambda: client.replies.is_stuck)
     return raw
 
 
 async def fill_budget(gateway, server: FakeServer) -> Raw:
     raw = await stall(gateway, server)
     gateway.clients.unsent.limit_bytes = 0
-    gateway.clients.count_unsent(1)
+    gateway.clients.unsent.add(1)
+    gateway.clients.enforce_unsent_budget()
     return raw
 
 
