--- a/quota_gateway/net/servers/connection.py
+++ b/quota_gateway/net/servers/connection.py
@@ -9,19 +9,12 @@
 from enum import Enum
 from typing import TYPE_CHECKING, cast
 
-import hiredis
-
 from quota_gateway import api
-from quota_gateway.net.declared_lengths import (
-    LINE_END,
-    STREAMED_VALUE_BYTES,
-    DeclaredLengths,
-    LongValueHead,
-    parse_long_value_head,
-)
+from quota_gateway.errors import ProtocolError
 from quota_gateway.net.servers.attempt import Attempt, Sink
 from quota_gateway.net.servers.endpoint import ServerEndpoint
-from quota_gateway.net.servers.replies import Reply, ServerError
+from quota_gateway.net.servers.replies import Reply
+from quota_gateway.net.servers.reply_decoder import DecodedReply, LongValueBegun, ReplyDecoder
 from quota_gateway.net.sockets import has_unread_bytes
 from quota_gateway.state_machine import transition
 
@@ -30,7 +23,6 @@
 
 log = logging.getLogger(__name__)
 
-MAX_REPLY_BYTES = 192 * 1024  # read without a complete reply: a value of 64 KiB, one read, and to spare
 STREAM_SILENCE_S = 15.0  # a server that sends nothing of a value that it has begun for so long is gone
 
 
@@ -72,17 +64,9 @@
         self.last_byte_sent = False  # the attempt's last byte was handed to the kernel
         self.idle_since = 0.0  # loop time (s)
 
-        # Reading a reply
-        self.reader = hiredis.Reader(replyError=ServerError)
-        self.lengths = DeclaredLengths(STREAMED_VALUE_BYTES, is_replies=True)
-        self.head = b""  # first bytes of a reply, until they tell whether a long value comes
-        self.head_is_read = False
-        self.unparsed_bytes = 0
-
-        # Streaming a long value
-        self.sink: Sink | None = None
-        self.value_words = 0  # of the reply that the value begins
-        self.value_bytes_left = 0
+        # Replies
+        self.decoder = ReplyDecoder()
+        self.sink: Sink | None = None  # of the long value that is being streamed
         self.silence_timer: asyncio.TimerHandle | None = None
 
         if attempt:
@@ -192,54 +176,28 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         """Called by the event loop once bytes are in the buffer."""
-        self.data_received(bytes(self.servers.buffer[:nbytes]))
+        self._take_bytes(bytes(self.servers.buffer[:nbytes]))
 
-    def data_received(self, data: bytes) -> None:
-        """Take bytes of a reply."""
-        if self.sink:
-            self._stream(data)
-            return
-        if self.attempt and not self.head_is_read:
-            self.head += data
-            found = parse_long_value_head(self.head)
-            if found is None:
-                return
-            data = self.head
-            self.head = b""
-            self.head_is_read = True
-            if found.words:
-                self._begin_stream(found, data[found.value_at :])
-                return
-        self._parse(data)
-
-    def _parse(self, data: bytes) -> None:
-        valid = self.lengths.count_valid(data)
-        self.reader.feed(data[:valid])
-        self.unparsed_bytes += len(data)
+    def _take_bytes(self, data: bytes) -> None:
         try:
-            parsed = self.reader.gets()
-            has_more = self.reader.has_data() or valid < len(data)
-            if parsed is False and valid < len(data):
-                raise ValueError("a length out of bounds")
-        except (hiredis.HiredisError, ValueError, MemoryError):
-            log.warning("a server broke the protocol: %.100r", data)
+            decoded = self._stream(data) if self.sink else self.decoder.feed(data, self.attempt is not None)
+        except ProtocolError as error:
+            log.warning("a server broke the protocol, %s: %.100r", error, data)
             self.close(api.Status.ERROR)
             return
-        is_complete = parsed is not False
-        if not is_complete and self.attempt and self.unparsed_bytes <= MAX_REPLY_BYTES:
-            return
-        self._end_reply(parsed, is_complete and not has_more)
+        if isinstance(decoded, LongValueBegun):
+            self._begin_stream(decoded)
+        elif decoded:
+            self._end_reply(decoded)
 
-    def _end_reply(self, parsed: object, connection_is_clean: bool) -> None:
+    def _end_reply(self, decoded: DecodedReply) -> None:
         """Finish the attempt; the connection stays open if nothing but one complete reply has come."""
-        self.unparsed_bytes = 0
-        self.head_is_read = False
         if self.silence_timer:
             self.silence_timer.cancel()
         attempt = self.attempt
         self.attempt = None
-        reply = self.servers.reply_reader.read(parsed) if attempt else None
-        if reply is None or not connection_is_clean or reply.malformed:
+        reply = self.servers.reply_reader.read(decoded.parsed) if attempt else None
+        if reply is None or not decoded.is_clean or reply.malformed:
             self.close(api.Status.RESET)  # what follows can't be told apart from the next reply
         else:
             self.servers.release(self)
@@ -248,9 +206,9 @@
 
     # ---- Streamed values
 
-    def _begin_stream(self, head: LongValueHead, data: bytes) -> None:
+    def _begin_stream(self, begun: LongValueBegun) -> None:
         assert self.attempt
-        sink = self.attempt.begun(head.value_bytes, self)
+        sink = self.attempt.begun(begun.value_bytes, self)
         if sink is None:
             self.close(api.Status.CANCELLED)  # nobody waits for it
             return
@@ -259,37 +217,28 @@
             return
         self._enter(ConnectionState.STREAMING)
         self.sink = sink
-        self.value_words = head.words
-        self.value_bytes_left = head.value_bytes
         self.servers.streams += 1
-        if data:
-            self._stream(data)
+        if begun.data:
+            self._take_bytes(begun.data)
         else:
             self._restart_silence_timer()
 
-    def _stream(self, data: bytes) -> None:
+    def _stream(self, data: bytes) -> DecodedReply | None:
+        """Pass on what belongs to the value; the reply, if the rest of it has come as well.
+
+        Behind its last byte the value is complete only if its line ends there. Raises ProtocolError.
+        """
         assert self.sink
         self._restart_silence_timer()
-        value = data[: self.value_bytes_left]
-        self.value_bytes_left = max(0, self.value_bytes_left - len(data))
-        rest = data[len(value) :]
-        if value:
-            self.sink.write(value)
-        if not self.value_bytes_left:
-            self._check_line_end(rest)
-
-    def _check_line_end(self, data: bytes) -> None:
-        """After the value's last byte: it is complete only if its line end comes now."""
-        self.head += data
-        if not self.head.startswith(LINE_END[: len(self.head)]):
-            log.warning("a server's long value runs on: %.100r", self.head)
-            self.close(api.Status.ERROR)
-        elif self.sink and len(self.head) >= len(LINE_END):
-            head = self.head
-            self.head = b""
-            self._end_stream(True)
-            # The parser gets the reply with an empty value in place of the one that was streamed.
-            self._parse(b"*%d\r\n$0\r\n" % self.value_words + head)
+        in_value = self.decoder.split_value(data)
+        if in_value:
+            self.sink.write(data[:in_value])
+        if not self.decoder.is_value_complete():
+            return None
+        if not self.decoder.take_line_end(data[in_value:]) or not self.sink:
+            return None
+        self._end_stream(True)
+        return self.decoder.resume_reply(self.attempt is not None)
 
     def _end_stream(self, is_complete: bool) -> None:
         sink = self.sink
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -297,7 +297,7 @@
                 await until(
                     lambda: (
                         not gateway.driver.requests
-                        or any(one.unparsed_bytes or one.head for one in gateway.servers.connections)
+                        or any(one.decoder.holds_partial_reply() for one in gateway.servers.connections)
                     )
                 )
                 fake.writers[0].write(run_on[cut:])
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -133,7 +133,9 @@
             read = asyncio.ensure_future(peer.reader.read())  # to its end
             server.writers[0].write(HEAD + VALUE + end[:cut])
             await until(
-                lambda: all(one.sink and not one.value_bytes_left for one in gateway.servers.connections)
+                lambda: all(
+                    one.sink and one.decoder.is_value_complete() for one in gateway.servers.connections
+                )
             )
             server.writers[0].write(end[cut:] + TAIL)
             assert (b"$%d\r\n" % LENGTH + VALUE).startswith(await read)  # no line's end behind it
--- a/tests/test_net_servers.py
+++ b/tests/test_net_servers.py
@@ -12,6 +12,7 @@
 from quota_gateway.net.declared_lengths import DeclaredLengths
 from quota_gateway.net.servers import Attempt, Reply, ReplyReader
 from quota_gateway.net.servers import connection as connection_module
+from quota_gateway.net.servers.reply_decoder import MAX_REPLY_BYTES
 
 COMMAND = resp("CALL.GET", "00000000b4d65521", "00000000000000aa", "c=read,t=free,d=10")
 
@@ -89,7 +90,7 @@
 
 @pytest.mark.parametrize("cut", [1, 2, 3, 5, 17, 1000])
 def test_lengths_of_good_answers_all_reach_the_parser(cut):
-    lengths = DeclaredLengths(connection_module.MAX_REPLY_BYTES, is_replies=True)
+    lengths = DeclaredLengths(MAX_REPLY_BYTES, is_replies=True)
     stream = array(b"*9\r\n$9\r\n" * 9, b"used=1") + b"-ERR failed used=3\r\n-BUSY\r\n$2\r\nab\r\n"
     pieces = [stream[at : at + cut] for at in range(0, len(stream), cut)]
     assert [lengths.count_valid(piece) for piece in pieces] == [len(piece) for piece in pieces]
