--- a/quota_gateway/fault_bench/fault_windows.py
+++ b/quota_gateway/fault_bench/fault_windows.py
@@ -32,7 +32,8 @@
     "cut": LOST,
     "refuse": LOST,
 }
-AFTERMATH_MS = 1500.0  # what a fault has spoilt is seen so much later at the most: a client gives up then
+# Requests that are sent so long after a fault are excused as well: what it spoilt is noticed late.
+AFTERMATH_MS = 1500.0
 CLIENTS = "clients"  # the party whose links to the gateways count
 
 
@@ -67,7 +68,7 @@
     def _begin(self, step: StepCarriedOut, target: str, gateway: str) -> None:
         windows = self._windows.setdefault(gateway, [])
         self._open[step.number, target] = len(windows)
-        end_ms = step.time_ms if step.action == "kill" else inf
+        end_ms = step.time_ms if step.action == "kill" else inf  # a kill's is moved on to the new start
         windows.append(FaultWindow(step.action, step.time_ms, end_ms))
 
     def _close(self, step: StepCarriedOut, target: str, gateway: str) -> None:
@@ -77,7 +78,7 @@
             self._windows[gateway][index] = FaultWindow(step.action, begin_ms, step.time_ms)
 
     def actions_at(self, gateway: str) -> set[str]:
-        """All that was done to a gateway so far."""
+        """The excusing faults that a gateway has had so far, also those that are over."""
         return {window.action for window in self._windows.get(gateway, ())}
 
     def is_excused(self, gateway: str, sent_ms: float, ended_ms: float, excuse: Excuse) -> bool:
--- a/quota_gateway/fault_bench/link_faults.py
+++ b/quota_gateway/fault_bench/link_faults.py
@@ -20,8 +20,10 @@
             for link in links:
                 link.reset(step.do == "lose")
             return nothing
-        case _:
+        case "delay" | "cut":
             return _weather(links, step)
+        case _:
+            raise ValueError(f"{step.do}: no fault of links")
 
 
 def _silence(links: Sequence[Link], step: Step) -> Undo:
--- a/quota_gateway/fault_bench/load.py
+++ b/quota_gateway/fault_bench/load.py
@@ -102,7 +102,7 @@
     """How a request ended, and when its client may retry if it was told."""
 
     outcome: RequestOutcome
-    retry_after_ms: float = 0.0
+    retry_after_ms: float = 0.0  # 0: it was not told
 
 
 class LoadGenerator:
--- a/quota_gateway/fault_bench/process_faults.py
+++ b/quota_gateway/fault_bench/process_faults.py
@@ -39,8 +39,10 @@
             await managed.start()
         case "upgrade":
             await managed.upgrade()
-        case _:
+        case "descriptors" | "memory" | "full":
             return _limit(managed, LIMITS[step.do], int(step.amount))
+        case _:
+            raise ValueError(f"{step.do}: no fault of processes")
     return nothing
 
 
@@ -70,6 +72,7 @@
 
 
 def _limit(managed: ManagedGateway, which: int, amount: int) -> Undo:
+    """Lower a limit of the kernel's (bytes, or descriptors); lifted to the bench's own hard limit."""
     managed.limit(which, amount)
 
     async def lift() -> None:
--- a/quota_gateway/fault_bench/referee.py
+++ b/quota_gateway/fault_bench/referee.py
@@ -212,7 +212,7 @@
             case RequestOutcome.CONNECTION_ENDED | RequestOutcome.NO_REPLY:
                 self._judge_lost(request, record)
             case RequestOutcome.NOT_ACCEPTED:
-                self._judge_not_accepted(request, record)
+                self._count_not_accepted(request, record)
             case _:
                 self._judge_answer(request, record)
 
@@ -228,13 +228,15 @@
         self.referee.answered(judged, record.outcome is RequestOutcome.REJECTED, record.time_ms)
 
     def _judge_lost(self, request: JudgedRequest, record: records.RequestEnded) -> None:
+        """No reply: a breach if it never came, or if the connection ended after an attempt had arrived."""
         request.judged.lost = True
         if self._is_excused(request, record.time_ms, Excuse.LOST):
             self.excused[Excuse.LOST.value] += 1
         elif record.outcome is RequestOutcome.NO_REPLY or request.arrived_attempts:
             self.referee.breach("lost", f"{request.judged.name}: {record.outcome}")
 
-    def _judge_not_accepted(self, request: JudgedRequest, record: records.RequestEnded) -> None:
+    def _count_not_accepted(self, request: JudgedRequest, record: records.RequestEnded) -> None:
+        """Nobody took the request, so no rule is broken: its client may retry."""
         request.judged.lost = True
         if self._is_excused(request, record.time_ms, Excuse.LOST):
             self.excused[RequestOutcome.NOT_ACCEPTED.value] += 1
--- a/quota_gateway/fault_bench/server_faults.py
+++ b/quota_gateway/fault_bench/server_faults.py
@@ -21,8 +21,10 @@
                 server.model.failing = True
             case "mute":
                 server.mute = True
-            case _:
+            case "drain" | "release":
                 bench.set_state(server, api.ServerState.DRAINING)
+            case _:
+                raise ValueError(f"{step.do}: no fault of servers")
 
     async def restore() -> None:
         for server in servers:
--- a/quota_gateway/net/clients/command_dispatcher.py
+++ b/quota_gateway/net/clients/command_dispatcher.py
@@ -46,7 +46,8 @@
     def _call(self, client: Client, command: list[bytes]) -> None:
         driver = self._driver
         try:
-            # A command behind the most in flight has waited here since it came: its client counts that.
+            # A command behind the most in flight has waited here, at least since the latest read, and its
+            # client's timeout has run meanwhile.
             call = self.parser.parse(command, driver.clock() - client.last_read_ms)
             request = call.request
             if request.request_id in driver.requests:
--- a/quota_gateway/net/clients/connection.py
+++ b/quota_gateway/net/clients/connection.py
@@ -23,7 +23,7 @@
 
 log = logging.getLogger(__name__)
 
-LINGER_S = 0.4  # for what still comes behind a close; with COMMAND_TIMEOUT_S below 3 s
+LINGER_S = 0.4  # for what still comes behind a close; LINGER_S + COMMAND_TIMEOUT_S stay below 3 s
 
 
 class ClientState(Enum):
@@ -49,6 +49,12 @@
     Its parts know nothing of each other or of it: ``stream`` parses, ``throttle`` pauses reading,
     ``command_timer`` bounds the wait for a command, ``replies`` keeps the order. This class is what joins
     them: each event of the transport, and each reply that comes, leads through ``_parse`` or ``flush``.
+
+    Calls that come back within a call: writing may call ``pause_writing``, a command that is answered at once
+    calls ``flush`` within ``_parse``, and ``flush`` calls ``_parse`` where commands wait for a free place.
+
+    There is no ``eof_received``: a client that closes its direction counts as gone, and what it is owed is
+    dropped.
     """
 
     def __init__(self, clients: ClientRegistry, waited_s: float = 0.0) -> None:
@@ -68,7 +74,7 @@
         self.command_timer = CommandTimer(clients.loop, waited_s)
         self.is_parsing = False
         self.is_parsing_blocked = False  # the most are in flight, or the client is stuck: commands wait
-        self.last_read_ms = 0.0  # when the last bytes came, by the driver's clock
+        self.last_read_ms = 0.0  # when the latest bytes came, by the driver's clock
         self.bad_commands = 0  # in a row
         self.total_read_bytes = 0  # in all
 
@@ -144,11 +150,11 @@
         """Read and discard what comes behind the last command, up to a bound.
 
         Only so is the client's end seen, and a close does not reset the connection under the answers before
-        it. A client that never stops sending is cut off at the bound.
+        it. At the bound reading is paused, and a client that still sends once it lingers is cut off.
         """
         self.throttle.discarded_bytes += nbytes
         if self.state is ClientState.LINGERING and self.throttle.is_discard_exhausted():
-            self.abort()
+            self.end_lingering()
         else:
             self._update_reading()
 
@@ -274,7 +280,7 @@
     # ---- Slow clients
 
     def pause_writing(self) -> None:
-        """Called by the event loop as the client takes no more for now: nothing more is read from it."""
+        """Called by the event loop as the client takes no more for now: no further command is read."""
         assert self.transport
         self.replies.is_stuck = True
         self._update_reading()
@@ -349,7 +355,7 @@
 
     # ---- The end
 
-    def close(self, reason: CloseReason = CloseReason.BETWEEN_REQUESTS) -> None:
+    def close(self, reason: CloseReason = CloseReason.IN_ORDER) -> None:
         """Half-close behind the replies that were written; commands without a reply are dropped.
 
         The one way to end a connection in order. What still comes is read and discarded for a short time: a
@@ -368,16 +374,20 @@
         try:
             self.transport.write_eof()
         except (OSError, RuntimeError):  # the connection has ended meanwhile
-            self.abort()
+            self.end_lingering()
 
     def close_idle(self) -> None:
         """Close unless something is owed on it, or about to be."""
         if self.can_write_replies() and not self.replies.slots and not self.has_unread_bytes():
             self.close()
 
-    def abort(self, reason: CloseReason = CloseReason.BETWEEN_REQUESTS) -> None:
+    def abort(self, reason: CloseReason) -> None:
         """End at once; what the client has not taken is lost. After a close the reason of that one stands."""
         self.close_reason = self.close_reason or reason
+        self.end_lingering()
+
+    def end_lingering(self) -> None:
+        """End a connection that was closed before; what it still has to write is lost."""
         if self.transport:
             self.transport.abort()
 
@@ -386,7 +396,7 @@
         if self.transport and self.transport.get_write_buffer_size():
             self.stall_timer.start(self.transport, self._on_stalled)
         else:
-            self.abort()
+            self.end_lingering()
 
     def detach(self) -> None:
         """Release the socket: another process has it by now."""
--- a/quota_gateway/net/clients/registry.py
+++ b/quota_gateway/net/clients/registry.py
@@ -193,7 +193,7 @@
             if oldest is None or oldest.transport is None:
                 return
             del self.lingering[oldest]
-            oldest.abort()
+            oldest.end_lingering()
 
     def enforce_unsent_budget(self) -> None:
         """Close the client that holds most, if more reply bytes wait to be written than may.
--- a/quota_gateway/net/clients/replies.py
+++ b/quota_gateway/net/clients/replies.py
@@ -22,7 +22,7 @@
         self.value: StreamedValue | None = None
 
     def fill(self, answer: bytes) -> None:
-        """Take the command's one reply."""
+        """Take the command's one reply. Not called once the client is gone: the driver drops the answer."""
         self.answer = answer
         self.connection.owe(len(answer))
         self.connection.flush()
--- a/quota_gateway/net/clients/reply_queue.py
+++ b/quota_gateway/net/clients/reply_queue.py
@@ -28,8 +28,10 @@
     def __init__(self, unsent_budget: ByteBudget) -> None:
         self._unsent_budget = unsent_budget  # over all clients
         self.slots: deque[ReplySlot] = deque()
-        self.is_stuck = False  # the client does not take its replies
-        self.unsent_bytes = 0
+        # The client does not take its replies: the transport holds more than its high-water mark, 64 KiB or,
+        # behind a streamed value, nothing.
+        self.is_stuck = False
+        self.unsent_bytes = 0  # of replies that wait for their turn; not of streamed values
         self.total_written_bytes = 0  # in all
 
     def is_full(self) -> bool:
@@ -37,7 +39,7 @@
         return len(self.slots) >= MAX_PIPELINED
 
     def count_unsent(self, added_bytes: int) -> None:
-        """Count what the client is owed and has not been written."""
+        """Count bytes of replies that wait for their turn; negative as they go to the transport."""
         self.unsent_bytes += added_bytes
         self._unsent_budget.add(added_bytes)
 
@@ -70,7 +72,7 @@
 
     def _stream(self, value: StreamedValue, transport: asyncio.Transport) -> None:
         """Write what there is of a streamed value; its source goes on while the client takes everything."""
-        # From now on the client is stuck as soon as it does not take everything.
+        # From now on, a write that leaves anything over calls ``pause_writing`` at once.
         transport.set_write_buffer_limits(0)
         held = value.take()
         if held:
--- a/quota_gateway/net/clients/stall_timer.py
+++ b/quota_gateway/net/clients/stall_timer.py
@@ -9,18 +9,21 @@
 
 
 class StallTimer:
-    """Calls back when a peer took nothing from its transport for the timeout; a slow client takes some."""
+    """Calls back when a peer took nothing from its transport for the timeout; a slow client takes some.
 
-    __slots__ = ("_timer", "_waiting_bytes")
+    It looks once a timeout, so a stall is seen after one to two of them. Nothing may be written meanwhile.
+    """
+
+    __slots__ = ("_timer", "_buffered_bytes")
 
     def __init__(self) -> None:
         self._timer: asyncio.TimerHandle | None = None
-        self._waiting_bytes = 0
+        self._buffered_bytes = 0
 
     def start(self, transport: asyncio.Transport, on_stalled: Callable[[], None]) -> None:
         """Watch from now on."""
         self.cancel()
-        self._waiting_bytes = transport.get_write_buffer_size()
+        self._buffered_bytes = transport.get_write_buffer_size()
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(STALL_TIMEOUT_S, self._on_timeout, transport, on_stalled)
 
@@ -30,7 +33,7 @@
             self._timer.cancel()
 
     def _on_timeout(self, transport: asyncio.Transport, on_stalled: Callable[[], None]) -> None:
-        if transport.get_write_buffer_size() < self._waiting_bytes:
+        if transport.get_write_buffer_size() < self._buffered_bytes:
             self.start(transport, on_stalled)
         else:
             on_stalled()
--- a/quota_gateway/net/close_reason.py
+++ b/quota_gateway/net/close_reason.py
@@ -8,10 +8,10 @@
 class CloseReason(Enum):
     """Why this gateway ends a client's connection; the value is the text of the log and of the counters.
 
-    Only ``BETWEEN_REQUESTS`` is a close in order: the others may leave requests without an answer.
+    Only ``IN_ORDER`` leaves no reply owed: the others may end requests without an answer.
     """
 
-    BETWEEN_REQUESTS = "between requests"
+    IN_ORDER = "in order"  # between requests, or behind the error that ends the connection
     VALUE_BROKE_OFF = "a long value broke off"  # nothing else tells the client that it is incomplete
     STALLED = "the client takes no replies"
     UNSENT_BUDGET = "too many unsent bytes of replies"  # over all clients; this one held most
--- a/quota_gateway/net/servers/connection.py
+++ b/quota_gateway/net/servers/connection.py
@@ -198,9 +198,11 @@
         self.attempt = None
         reply = self.servers.reply_reader.read(decoded.parsed) if attempt else None
         if reply is None or not decoded.is_clean or reply.malformed:
-            self.close(api.Status.RESET)  # what follows can't be told apart from the next reply
+            # What follows can't be told apart from the next reply. The attempt is off already: it ends with
+            # its reply below, not with this status.
+            self.close(api.Status.RESET)
         else:
-            self.servers.release(self)
+            self.servers.release(self)  # before the attempt's end, so that what follows may use it
         if attempt and reply:
             attempt.finish(reply)
 
@@ -212,7 +214,7 @@
         if sink is None:
             self.close(api.Status.CANCELLED)  # nobody waits for it
             return
-        if self.closed:
+        if self.closed:  # by what the sink's first bytes led to
             sink.end(False)
             return
         self._enter(ConnectionState.STREAMING)
@@ -235,7 +237,9 @@
             self.sink.write(data[:in_value])
         if not self.decoder.is_value_complete():
             return None
-        if not self.decoder.take_line_end(data[in_value:]) or not self.sink:
+        if not self.decoder.take_line_end(data[in_value:]):
+            return None
+        if not self.sink:  # closed by the write: the client has gone
             return None
         self._end_stream(True)
         return self.decoder.resume_reply(self.attempt is not None)
--- a/quota_gateway/net/servers/reply_decoder.py
+++ b/quota_gateway/net/servers/reply_decoder.py
@@ -21,7 +21,7 @@
 class DecodedReply(NamedTuple):
     """What the parser made of a reply, and whether nothing but this one complete reply has come."""
 
-    parsed: object  # False: beyond the bounds, or out of turn
+    parsed: object  # False: incomplete, and beyond the bound or out of turn
     is_clean: bool
 
 
@@ -52,7 +52,8 @@
     def __init__(self) -> None:
         self._parser = hiredis.Reader(replyError=ServerError)
         self._lengths = DeclaredLengths(STREAMED_VALUE_BYTES, is_replies=True)
-        self._head = b""  # bytes that do not tell yet what they begin
+        # Bytes held back: those that do not tell yet what they begin, or what stands behind a long value.
+        self._head = b""
         self._is_head_read = False
         self._unparsed_bytes = 0
         self._value_words = 0  # of the reply that a long value begins
