--- a/quota_gateway/policy/__init__.py
+++ b/quota_gateway/policy/__init__.py
@@ -1,1 +1,4 @@
-"""Every decision of a gateway, a module each; ``gateway`` on top. No sockets, and no clock of its own."""
+"""The decisions of a gateway, one module for each; the module ``gateway`` combines them.
+
+Nothing here opens a socket or reads a clock: the time comes with each event.
+"""
--- a/quota_gateway/policy/admin_down.py
+++ b/quota_gateway/policy/admin_down.py
@@ -1,4 +1,4 @@
-"""Servers that are administratively down: taken out by operators, whatever discovery lists."""
+"""Servers that are administratively down: operators took them out of use, whatever discovery lists."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from quota_gateway.state import Context
 
 MAX_ADMIN_DOWN = 1024  # servers at once: bounds what operators can make the gateway store
-# After it is put back a server gets a request within this time, whether a draw falls to it or not.
+# A server that is put back gets a request within this time, even if no random choice falls on it.
 USE_WITHIN_MS = 1500.0
 
 
 class AdminDown:
-    """Takes servers out and puts them back."""
+    """Takes servers out of use and puts them back, as operators ask."""
 
     def __init__(self, context: Context, endpoint_list: EndpointList) -> None:
         self.context = context
@@ -20,10 +20,10 @@
         self.endpoints = endpoint_list.endpoints
 
     def on_server_admin_down(self, event: ServerAdminDown) -> bool:
-        """Take a server out or put it back.
+        """Take a server out of use or put it back. Returns whether anything changed.
 
-        A server put back counts as just started: operators restart what they take out, and discovery may not
-        tell for seconds. Returns whether anything changed.
+        A server that is put back counts as just started: operators restart the servers that they take out,
+        and discovery may take seconds to report the restart.
         """
         if not self.is_change(event):
             return False
@@ -37,7 +37,7 @@
         return True
 
     def is_change(self, event: ServerAdminDown) -> bool:
-        """Whether an operator's call changes anything: it is no repetition, and there is room for it."""
+        """Whether an operator's call is no repetition and ``MAX_ADMIN_DOWN`` leaves room for it."""
         admin_down = self.endpoints.admin_down
         if event.admin_down == (event.server in admin_down):
             return False
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -19,7 +19,11 @@
 
 
 class Queue(NamedTuple):
-    """The request waits; above 0 is the time until the rate ceiling has units for it."""
+    """The request waits in the queue.
+
+    ``rate_ceiling_wait_ms`` is the time until the rate ceiling has units for it; 0 if it waits for something
+    else.
+    """
 
     rate_ceiling_wait_ms: float
 
@@ -33,7 +37,7 @@
 QUEUE = Queue(0.0)
 GIVE_UP_OVER_RATE_CEILING = GiveUp(GiveUpReason.OVER_RATE_CEILING)
 
-# Looked up once, as these are compared whenever a queued request is tried again.
+# Looked up once, as they are compared whenever a queued request is tried again and an enum lookup is slow.
 HELD = RequestState.HELD
 QUEUED = RequestState.QUEUED
 
@@ -41,7 +45,8 @@
 class Admission:
     """Decides on new and queued requests, and carries the decisions out.
 
-    The methods that return a decision change nothing but the random numbers that their docstrings name.
+    The methods that return a decision change no state, but some of them draw random numbers: their docstrings
+    say so.
     """
 
     def __init__(
@@ -93,12 +98,14 @@
     def longest_hold_ms(self, request: Request, request_class: RequestClass) -> float:
         """The longest delay for which a new request is held rather than rejected.
 
-        It ends with the client's timeout, with this gateway, and with the useful wait, which is scaled by the
-        class's priority weight. Without the scaling priorities would invert at a customer over its quota: its
-        excess settles where the class with the longest objective is still held, and classes with shorter
-        objectives, maybe of more weight, would always be rejected. The weight alone scales it, as only
-        requests of one customer, and so of one price, compete here; in the queue those of all customers
-        compete for the servers' time, so ``queue_priority`` counts price, units and latency as well.
+        It is bounded by the client's timeout, by the time until this gateway shuts down, and by the useful
+        wait, scaled by the class's priority weight. Without the scaling, priorities would invert for a
+        customer over its quota: its excess settles at a level where the class with the longest objective is
+        still held, and classes with shorter objectives, perhaps of more weight, would always be rejected.
+
+        Only the weight scales the useful wait, as only requests of one customer, and so of one price, compete
+        here. In the queue the requests of all customers compete for the servers' time, so ``queue_priority``
+        counts price, units and latency as well.
         """
         highest_weight = self.context.highest_priority_weight
         useful_ms = max(0.0, self.useful_wait_ms(request_class)) * request_class.priority_weight
@@ -106,7 +113,7 @@
         return min(request.client_timeout_ms, remaining_ms, useful_ms / highest_weight)
 
     def _exceeded_limit(self, request: Request, customer: Customer, plan: Plan) -> GiveUpReason | None:
-        """A limit other than the quota for which a new request is rejected; may draw a random number."""
+        """Why to reject a new request for a limit other than the quota, or None; may draw a random number."""
         if request.is_retry and self.quota_meter.has_share_below_one_request(customer, plan):
             return GiveUpReason.THIN_SHARE_RETRY
         if self.concurrency_cap.rejects_for_overuse(customer, plan, self.context.now_ms):
@@ -116,7 +123,7 @@
     def quota_decision(
         self, request: Request, request_class: RequestClass, customer: Customer, plan: Plan
     ) -> Admit | Hold | RejectOverQuota:
-        """The quota meter's decision, but for holds that would last too long: these are rejected."""
+        """The quota meter's decision; a hold that would last too long becomes a rejection."""
         decision = self.quota_meter.decide(customer, plan, request.units, self.context.now_ms)
         if not isinstance(decision, Hold):
             return decision
@@ -125,9 +132,10 @@
         return decision
 
     def _reject(self, request: Request, customer: Customer, plan: Plan, reason: GiveUpReason) -> None:
-        """Reject a new request, with the time after which its customer's quota share has room for it.
+        """Reject a new request and advise to retry once its customer's quota share has room for it.
 
-        Without a quota a late reading of the concurrency cap has rejected it: the next reading may not.
+        In a plan without a quota the request was rejected because of a late reading of the concurrency cap's
+        use. The client may then retry after a meter period, as the next reading may let the request pass.
         """
         self.responses.count_given_up(reason, plan)
         if plan.rate:
@@ -139,7 +147,7 @@
         self.responses.reject(request.request_id, retry_after_ms)
 
     def _admit(self, pending: PendingRequest, decision: Admit | Hold) -> None:
-        """Take a request; it is sent or queued at once, or at the end of its hold."""
+        """Take a request: send or queue it at once, or at the end of its hold."""
         self.pending_requests.add(pending)
         self.responses.peer_usage.report(pending.customer, pending.request.units)
         self.responses.arm_deadline(pending)
@@ -153,10 +161,10 @@
         if pending.state is HELD:
             self._send_or_queue(pending)
 
-    # ---- Requests that were admitted
+    # ---- Admitted requests
 
     def placement(self, pending: PendingRequest) -> Server | Queue | GiveUp:
-        """The server for a request's first attempt, or why there is none; the choice of a server draws."""
+        """The server for the first attempt, or why there is none; choosing a server draws random numbers."""
         now_ms = self.context.now_ms
         wait_ms = self.rate_ceiling.wait_ms(pending, now_ms)
         if wait_ms >= pending.deadline_ms - now_ms:
@@ -167,7 +175,7 @@
             return QUEUE
         if self.concurrency_limit.is_reached(pending.draw):
             return QUEUE
-        return self.server_selection.first(pending) or QUEUE
+        return self.server_selection.for_first_attempt(pending) or QUEUE
 
     def _send_or_queue(self, pending: PendingRequest) -> None:
         """Carry out the placement of a request that waits for its first attempt."""
@@ -189,7 +197,7 @@
         shed = self.request_to_shed()
         if shed:
             self.responses.reject_or_fail(shed, GiveUpReason.QUEUE_FULL)
-        # At most one timer for each request: whenever an attempt ends, all that are queued are tried again.
+        # At most one timer for each request, as all queued requests are tried again whenever an attempt ends.
         if rate_ceiling_wait_ms and pending.state is QUEUED and not pending.rate_ceiling_timer_armed:
             pending.rate_ceiling_timer_armed = True
             delay_ms = rate_ceiling_wait_ms + self.context.settings.tick_ms
@@ -198,8 +206,9 @@
     def request_to_shed(self) -> PendingRequest | None:
         """The queued request of least priority, if more are queued than may be in flight at once.
 
-        A longer queue would outlast the latency objective of what waits in it. Without any listed server
-        there is nothing to measure it by; with servers that are listed and not ready it stays bounded.
+        Requests in a longer queue would wait beyond their latency objective. While no server is listed,
+        nothing is shed, as there is no capacity to compare the queue with. While servers are listed but not
+        ready, the queue stays bounded.
         """
         queued = self.pending_requests.queued
         if not self.server_selection.endpoints.servers:
@@ -214,16 +223,16 @@
             self._send_or_queue(pending)
 
     def _on_useful_wait_ended(self, pending: PendingRequest) -> None:
-        """A response could no longer be within the objective.
+        """Give up a queued request whose response could no longer come within the latency objective.
 
-        As long as no server is ready, whether some are listed or not, the request waits on: giving it up
-        would not let another one be served.
+        While no server is ready, whether some are listed or not, the request stays queued: giving it up would
+        not let another request be served.
         """
         if pending.state is QUEUED and self.server_selection.endpoints.ready:
             self.responses.reject_or_fail(pending, self.queued_reason(pending))
 
     def queued_reason(self, pending: PendingRequest) -> GiveUpReason:
-        """What a queued request waits for, as the reason for which it is given up."""
+        """The reason to give up a queued request: what it waits for."""
         now_ms = self.context.now_ms
         if self.concurrency_cap.is_reached(pending, now_ms):
             return GiveUpReason.QUEUED_FOR_CONCURRENCY_CAP
--- a/quota_gateway/policy/attempts.py
+++ b/quota_gateway/policy/attempts.py
@@ -17,7 +17,7 @@
 
 
 class Attempts:
-    """Owns the retry budget; moves requests from attempt to attempt to the final answer."""
+    """Owns the retry budget; makes the attempts of each request until it has its final answer."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         )
 
     def send(self, pending: PendingRequest, server: Server) -> None:
-        """Send an attempt; the customer's ceiling or the retry budget is charged for it."""
+        """Send an attempt; a first one is charged to the rate ceiling, a further one to the retry budget."""
         request_id = pending.request.request_id
         now_ms = self.context.now_ms
         if pending.attempts_started == 0:
@@ -54,9 +54,9 @@
         number = self.pending_requests.start_attempt(pending, server, now_ms)
         self.context.decay.attempts_started += 1
         self.concurrency_limit.add(request_id, number)
-        begin_within_ms = idempotency_window_left_ms(pending, now_ms) or 0.0  # 0: nothing bounds it
+        begin_within_ms = idempotency_window_left_ms(pending, now_ms) or 0.0  # 0: no bound
         self.context.actions.append(Send(request_id, server.id, begin_within_ms=begin_within_ms))
-        # The hedging delay, and the time after which silence is a failure.
+        # Both the hedging delay and the time after which an attempt without a response counts as a failure.
         threshold_ms = LATENCY_THRESHOLD_RATIO * pending.request_class.latency_objective_ms
         self.context.arm(threshold_ms, self._on_latency_threshold, (pending, number))
 
@@ -89,14 +89,14 @@
         return True
 
     def _record_metered_use(self, pending: PendingRequest, metered_use_percent: float) -> None:
-        """Take over the late reading of the customer's use by all gateways."""
+        """Store a late reading of the customer's use over all gateways; report it to any next process."""
         self.responses.quota_meter.record_reading(pending.customer, metered_use_percent, self.context.now_ms)
         self.responses.peer_usage.report(pending.customer, 0.0, metered_use_percent)
 
     def _retry_or_answer(self, pending: PendingRequest, status: Status, failed: Attempt) -> None:
-        """After a failed attempt: retry where class, budget and time allow it, else answer.
+        """After a failed attempt, retry if class, budget and time allow it, else give the final answer.
 
-        While another attempt is in flight, or a response streams, that one decides.
+        While another attempt is in flight, or a response streams, the outcome of that one decides instead.
         """
         if not status.is_certainly_not_run and pending.first_possible_run is None:
             pending.first_possible_run = failed
@@ -109,8 +109,8 @@
             self.responses.reject_or_fail(pending, GiveUpReason.of_attempt(status))
 
     def _retry_server(self, pending: PendingRequest, status: Status) -> Server | None:
-        """The server for a retry, or None if there is to be none; the choice of a server draws."""
-        if status is Status.NOT_SENT:  # the time for it had passed before its first byte
+        """The server for a retry, or None if it is not allowed; choosing a server draws random numbers."""
+        if status is Status.NOT_SENT:  # ``begin_within_ms`` passed before its first byte
             return None
         if self.context.now_ms >= pending.deadline_ms:
             return None
@@ -122,7 +122,7 @@
         """Record that a response has begun to stream.
 
         The latency is measured here: what the rest of the response takes depends on the client's pace.
-        Returns whether that was news: then there may be capacity for queued requests.
+        Returns whether this was the first report of it: then there may be capacity for queued requests.
         """
         pending = self.pending_requests.pending_with(event)
         if pending is None or pending.state.is_streaming:
--- a/quota_gateway/policy/concurrency_limit.py
+++ b/quota_gateway/policy/concurrency_limit.py
@@ -12,26 +12,26 @@
 from quota_gateway.api import RequestClass
 from quota_gateway.state import AttemptKey, Context, Latencies, PendingRequest, Server
 
-INITIAL_LATENCY_RATIO = 0.2  # of a class's latency objective: its mean latency until responses were seen
+INITIAL_LATENCY_RATIO = 0.2  # of a class's latency objective: mean latency assumed until responses come
 MEAN_LATENCY_WEIGHT = 0.03  # of one response in a class's mean latency
 SERVER_LATENCY_WEIGHT = 0.15  # of one response in a server's relative latency
 INITIAL_ATTEMPTS_PER_SERVER = 2.0  # over all gateways
-MIN_INITIAL_LIMIT = 2.0  # attempts: a single slow one must not stop all others,
-MAX_INITIAL_ATTEMPTS_PER_SERVER = 6.0  # but over all gateways, however many, no more than this
-MIN_LIMIT = 0.3  # attempts: with fewer there are too few responses to recover by
+MIN_INITIAL_LIMIT = 2.0  # attempts: with less, a single slow one would stop all others
+MAX_INITIAL_ATTEMPTS_PER_SERVER = 6.0  # over all gateways: bounds MIN_INITIAL_LIMIT
+MIN_LIMIT = 0.3  # attempts: with less, too few responses come for the limit to recover
 LIMIT_INCREASE = 0.035  # attempts for each quick response while the limit is used up
-LIMIT_DECREASE = 0.3  # attempts for each slow response: one in ten keeps the limit level
+LIMIT_DECREASE = 0.3  # attempts for each slow response; if one in ten is slow, the limit stays level
 QUICK_RATIO = 0.3  # of the latency objective: faster responses raise the limit
 # Of the latency objective. A response slower than this threshold lowers the limit. An attempt without one by
-# then no longer counts, is a failure of its server and may be hedged: policy/attempts.py has the timer.
+# then no longer counts, is a failure of its server and may be hedged: policy/attempts.py arms the timer.
 LATENCY_THRESHOLD_RATIO = 0.5
 MAX_QUICK_SERVERS = 10  # remembered for each class
 
 
 class AdaptiveConcurrencyLimit:
-    """Limit on attempts within their latency threshold, and the latencies that move it.
+    """Limit on attempts within their latency threshold, and the latencies by which it is adjusted.
 
-    Without it servers that have become slow, whatever the cause, would get work faster than they finish it,
+    Without it, servers that have become slow, whatever the cause, would get work faster than they finish it,
     and all responses would come past their objective. There is one limit over all servers, as a limit
     for each server would see a response only every few seconds. Attempts past their threshold do not count,
     so that servers that hang do not stop the work of the others.
@@ -51,15 +51,15 @@
         return {item.name: observed_ms.get(item.name, self.initial_latency_ms(item)) for item in classes}
 
     def initial_latency_ms(self, request_class: RequestClass) -> float:
-        """A class's mean latency until responses were seen."""
+        """The mean latency assumed for a class until responses come."""
         return request_class.latency_objective_ms * INITIAL_LATENCY_RATIO
 
     def start(self, servers: int, gateways: int) -> None:
-        """Set the limit by the first endpoint list: an even part of a cautious limit at each server.
+        """Set a cautious limit by the first endpoint list.
 
-        By this gateway's even part of the servers: ``INITIAL_ATTEMPTS_PER_SERVER`` for each. Where that is
-        less than ``MIN_INITIAL_LIMIT``, it is raised to that, but to no more than
-        ``MAX_INITIAL_ATTEMPTS_PER_SERVER`` for each.
+        It is ``INITIAL_ATTEMPTS_PER_SERVER`` for each server, divided evenly by the number of gateways. Where
+        that is less than ``MIN_INITIAL_LIMIT``, it is raised to that, but to no more than an even part of
+        ``MAX_INITIAL_ATTEMPTS_PER_SERVER`` for each server.
         """
         servers_per_gateway = servers / gateways
         self.limit = max(
@@ -88,7 +88,7 @@
         self.attempts_within_threshold.discard(AttemptKey(request_id, attempt))
 
     def on_response(self, server: Server, request_class: RequestClass, latency_ms: float) -> None:
-        """Learn from a good response, or from the beginning of one."""
+        """Adjust the limit and the mean latencies by a successful response, or by the beginning of one."""
         is_quick = latency_ms < QUICK_RATIO * request_class.latency_objective_ms
         self.latencies.record_quick(server, request_class.name, is_quick)
         self.limit = self.limit_after(request_class, latency_ms)
@@ -99,17 +99,17 @@
         if latency_ms > LATENCY_THRESHOLD_RATIO * request_class.latency_objective_ms:
             return max(MIN_LIMIT, self.limit - LIMIT_DECREASE * min(1.0, self.limit))
         is_quick = latency_ms < QUICK_RATIO * request_class.latency_objective_ms
-        # Used up: the attempt that has ended and one more would not have fitted.
+        # Used up: the limit had no room for one more attempt beside the one that has ended.
         if is_quick and len(self.attempts_within_threshold) + 2 >= self.limit:
             return self.limit + LIMIT_INCREASE
         return self.limit
 
     def queue_wait_ms(self, request_class: RequestClass, queued: int) -> float:
-        """How long the queue takes to be served, as many requests as the limit in each mean latency."""
+        """Time until the queue has been served, at as many requests as the limit in each mean latency."""
         mean_latency_ms = self.latencies.mean_ms[request_class.name]
         return (1.0 + queued / max(1.0, self.limit)) * mean_latency_ms
 
     def queue_priority(self, pending: PendingRequest) -> float:
-        """Priority in the queue: the request's value for the time that a server works for it."""
+        """Priority in the queue: the request's value relative to the time that a server works on it."""
         value = pending.request_class.priority_weight * pending.plan.price * pending.request.units
         return value / self.latencies.mean_ms[pending.request_class.name]
--- a/quota_gateway/policy/customers.py
+++ b/quota_gateway/policy/customers.py
@@ -1,8 +1,8 @@
-"""Customers: which are remembered, and by which settings each one's row is brought up to date.
+"""Customers: keeps a row for each recent customer, and brings rows up to date after changes of settings.
 
 A change of settings begins an epoch, and every row lags behind it. Rows with pending requests are brought up
-to date at once, the others when their next request comes or in small steps, as tens of thousands at once
-would stop the event loop.
+to date at once, the others when their next request comes or in small steps: tens of thousands at once would
+block the event loop.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
         return customer
 
     def request_ended(self, pending: PendingRequest) -> None:
-        """A request is over; the last one from before a change of limits ends its customer's transition."""
+        """Note a finished request; the last one from before a change of limits ends the transition."""
         customer = pending.customer
         if customer.transition_plan is None or pending.settings_epoch >= customer.transition_epoch:
             return
@@ -60,30 +60,30 @@
     # ---- Eviction
 
     def _evict_idle(self, now_ms: float) -> None:
-        """Forget the least recently used rows that have become as new, a bounded number a request."""
+        """Evict the least recently used rows that are no longer needed, a bounded number for each request."""
         for _ in range(EVICTION_CHECKS_PER_REQUEST):
             key = next(iter(self.rows))
             customer = self.rows[key]
             self._catch_up_if_lagging(customer)
             if customer.pending_count or customer.peer_occupied_places:
-                # Its row counts towards the concurrency cap. Moved, so that it does not keep those behind it.
+                # The row counts towards the concurrency cap. Moved, so that rows behind it can be evicted.
                 self.rows.move_to_end(key)
                 continue
             plan = self.epochs.plan(key[0])
-            if plan is None:  # retired for so long that it is forgotten itself
+            if plan is None:  # the plan was retired so long ago that it is forgotten
                 del self.rows[key]
                 return
-            if not self._is_as_new(customer, plan, now_ms):
+            if not self._can_evict(customer, plan, now_ms):
                 return
-            if len(self.rows) > 1:  # the only row is the one that was asked for
+            if len(self.rows) > 1:  # the only row left is the one that was asked for
                 del self.rows[key]
 
-    def _is_as_new(self, customer: Customer, plan: Plan, now_ms: float) -> bool:
-        """Whether a row that is added anew would say the same."""
+    def _can_evict(self, customer: Customer, plan: Plan, now_ms: float) -> bool:
+        """Whether a new row for the customer would lead to the same decisions."""
         unseen_units = self.rate_ceiling.unseen_level_units(plan, customer.serving_gateways, now_ms)
         if self.rate_ceiling.level_units(customer, plan, now_ms) < unseen_units:
             return False
-        return self.quota_meter.is_as_new(customer, plan, now_ms)
+        return self.quota_meter.can_forget(customer, plan, now_ms)
 
     # ---- Changes of settings
 
@@ -110,7 +110,7 @@
             customer.ceiling_level_units = min(customer.ceiling_level_units, capacity_units)
 
     def catch_up_last(self, count: int) -> None:
-        """Bring the last ``count`` lagging rows up to date; those of plans that are forgotten go."""
+        """Bring the last ``count`` lagging rows up to date; delete idle ones of forgotten plans."""
         for key in self.epochs.lagging_customers[-count:]:
             customer = self.rows.get(key)
             if customer is None:
--- a/quota_gateway/policy/drain.py
+++ b/quota_gateway/policy/drain.py
@@ -1,4 +1,4 @@
-"""Drain: the steps by which a gateway is emptied of its clients, and taken back into service."""
+"""Drain: the steps by which a gateway moves its clients to other gateways, and how a drain is undone."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 # Load balancers are notified when a drain begins and have until the first step to notice. From then on client
-# connections close as they become idle, after the last step at once.
+# connections are closed once they have been idle for ``keep_idle_ms``, after the last step at once.
 DRAIN_STEPS = (DrainStep(800.0, 300.0), DrainStep(1500.0, 0.0))
 RETRY_ELSEWHERE_MS = 200.0  # Retry-After once drained: other gateways serve the client
 
@@ -34,7 +34,7 @@
     def __init__(self, context: Context) -> None:
         self.context = context
         self.state = DrainState.SERVING
-        self.drain_number = 0  # changes as a drain begins or ends: timers of an earlier one do nothing
+        self.drain_number = 0  # changes when a drain begins or ends: timers of an earlier one do nothing
 
     @property
     def is_draining(self) -> bool:
@@ -56,7 +56,7 @@
         self._move_to(DrainState.DRAINING if event.active else DrainState.SERVING)
         self.drain_number += 1
         self.context.actions.append(SetServing(not event.active))
-        self.context.log("drained by an operator" if event.active else "drain ended by an operator")
+        self.context.log("drain begun by an operator" if event.active else "drain ended by an operator")
         if event.active:
             for step in DRAIN_STEPS:
                 self.context.arm(step.after_ms, self._on_step, ScheduledStep(self.drain_number, step))
--- a/quota_gateway/policy/endpoint_list.py
+++ b/quota_gateway/policy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Endpoint list: which servers there are, and when discovery is asked for them."""
+"""Endpoint list: which servers there are, and when to subscribe to discovery for them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class EndpointList:
-    """Takes over discovery's lists and refreshes what is derived from them."""
+    """Takes over the lists that discovery sends and refreshes the state derived from them."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         self.epochs = epochs
 
     def on_server_list(self, event: ServerList) -> bool:
-        """Take over a list, or that a call for one failed. Returns whether servers may have changed."""
+        """Take over a list, or handle a failed call for one. Returns whether servers may have changed."""
         delay_ms = self.subscribe_delay_ms(event.kind)
         if delay_ms is not None:
             self.context.arm(delay_ms, self._subscribe, None)
@@ -40,7 +40,10 @@
         return True
 
     def subscribe_delay_ms(self, kind: ListKind) -> float | None:
-        """When to subscribe: at the start, and after a failure within the time that the contract sets."""
+        """Delay until the next subscription, or None if none is due.
+
+        It is 0 at the start; after a failure it keeps to the time that the contract sets.
+        """
         settings = self.context.settings
         if settings.discovery is not DiscoveryMode.POLL:
             return None
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -1,7 +1,7 @@
-"""The gateway: one event in, the actions that it gives rise to out.
+"""The gateway: takes one event at a time and returns the actions that follow from it.
 
-Each decision has a module of its own. This one builds them, from the bottom up, and holds the table of which
-part takes which event.
+Each decision has a module of its own. This one creates their objects, each after those it depends on, and
+holds the table of which object handles which event.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from quota_gateway.policy.slow_start import SlowStart
 from quota_gateway.state import Context, Endpoints, GiveUpReason, LoadReports, PendingRequests
 
-ESTIMATE_DECAY_MS = 4000.0  # time constant of estimates, so that a server is tried again; see `Decay`
+ESTIMATE_DECAY_MS = 4000.0  # time constant; after some time a failing server is tried again; see `Decay`
 
 Handler = Callable[[Any], None]
 
@@ -71,7 +71,7 @@
         self.handlers = self._handlers()
 
     def _handlers(self) -> dict[type, Handler]:
-        """Which part takes an event; `then_release` tries the queued requests again if it may help them."""
+        """The handler of each event; `then_release` tries queued requests again if it may help them."""
         then_release = self._then_release_queued
         return {
             api.Request: self._on_request,
@@ -111,11 +111,13 @@
     def _on_request(self, event: api.Request) -> None:
         """Pass a new request on to admission, if it is one that this gateway may serve."""
         if event.request_id in self.pending_requests.by_id:
-            return  # it is being served, and may have run: a rejection here would be its answer
+            return  # the pending request with this id may have run: a rejection would become its answer
         request_class = self.context.classes.get(event.class_name)
         plan = self.epochs.plans.get(event.plan)
         if request_class is None or plan is None:
-            self.context.log_once(f"rejected: unknown class {event.class_name!r} or plan {event.plan!r}")
+            self.context.log_once(
+                f"request rejected: unknown class {event.class_name!r} or plan {event.plan!r}"
+            )
             self.responses.reject(event.request_id, 0.0)
         elif self.drain.is_drained:
             self.responses.count_given_up(GiveUpReason.GATEWAY_DRAINED, plan)
--- a/quota_gateway/policy/hedging.py
+++ b/quota_gateway/policy/hedging.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeepWaiting:
-    """The attempt goes on alone."""
+    """The attempt goes on without a second one."""
 
 
 class SendHedge(NamedTuple):
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """The attempt is cancelled; when that has ended it, the request is retried."""
+    """The attempt is cancelled; once it has ended, the request is retried."""
 
 
 KEEP_WAITING = KeepWaiting()
@@ -65,7 +65,7 @@
         return self.outlier_detection.is_suspected(server, pending.failure_keys.request_class)
 
     def decide(self, pending: PendingRequest, server: Server) -> HedgeDecision:
-        """What becomes of a candidate's attempt at this server; the choice of another server draws."""
+        """What to do with a candidate's attempt; choosing another server draws random numbers."""
         if not may_retry(pending, self.context.limits.max_attempts, self.retry_budget):
             return KEEP_WAITING
         if self.concurrency_limit.is_reached():
--- a/quota_gateway/policy/outlier_detection.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -1,7 +1,8 @@
-"""Outlier detection: how likely a server fails a request. Nothing is ejected: failures raise its cost.
+"""Outlier detection: estimates how likely a server fails a request.
 
-Failures are recorded for a server as a whole, for a class there, and for a class of one plan there, as a
-server may fail for one of these and serve the others well.
+No server is ejected: failures raise its cost in the server selection. They are recorded for a server as a
+whole, for a class there, and for a class of one plan there, as a server may fail for one of these and serve
+the others well.
 """
 
 from __future__ import annotations
@@ -9,12 +10,12 @@
 from quota_gateway.api import Status
 from quota_gateway.state import Context, FailureRates, PendingRequest, Server
 
-# The key of a server as a whole is empty; the failures of all servers as a whole are recorded by zone.
+# Failures of a server as a whole have an empty key; over all servers these are recorded by zone.
 PRIOR_WEIGHT = 1.0  # outcomes: weight of the failures of all servers beside a server's own
 SUSPECTED_RATIO = 0.5  # failure rate from which a server is logged and its silent attempts are hedged
 
 
-# Failures at all servers that count beside a server's own: for a request's class, for the class of its plan.
+# Failures at all servers that count beside a server's own: for a request's class, and for its class and plan.
 FailurePriors = tuple[float, float]
 
 
@@ -31,15 +32,15 @@
             for key in pending.failure_keys:
                 self.rates.record(server, key, key or server.zone, failed=False)
             return
-        failed_key = self.failed_key(pending, status)
-        if failed_key is not None:
-            self.record_failure(server, failed_key, status.value)
+        failure_key = self.failure_key(pending, status)
+        if failure_key is not None:
+            self.record_failure(server, failure_key, status.value)
 
-    def failed_key(self, pending: PendingRequest, status: Status) -> str | None:
-        """The key under which a failure with this status is recorded; None if it shows nothing.
+    def failure_key(self, pending: PendingRequest, status: Status) -> str | None:
+        """The key under which a failure with this status is recorded; None if none is.
 
-        A connection that fails tells of the whole server, an error of the request's class there. An
-        overloaded server may reject one class of one plan and serve others.
+        A failed connection concerns the whole server, an error the request's class there. An overloaded
+        server may reject one class of one plan and serve others.
         """
         keys = pending.failure_keys
         if status is Status.OVERLOADED:
@@ -54,7 +55,9 @@
         """Record a failure under a key, and log the server if it is suspected now."""
         self.rates.record(server, key, key or server.zone, failed=True)
         if self.is_suspected(server, key):
-            self.context.log_once(f"server {server.id} suspected{' for ' if key else ''}{key}: {cause}")
+            self.context.log_once(
+                f"server {server.id} is a suspected outlier{' for ' if key else ''}{key}: {cause}"
+            )
 
     def is_suspected(self, server: Server, key: str) -> bool:
         """Whether a server fails so often under a key that silent attempts there should be hedged."""
@@ -70,9 +73,9 @@
         """How likely the request fails at a server, 0 to 1.
 
         A server that is silent, fails or rejects, for all requests or for a class or plan, would otherwise
-        keep its share of them. What fails there raises its cost for the next choice. While many servers fail,
-        those not tried yet come after those that answered. No server is excluded: the best of bad ones still
-        gets work.
+        keep its share of them. Each failure raises its cost for the next choice. While many servers fail,
+        those not tried yet come after those that answered. No server is excluded: if all of them fail, the
+        best one still gets requests.
         """
         zone_prior = self.rates.prior(server.zone)
         return self.rates.highest(server, pending.failure_keys, (zone_prior, *priors))
--- a/quota_gateway/policy/peer_usage.py
+++ b/quota_gateway/policy/peer_usage.py
@@ -1,4 +1,4 @@
-"""Peer usage: during a hot restart the processes before and after count as one gateway."""
+"""Peer usage: during a hot restart the previous and the next process count as one gateway."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 class PeerUsageExchange:
     """Owns whether the next process has taken over; reports customers' use to it.
 
-    The process before finishes its pending requests. They still use the customers' quotas and caps, which
-    the next process answers for; without reports each process would grant the whole share once.
+    The previous process finishes its pending requests. They still use the customers' quotas and caps, which
+    the next process enforces from then on; without reports each process would grant the whole share once.
     """
 
     def __init__(self, context: Context, pending_requests: PendingRequests, customers: Customers) -> None:
@@ -27,7 +27,7 @@
     def report(
         self, customer: Customer, charged_units: float, metered_use_percent: float | None = None
     ) -> None:
-        """Once handed over, report units charged, a reading of the meter and the places occupied here."""
+        """After the hand-over, report units charged, a meter reading and the places occupied here."""
         if self.peer_has_taken_over:
             plan_name, customer_name = customer.key
             occupied_places = self.pending_requests.occupied_places(customer)
@@ -36,7 +36,7 @@
             )
 
     def on_peer_usage(self, event: PeerUsage) -> bool:
-        """Charge a customer with its use at the process before this one; False if it is not known here."""
+        """Charge a customer with its use at the previous process; False if the customer is not known here."""
         customer = self.customers.rows.get((event.plan, event.customer))
         if customer is None:
             return False
@@ -49,7 +49,7 @@
         return True
 
     def on_peer_exited(self, _: PeerExited) -> bool:
-        """The other process, before or after this one, has ended: this one goes on alone."""
+        """The other process, the previous or the next one, has ended: this one alone is the gateway."""
         self.peer_has_taken_over = False
         for customer in self.customers.rows.values():
             customer.peer_occupied_places = 0
--- a/quota_gateway/policy/quota_meter.py
+++ b/quota_gateway/policy/quota_meter.py
@@ -1,7 +1,8 @@
-"""Quota meter: whether a customer's request is within its quota, without asking the other gateways.
+"""Quota meter: decides whether a request is within its customer's quota, without asking the other gateways.
 
 Each gateway keeps a leaky bucket for each customer and drains it by its share of the customer's rate. The
-shares are even; a late reading of the customer's use over all gateways may add a bonus to them.
+shares are even; a late reading of the customer's use over all gateways may add a bonus to them. Readings come
+with the outcomes of attempts and show the use of some time before, so they are called late.
 
 Excess is the bucket's level in milliunits, so that a rate in units a second is also one in milliunits a
 millisecond.
@@ -17,9 +18,10 @@
 
 MILLIUNITS_PER_UNIT = 1000.0
 REJECT_BURSTS = 2.0  # excess in bursts beyond which a request is rejected; between one and this it is held
-READING_LIFETIME_PERIODS = 4.0  # meter periods: a period, the reading's lateness, a gap in traffic
+READING_LIFETIME_PERIODS = 4.0  # meter periods: a period, the delay of the reading, a gap in traffic
 UNUSED_QUOTA_BONUS_RATIO = 0.2  # low: readings are late, and all gateways raise their shares by the same one
-# Requests by which the burst of a thin share grows while the customer's quota is wholly unused.
+# Requests by which the burst of a thin share (see ``has_share_below_one_request``) grows while the customer's
+# quota is wholly unused.
 THIN_BURST_BONUS_REQUESTS = 2.0
 THIN_BURST_BONUS_REQUESTS_IF_OVERUSE_COSTS = 1.0
 
@@ -31,7 +33,7 @@
 
 
 class Hold(NamedTuple):
-    """The request may go once the excess has drained to the burst."""
+    """The request may be sent once the excess has drained to the burst."""
 
     delay_ms: float
     excess_milliunits: float
@@ -39,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectOverQuota:
-    """The excess would be beyond what a hold may bridge."""
+    """The excess would be too large for the request to be held."""
 
 
 QuotaDecision = Admit | Hold | RejectOverQuota
@@ -49,10 +51,10 @@
 
 
 class QuotaMeter:
-    """Owns customers' excess, the demand they show here and the late readings of their use.
+    """Owns customers' excess, their demand at this gateway and the late readings of their use.
 
-    A request's demand is recorded first (``record_demand``), as the decision counts on it (``decide``). If
-    the request is taken, its excess is stored (``store_excess``); one over quota shows in the demand alone.
+    For each request ``record_demand`` comes first, as ``decide`` relies on it. If the request is taken,
+    ``store_excess`` stores its excess; a request over quota counts in the demand only.
     """
 
     def __init__(self, context: Context) -> None:
@@ -82,7 +84,7 @@
         return Hold(delay_ms, excess_milliunits) if delay_ms else Admit(excess_milliunits)
 
     def store_excess(self, customer: Customer, decision: Admit | Hold, now_ms: float) -> None:
-        """Store the excess of a request that is taken."""
+        """Store the excess that results from a request that is taken."""
         if decision.excess_milliunits is not None:
             customer.excess_milliunits = decision.excess_milliunits
             customer.excess_updated_ms = now_ms
@@ -119,15 +121,15 @@
         """Whether the even share is less than a request, in its burst and over a reading's lifetime.
 
         Such a share is called thin. Each gateway lets a customer's first request pass; where the share is
-        thin, these first ones add up to many times the quota, and no gateway hears of the customer often
-        enough to notice. A customer far over its quota gets there by trying the gateways in turn.
+        thin, these first requests add up to many times the quota, and no gateway gets requests of the
+        customer often enough to notice. A customer gets far over its quota by trying the gateways in turn.
 
-        So two rules hold for thin shares only. A marked retry is rejected: most likely another gateway
-        rejected it for quota, but a retry after a failure is rejected as well. And the last reading counts
-        until a request has drained; see ``_thin_burst_milliunits``.
+        So two rules hold for thin shares only. A request that is marked as a retry is rejected: most likely
+        another gateway rejected it for quota, but a retry after a failure is rejected as well. And the last
+        reading counts until the share has drained one request; see ``_thin_burst_milliunits``.
         """
-        is_below_one = plan.burst < customer.largest_request_units * customer.serving_gateways
-        return is_below_one and self._request_drain_ms(customer, plan) > self.reading_lifetime_ms
+        burst_is_below_one = plan.burst < customer.largest_request_units * customer.serving_gateways
+        return burst_is_below_one and self._request_drain_ms(customer, plan) > self.reading_lifetime_ms
 
     def _unused_ratio(self, customer: Customer, at_ms: float, lifetime_ms: float) -> float:
         """Part of the customer's quota that its late reading shows unused; 0 if the reading is too old."""
@@ -153,22 +155,22 @@
         self, customer: Customer, drain_milliunits_per_ms: float, units: float, at_ms: float
     ) -> float:
         """Excess in milliunits with a request added; negative where more has drained than there was."""
-        drained = drain_milliunits_per_ms * (at_ms - customer.excess_updated_ms)
-        return customer.excess_milliunits - drained + MILLIUNITS_PER_UNIT * units
+        drained_milliunits = drain_milliunits_per_ms * (at_ms - customer.excess_updated_ms)
+        return customer.excess_milliunits - drained_milliunits + MILLIUNITS_PER_UNIT * units
 
     def _burst_milliunits(self, customer: Customer, plan: Plan, units: float, now_ms: float) -> float:
-        """Excess up to which a request of so many units goes at once."""
+        """Excess up to which a request of so many units is admitted at once."""
         if self.has_share_below_one_request(customer, plan):
             return self._thin_burst_milliunits(customer, plan, units, now_ms)
         return self._even_burst_milliunits(customer, plan)
 
     def _even_burst_milliunits(self, customer: Customer, plan: Plan) -> float:
-        """An even part of the plan's burst, and never less than the customer's largest request."""
+        """An even part of the plan's burst, but never less than the customer's largest request."""
         burst_units = max(plan.burst / customer.serving_gateways, customer.largest_request_units)
         return burst_units * MILLIUNITS_PER_UNIT
 
     def _thin_burst_milliunits(self, customer: Customer, plan: Plan, units: float, now_ms: float) -> float:
-        """Burst of a thin share, which unused quota raises by up to some requests.
+        """Burst of a thin share, which unused quota raises by up to a few requests.
 
         It is raised only while the customer's demand here is no more than its share and the bonus: a low
         reading of a customer that is being rejected does not show unused quota. The bonus is smaller where
@@ -195,7 +197,7 @@
         drained_milliunits = plan.rate * (at_ms - customer.demand_updated_ms) / customer.serving_gateways
         return max(0.0, customer.demand_units - drained_milliunits / MILLIUNITS_PER_UNIT)
 
-    # ---- What others report, and the passing of time
+    # ---- Readings, corrections and draining
 
     def record_reading(self, customer: Customer, metered_use_percent: float, now_ms: float) -> None:
         """Store a late reading of the customer's use over all gateways.
@@ -210,10 +212,10 @@
         customer.excess_milliunits = max(0.0, customer.excess_milliunits + MILLIUNITS_PER_UNIT * units)
 
     def correction_units(self, estimated_units: float, final_units: float) -> float:
-        """Units to charge when a response tells what a request really cost.
+        """Units to charge when a response reports what a request really cost.
 
-        A response may claim more units than a request can have; charged as it is, one such figure would get
-        the customer rejected for hours. So the claim counts up to the largest request of the settings.
+        A response may report more units than a request can have; if one such value were charged as it is, the
+        customer would be rejected for hours. So it counts only up to the largest request in the settings.
         """
         return min(final_units, max(estimated_units, self.context.settings.largest_units)) - estimated_units
 
@@ -225,14 +227,14 @@
             drain_milliunits_per_ms = self._drain_milliunits_per_ms(
                 customer, plan, until_ms, reading_lifetime_ms
             )
-            drained = drain_milliunits_per_ms * (until_ms - customer.excess_updated_ms)
-            customer.excess_milliunits = max(0.0, customer.excess_milliunits - drained)
+            drained_milliunits = drain_milliunits_per_ms * (until_ms - customer.excess_updated_ms)
+            customer.excess_milliunits = max(0.0, customer.excess_milliunits - drained_milliunits)
             customer.excess_updated_ms = until_ms
         if until_ms > customer.demand_updated_ms:
             customer.demand_units = self._demand_units(customer, plan, until_ms)
             customer.demand_updated_ms = until_ms
 
-    def is_as_new(self, customer: Customer, plan: Plan, now_ms: float) -> bool:
+    def can_forget(self, customer: Customer, plan: Plan, now_ms: float) -> bool:
         """Whether forgetting the customer changes nothing: its excess has drained, its reading is too old."""
         idle_ms = now_ms - max(customer.excess_updated_ms, customer.metered_use_at_ms)
         even_drain_milliunits = plan.rate / customer.serving_gateways * idle_ms
--- a/quota_gateway/policy/rate_ceiling.py
+++ b/quota_gateway/policy/rate_ceiling.py
@@ -39,15 +39,15 @@
         return min(plan.ceiling_burst, level_units + refilled_units) / gateways
 
     def begin_epoch(self, epochs: SettingsEpochs, now_ms: float) -> None:
-        """New settings hold: customers not seen keep their level, in plans that are new they begin empty."""
+        """Begin an epoch: unseen customers keep their bucket's level; in new plans it starts at 0."""
         plans_before = epochs.past_epochs[-1].plans
-        kept = {
+        known_levels = {
             name: BucketLevel(self.unseen_level_units(plan, 1, now_ms), now_ms)
             for name, plan in plans_before.items()
             if epochs.plan(name)
         }
-        added = {name: BucketLevel(0.0, now_ms) for name in epochs.plans if name not in plans_before}
-        self.unseen_levels = kept | added
+        new_levels = {name: BucketLevel(0.0, now_ms) for name in epochs.plans if name not in plans_before}
+        self.unseen_levels = known_levels | new_levels
 
     def level_units(self, customer: Customer, plan: Plan, at_ms: float) -> float:
         """Units in this gateway's share of the customer's bucket."""
--- a/quota_gateway/policy/responses.py
+++ b/quota_gateway/policy/responses.py
@@ -10,8 +10,8 @@
 from quota_gateway.policy.retry_policy import is_client_retry_harmless
 from quota_gateway.state import Context, Customer, GiveUpReason, OutcomeCounters, PendingRequest
 
-# Before the deadline: one tick for the timer to fire, one to spare. The network's time is off the client's
-# timeout already (CLIENT_MARGIN_MS in net/clients/commands.py).
+# Before the deadline: one tick for the timer to fire, one to spare. The network's time is already subtracted
+# from the client's timeout (CLIENT_MARGIN_MS in net/clients/commands.py).
 FINAL_ANSWER_TICKS = 2.0
 COUNTERS_LOG_INTERVAL_MS = 5000.0
 
@@ -28,7 +28,7 @@
         self.pending_requests = peer_usage.pending_requests
         self.customers = peer_usage.customers
         self.quota_meter = peer_usage.customers.quota_meter
-        self.shutdown_at_ms = inf  # when this gateway will be ended
+        self.shutdown_at_ms = inf  # when this gateway will shut down
         self.outcome_counters = OutcomeCounters(COUNTERS_LOG_INTERVAL_MS)
 
     def reject(self, request_id: str, retry_after_ms: float) -> None:
@@ -38,7 +38,7 @@
         self.context.actions.append(Reject(request_id, allowed_ms))
 
     def arm_deadline(self, pending: PendingRequest) -> None:
-        """Set the timer of the final answer: before the client's deadline and before this gateway ends."""
+        """Set the timer of the final answer: before the client's deadline and this gateway's shutdown."""
         pending.deadline_ms = min(pending.deadline_ms, self.shutdown_at_ms)
         margin_ms = FINAL_ANSWER_TICKS * self.context.settings.tick_ms
         remaining_ms = pending.deadline_ms - self.context.now_ms - margin_ms
@@ -49,7 +49,7 @@
             self.reject_or_fail(pending, GiveUpReason.DEADLINE_EXCEEDED)
 
     def on_shutdown_begun(self, event: ShutdownBegun) -> None:
-        """Bring the deadlines forward of requests whose clients would wait beyond this gateway's end.
+        """Bring forward the deadlines of requests whose clients would wait beyond this gateway's shutdown.
 
         Their clients would otherwise lose the connection without an answer.
         """
@@ -82,25 +82,25 @@
         self._abandon(pending)
 
     def retry_after_ms(self, pending: PendingRequest) -> float:
-        """When the client may retry: the quota share has room then, and the queue of now has been served."""
+        """Time until the client may retry: the quota share has room and the present queue has been served."""
         queue_ms = self.concurrency_limit.queue_wait_ms(
             pending.request_class, len(self.pending_requests.queued)
         )
-        # 0 units: those of the request were charged as it was taken.
+        # 0 units: those of the request were charged when it was taken.
         quota_ms = self.quota_meter.retry_after_ms(pending.customer, pending.plan, 0.0, self.context.now_ms)
         return max(queue_ms, quota_ms)
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """The client has left: no answer is owed any more."""
+        """Note that the client has disconnected: the request needs no answer any more."""
         pending = self.pending_requests.by_id.get(event.request_id)
         if pending and not pending.state.is_answered:
             self.pending_requests.answer(pending)
             self._abandon(pending)
 
     def _abandon(self, pending: PendingRequest) -> None:
-        """Cancel the attempts of an answered request; one that was never sent gives its units back.
+        """Cancel the attempts of an answered request; if none was sent, give its units back.
 
-        Without that, requests whose clients left while they were held would fill the quota share.
+        Otherwise requests whose clients left while they were held would fill the quota share.
         """
         if pending.attempts_started == 0:
             self.settle_units(pending.customer, pending.request.units, 0.0)
--- a/quota_gateway/policy/retry_policy.py
+++ b/quota_gateway/policy/retry_policy.py
@@ -30,7 +30,7 @@
 
 
 def retry_group(pending: PendingRequest, now_ms: float) -> ServerGroup | None:
-    """The servers to which the request may be sent again; None if to none.
+    """The servers to which the request may be sent again; None if there are none.
 
     A request that may have run goes again only where a repeat has no second effect: anywhere if it is
     idempotent; with an idempotency key, within its window, to the servers that share knowledge of the key.
--- a/quota_gateway/policy/server_selection.py
+++ b/quota_gateway/policy/server_selection.py
@@ -1,4 +1,4 @@
-"""Server selection: the ready server with the lowest expected cost, of a few that are compared."""
+"""Server selection: chooses the ready server with the lowest expected cost among a few that are compared."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from quota_gateway.policy.slow_start import SlowStart
 from quota_gateway.state import LoadReports, PendingRequest, Server
 
-REPORTED_QUEUE_WEIGHT = 1.0  # of a request in a reported queue, beside one of our own in flight
+REPORTED_QUEUE_WEIGHT = 1.0  # of a request in a reported queue, relative to an own attempt in flight
 CROSS_ZONE_WEIGHT = 10.0  # relative cost per unit of the price of a zone crossing
 RANDOM_COST_RATIO = 0.1  # keeps gateways with the same reports from choosing alike
 FAILURE_COST = 6.0  # mean latencies: a failure costs most of a request's value
@@ -21,8 +21,8 @@
 class ServerSelection:
     """Chooses servers for first attempts and retries; keeps no state of its own.
 
-    Servers are compared in few: a sample drawn at random, those that answered the class quickly last, and
-    warming servers whose share the request falls into.
+    Of many servers only a few are compared: a random sample, those that last answered the request's class
+    quickly, and warming servers whose share of all requests this one falls into.
     """
 
     def __init__(
@@ -52,16 +52,16 @@
         latency_ratio = self.latencies.server_ratio(server)
         cost = latency_ratio * load * (1.0 + FAILURE_COST * failure_probability)
         if self.load_reports.idle_connections_reported and not server.has_idle_connection:
-            # Paid once, however busy the server: added, where the load and failures multiply.
+            # A handshake costs the same however busy the server is: added, while load and failures multiply.
             cost += FAILURE_COST * settings.handshake_price
-        # Only requests drawn for a warming server get here; the discount makes them take it.
+        # Only requests whose draw falls to a warming server consider it; the lower cost makes them choose it.
         cost *= self.slow_start.capacity_ratio(server)
         if server.zone != settings.zone:
             cost *= 1.0 + CROSS_ZONE_WEIGHT * settings.cross_zone_price
         return cost * (1.0 + RANDOM_COST_RATIO * self.random.random())
 
-    def first(self, pending: PendingRequest) -> Server | None:
-        """The server for a first attempt: one that is overdue to be used, or the best of those compared."""
+    def for_first_attempt(self, pending: PendingRequest) -> Server | None:
+        """The server for a first attempt: one that must be used by now, or the best of those compared."""
         overdue = self.endpoints.overdue(self.context.now_ms)
         if overdue:
             return overdue
@@ -91,7 +91,7 @@
         return self._best(pending, self.random.sample(servers, SAMPLE_SIZE) + quick)
 
     def _quick_servers(self, pending: PendingRequest) -> Collection[Server]:
-        """Servers that answered the request's class quickly last."""
+        """Servers that last answered the request's class quickly."""
         return self.latencies.quick_servers[pending.request_class.name].values()
 
     def _best(self, pending: PendingRequest, servers: list[Server]) -> Server | None:
--- a/quota_gateway/policy/settings_change.py
+++ b/quota_gateway/policy/settings_change.py
@@ -1,7 +1,7 @@
-"""Settings changes: new settings take hold while the gateway serves, completely or not at all.
+"""Settings changes: puts new settings in force while the gateway serves, completely or not at all.
 
 Pending requests keep the class and plan under which they were taken. Where a plan's limits change, the
-stricter of old and new hold for a customer until its requests from before the change are over.
+stricter of old and new hold for a customer until its requests from before the change are finished.
 """
 
 from __future__ import annotations
@@ -15,22 +15,23 @@
 from quota_gateway.policy.peer_usage import PeerUsageExchange
 from quota_gateway.state import CustomerKey
 
-FLEET_UPDATE_MS = 4000.0  # the platform's bound on a configuration change: until then others may use the old
+# The platform's bound on a configuration change: until then other gateways may use the old settings.
+FLEET_UPDATE_MS = 4000.0
 CATCH_UP_ROWS_PER_TICK = 100
 
 
-def has_same_limits(one: Plan, other: Plan) -> bool:
+def has_same_limits(plan: Plan, other: Plan) -> bool:
     """Whether two plans have the same rate ceiling and concurrency cap."""
     return (
-        one.max_in_flight == other.max_in_flight
-        and one.ceiling_rate == other.ceiling_rate
-        and one.ceiling_burst == other.ceiling_burst
+        plan.max_in_flight == other.max_in_flight
+        and plan.ceiling_rate == other.ceiling_rate
+        and plan.ceiling_burst == other.ceiling_burst
     )
 
 
-def _stricter(one: float, other: float) -> float:
+def _stricter(limit: float, other: float) -> float:
     """The lower of two limits, of which 0 means that there is none."""
-    return min(one, other) if one and other else one or other
+    return min(limit, other) if limit and other else limit or other
 
 
 def with_stricter_limits(plan: Plan, other: Plan) -> Plan:
@@ -68,7 +69,7 @@
     def apply(self, event: SettingsChanged) -> bool:
         """Put new settings in force.
 
-        A larger number of gateways holds at once, as it makes shares smaller. A smaller one holds after
+        A larger number of gateways counts at once, as it makes shares smaller. A smaller one counts after
         ``FLEET_UPDATE_MS``: this gateway's share may grow only once the others have given theirs up.
         """
         settings = event.settings
@@ -78,7 +79,7 @@
         gateways = max(self.epochs.gateways, settings.gateways)
         transition_plans = self._transition_plans(plans)
 
-        # Whatever can fail has been computed by now: from here on the change is complete.
+        # Everything that can fail has been computed above, so the change can't stop halfway from here on.
         self._begin_epoch(plans, gateways)
         self.context.configure(settings)
         self.concurrency_limit.latencies.set_classes(latency)
@@ -92,15 +93,17 @@
         return True
 
     def begin_hot_restart(self, _: HotRestartBegun) -> None:
-        """The next process takes over, maybe with other settings: bring every row up to this moment."""
+        """Bring every row up to date, as the next process takes over, perhaps with other settings."""
         self.peer_usage.on_hot_restart_begun()
         self._begin_epoch(self.epochs.plans, self.epochs.gateways)
         self._begin_transitions({})
         self.customers.catch_up_last(len(self.epochs.lagging_customers))
-        self.context.log(f"handed over with {len(self.pending_requests.by_id)} requests pending")
+        self.context.log(
+            f"handed over to the next process with {len(self.pending_requests.by_id)} requests pending"
+        )
 
     def _on_fleet_updated(self, epoch: int) -> None:
-        """Let the smaller number of gateways hold, unless another change came in between."""
+        """Put the smaller number of gateways in force, unless another change came in between."""
         if epoch == self.epochs.epoch:
             self._begin_epoch(self.epochs.plans, self.context.settings.gateways)
             self._begin_transitions({})
@@ -142,7 +145,7 @@
         return transition_plans
 
     def _begin_transitions(self, transition_plans: dict[CustomerKey, Plan]) -> None:
-        """Bring customers with pending requests up to date; stricter plans hold until those are over."""
+        """Bring customers with pending requests up to date; stricter plans hold until those are finished."""
         pending_requests = self.pending_requests.by_id.values()
         for pending in pending_requests:
             self.customers.catch_up(pending.customer)
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -4,18 +4,19 @@
 
 from quota_gateway.state import Context, PendingRequest, Server
 
-OVERLOAD_MARGIN_RATIO = 0.33  # of the load that would overload a warming server: chance and heavy requests
-ROUNDING_MARGIN = 1e-9  # candidates found by their phase are checked exactly: none may be missed
+# Of the load that would overload a warming server: leaves room for chance and heavy requests.
+OVERLOAD_MARGIN_RATIO = 0.33
+ROUNDING_MARGIN = 1e-9  # widens the search by phase, so that none is missed; those found are checked exactly
 
 
 class SlowStart:
-    """Knows how fast servers warm up; keeps no state."""
+    """Computes how far servers have warmed up; keeps no state."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
 
     def capacity_ratio(self, server: Server) -> float:
-        """The part of its capacity, 0 to 1, that a server has at least, by the time since its start."""
+        """The part of its full capacity, 0 to 1, that a server has at least, by the time since its start."""
         contract = self.context.settings.contract
         age_ms = self.context.now_ms - server.started_ms
         if server.started_ms <= 0 or age_ms >= contract.warm_up_ms:
@@ -31,9 +32,9 @@
         """Whether a request may go to a server: to one that is warming up only if its draw falls there.
 
         A warming server looks idle to every gateway at once; together they would overload it, which shows as
-        rejections and timeouts at servers just started. As each request is drawn once, the server is open to
-        its even share of all requests times its least capacity, over all gateways, however good it looks and
-        however often a request is tried.
+        rejections and timeouts at servers just started. As each request has a single draw, the server is open
+        to its even share of all requests times its least capacity, over all gateways, however low its cost
+        and however often a request is tried.
         """
         capacity_ratio = self.capacity_ratio(server)
         if capacity_ratio >= 1.0:
--- a/quota_gateway/recording/names.py
+++ b/quota_gateway/recording/names.py
@@ -78,6 +78,10 @@
     (r"drain ended by an operator", "takes clients again"),
     (r"(handed over with \d+) requests pending", r"\1 requests in hand"),
     (r"rejected: (unknown class .*)", r"refused: \1"),
+    (r"(server \S+) is a suspected outlier((?: for .*)?: \w+)", r"\1 doubted\2"),
+    (r"drain begun by an operator", "drained by hand"),
+    (r"handed over to the next process with (\d+) requests pending", r"handed over with \1 requests in hand"),
+    (r"request rejected: (unknown class .*)", r"refused: \1"),
 )
 
 
--- a/tests/test_admin_down.py
+++ b/tests/test_admin_down.py
@@ -1,4 +1,4 @@
-"""Operators: servers taken out and put back, and the drain of the gateway; decisions and sockets."""
+"""Operators take servers out and put them back, and drain the gateway: the decisions, and over sockets."""
 
 import asyncio
 from math import inf
@@ -22,8 +22,8 @@
 from quota_gateway.policy.admin_down import MAX_ADMIN_DOWN
 
 
-def used(rig: Rig, count: int = 60) -> set[int]:
-    """The servers that so many requests went to, each answered at once."""
+def servers_used(rig: Rig, count: int = 60) -> set[int]:
+    """The servers to which this many requests were sent, each answered at once."""
     names = []
     for _ in range(count):
         name = rig.ask()
@@ -33,20 +33,20 @@
     return {server for name in names for server in rig.sent[name]}
 
 
-def test_server_that_is_administratively_down_gets_nothing_whatever_discovery_lists(rig):
+def test_server_that_is_administratively_down_gets_no_requests_whatever_discovery_lists(rig):
     actions = rig.do(ServerAdminDown(1, True))
     assert SetServerUsable(1, False) in actions
-    assert used(rig) == {2}
+    assert servers_used(rig) == {2}
     rig.servers(entry(1), entry(2))
     rig.servers(entry(1, started_ms=rig.now), kind=ListKind.CHANGES)
-    assert used(rig) == {2}
+    assert servers_used(rig) == {2}
     rig.servers(entry(1, state=ServerState.REMOVED), kind=ListKind.CHANGES)
     rig.servers(entry(1), kind=ListKind.CHANGES)
-    assert used(rig) == {2}
-    assert rig.do(ServerAdminDown(1, True)) == []  # said twice
+    assert servers_used(rig) == {2}
+    assert rig.do(ServerAdminDown(1, True)) == []  # a repeated call
 
 
-def test_nothing_is_sent_again_to_a_server_taken_out_meanwhile(rig):
+def test_retry_does_not_go_to_a_server_taken_out_meanwhile(rig):
     name = rig.ask()
     (first,) = rig.sent[name]
     rig.do(ServerAdminDown(3 - first, True))
@@ -54,21 +54,21 @@
     assert set(rig.sent[name]) == {first}
 
 
-def test_server_put_back_is_warming_up_and_one_call_undoes_two():
+def test_server_put_back_is_warming_up_and_one_call_undoes_repeated_ones():
     rig = Rig()
     rig.servers(*(entry(number) for number in range(1, 11)))
     rig.do(ServerAdminDown(1, True))
     rig.do(ServerAdminDown(1, True))
     assert SetServerUsable(1, True) in rig.do(ServerAdminDown(1, False))
-    share = [rig.sent[name][0] for name in many(rig, 200, 1.0)].count(1)
-    assert share <= 200 * 0.06  # an even share would be 20; a tenth of that, and chance
+    share = [rig.sent[name][0] for name in send_many(rig, 200, 1.0)].count(1)
+    assert share <= 200 * 0.06  # an even share is 20; a tenth of that is expected, the rest is chance
     rig.servers(*(entry(number) for number in range(1, 11)))
-    # the same list again does not make it warm
+    # the same list again does not end its warm-up
     assert rig.gateway.endpoints.warming_up
     assert rig.gateway.endpoints.warming_up[0].id == 1
 
 
-def many(rig: Rig, count: int, every_ms: float) -> list[str]:
+def send_many(rig: Rig, count: int, every_ms: float) -> list[str]:
     names = []
     for _ in range(count):
         names.append(rig.ask())
@@ -78,24 +78,24 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_server_put_back_is_used_soon_even_where_few_requests_come(seed):
+def test_server_put_back_gets_a_request_soon_even_where_few_come(seed):
     rig = Rig(seed=seed)
     rig.servers(*(entry(number) for number in range(1, 41)))
     rig.do(ServerAdminDown(7, True))
     rig.run(1000.0)
     rig.do(ServerAdminDown(7, False))
-    names = many(rig, 20, 200.0)
+    names = send_many(rig, 20, 200.0)
     assert [rig.sent[name][0] for name in names].count(7) >= 1
 
 
-def test_put_back_what_was_not_out_changes_nothing_and_one_out_before_it_is_listed_stays_out(rig):
+def test_putting_back_a_server_in_use_changes_nothing_and_one_taken_out_before_it_is_listed_stays_out(rig):
     assert rig.do(ServerAdminDown(1, False)) == []
     rig.do(ServerAdminDown(3, True))
     rig.servers(entry(1), entry(2), entry(3))
-    assert 3 not in used(rig)
+    assert 3 not in servers_used(rig)
 
 
-def test_servers_out_are_bounded(rig):
+def test_number_of_servers_taken_out_is_bounded(rig):
     for number in range(1, 2000):
         rig.do(ServerAdminDown(number, True))
     assert len(rig.gateway.endpoints.admin_down) == MAX_ADMIN_DOWN
@@ -105,25 +105,25 @@
     rig.servers(entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
     rig.do(ServerAdminDown(1, True))
     rig.do(ServerAdminDown(1, False))
-    assert used(rig) == {2}
+    assert servers_used(rig) == {2}
 
 
-def recorded_set_serving(rig: Rig) -> list[SetServing]:
-    """The actions about serving clients, from now on."""
-    found: list[SetServing] = []
-    plain = rig.do
+def record_set_serving(rig: Rig) -> list[SetServing]:
+    """A list to which all later `SetServing` actions are added."""
+    recorded: list[SetServing] = []
+    original_do = rig.do
 
     def do(event):
-        actions = plain(event)
-        found.extend(action for action in actions if isinstance(action, SetServing))
+        actions = original_do(event)
+        recorded.extend(action for action in actions if isinstance(action, SetServing))
         return actions
 
     rig.do = do
-    return found
+    return recorded
 
 
-def test_drain_notifies_load_balancers_at_once_serves_on_and_closes_in_time(rig):
-    notified = recorded_set_serving(rig)
+def test_drain_notifies_load_balancers_at_once_keeps_serving_and_closes_connections_in_time(rig):
+    notified = record_set_serving(rig)
     rig.do(DrainChanged(True))
     assert notified == [SetServing(False, inf)]
     rig.finish(rig.ask())
@@ -133,8 +133,8 @@
     assert not rig.do(DrainChanged(True))
 
 
-def test_drain_that_is_over_takes_clients_again_and_its_timers_do_nothing(rig):
-    notified = recorded_set_serving(rig)
+def test_ended_drain_accepts_clients_again_and_its_timers_do_nothing(rig):
+    notified = record_set_serving(rig)
     rig.do(DrainChanged(True))
     rig.run(100.0)
     rig.do(DrainChanged(False))
@@ -155,23 +155,23 @@
     assert rig.ask() in rig.sent
 
 
-def test_drained_gateway_says_no_serves_open_connections_and_closes_them_between_requests():
+def test_draining_gateway_fails_pings_serves_open_connections_and_closes_them_between_requests():
     async def test():
         server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(words[2]))
         async with node(server) as gateway:
             gateway.driver.on_set_serving = gateway.clients.set_serving
-            front, busy, idle, half = [await gateway.peer() for _ in range(4)]
-            assert await front.ask(resp("PING")) == b"PONG"
+            load_balancer, busy, idle, half_sent = [await gateway.peer() for _ in range(4)]
+            assert await load_balancer.ask(resp("PING")) == b"PONG"
             assert await idle.ask(call(2)) == b"0000000000000002"
             busy.send(call(1))
-            half.send(call(4)[:20])
+            half_sent.send(call(4)[:20])
             await server.until(lambda: len(server.commands) == 2)
             gateway.driver.post(DrainChanged(True))
-            assert (await front.ask(resp("PING"))).startswith("-DRAINING")
-            assert await idle.ask(call(3)) == b"0000000000000003"  # served on
+            assert (await load_balancer.ask(resp("PING"))).startswith("-DRAINING")
+            assert await idle.ask(call(3)) == b"0000000000000003"  # still served
             assert await idle.reply() is None
-            assert await half.reply() is None
-            assert list(gateway.clients.connections)  # what is owed is not cut off
+            assert await half_sent.reply() is None
+            assert list(gateway.clients.connections)  # the connection with a pending response is not cut off
             server.writers[-1 if len(server.writers) == 1 else server.by[1]].write(array(b"late"))
             assert await busy.reply() == b"late"
             assert await busy.reply() is None
@@ -182,7 +182,7 @@
             assert await peer.ask(resp("PING")) == b"PONG"
             assert await peer.ask(call(5)) == b"0000000000000005"
             await asyncio.sleep(0.5)
-            assert await peer.ask(call(6)) == b"0000000000000006"  # kept again
+            assert await peer.ask(call(6)) == b"0000000000000006"  # idle connections are kept again
 
     run(test())
 
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -69,8 +69,8 @@
     assert customer.excess_milliunits == 8000.0
     assert customer.demand_units == 9.0
     assert meter.retry_after_ms(customer, METERED, 1.0, 0.0) == 1000.0
-    assert not meter.is_as_new(customer, METERED, 1599.0)
-    assert meter.is_as_new(customer, METERED, 4000.0)
+    assert not meter.can_forget(customer, METERED, 1599.0)
+    assert meter.can_forget(customer, METERED, 4000.0)
 
 
 def test_a_decision_of_the_meter_stores_nothing_until_it_is_applied():
--- a/tests/test_rate_ceiling.py
+++ b/tests/test_rate_ceiling.py
@@ -1,8 +1,8 @@
-"""The rate ceiling's token bucket by itself, and what a change of settings leaves of it.
+"""The rate ceiling's token bucket by itself, and how a change of settings affects it.
 
-What happens: settings change, and customers come that were not seen yet. What a user would lose: a ceiling is
-a hard limit over all gateways, so every unit granted twice breaks a rule. What must hold instead: what a
-bucket holds never grows by a change, and an unseen customer starts from what is certain.
+A rate ceiling is a hard limit over all gateways, so no unit may be granted twice when settings change or when
+a customer comes that was not seen yet: a change never adds units to a bucket, and an unseen customer starts
+with the units that were certainly refilled.
 """
 
 from math import inf
@@ -20,20 +20,20 @@
 
 
 def context(now_ms: float = 0.0) -> Context:
-    made = Context(SETTINGS, 1, 4000.0)
-    made.begin_event(now_ms)
-    return made
+    new_context = Context(SETTINGS, 1, 4000.0)
+    new_context.begin_event(now_ms)
+    return new_context
 
 
 def customer(gateways: int, level_units: float, now_ms: float = 0.0) -> Customer:
-    made = Customer((PLAN.name, "c"), now_ms, level_units, 0)
-    made.serving_gateways = gateways
-    return made
+    row = Customer((PLAN.name, "c"), now_ms, level_units, 0)
+    row.serving_gateways = gateways
+    return row
 
 
-def pending(of: Customer, units: float, plan: Plan = PLAN) -> PendingRequest:
-    request = Request("r", "safe", plan.name, of.key[1], 4000.0, units)
-    return PendingRequest(request, SETTINGS.classes[0], plan, of, 0.0, 0.5, 0)
+def pending(row: Customer, units: float, plan: Plan = PLAN) -> PendingRequest:
+    request = Request("r", "safe", plan.name, row.key[1], 4000.0, units)
+    return PendingRequest(request, SETTINGS.classes[0], plan, row, 0.0, 0.5, 0)
 
 
 @pytest.mark.parametrize(("gateways", "level"), [(1, 5.0), (2, 2.5), (4, 1.25)])
@@ -48,37 +48,37 @@
 @pytest.mark.parametrize(
     ("units", "wait_ms"), [(4.0, 0.0), (5.0, 200.0), (10.0, 1200.0), (10.1, inf)], ids=str
 )
-def test_wait_lasts_until_the_share_holds_the_units_and_for_ever_above_its_burst(units, wait_ms):
+def test_wait_lasts_until_the_share_holds_the_units_and_is_endless_above_its_burst(units, wait_ms):
     assert RateCeiling(context()).wait_ms(pending(customer(2, 4.0), units), 0.0) == pytest.approx(wait_ms)
 
 
 def test_plan_without_a_ceiling_neither_waits_nor_consumes():
     ceiling = RateCeiling(context())
-    of = customer(2, 4.0)
-    free = pending(of, 1000.0, Plan(PLAN.name))
-    assert ceiling.wait_ms(free, 0.0) == 0.0
-    ceiling.consume(free, 100.0)
-    assert (of.ceiling_level_units, of.ceiling_updated_ms) == (4.0, 0.0)
+    row = customer(2, 4.0)
+    without_ceiling = pending(row, 1000.0, Plan(PLAN.name))
+    assert ceiling.wait_ms(without_ceiling, 0.0) == 0.0
+    ceiling.consume(without_ceiling, 100.0)
+    assert (row.ceiling_level_units, row.ceiling_updated_ms) == (4.0, 0.0)
 
 
 def test_consumed_units_are_refilled_at_the_rate():
     ceiling = RateCeiling(context())
-    of = customer(2, 10.0)
-    ceiling.consume(pending(of, 10.0), 0.0)
-    assert ceiling.level_units(of, PLAN, 0.0) == 0.0
-    assert ceiling.wait_ms(pending(of, 1.0), 0.0) == 200.0
-    assert ceiling.level_units(of, PLAN, 200.0) == 1.0
+    row = customer(2, 10.0)
+    ceiling.consume(pending(row, 10.0), 0.0)
+    assert ceiling.level_units(row, PLAN, 0.0) == 0.0
+    assert ceiling.wait_ms(pending(row, 1.0), 0.0) == 200.0
+    assert ceiling.level_units(row, PLAN, 200.0) == 1.0
 
 
 def test_stricter_plan_of_a_transition_bounds_the_wait():
-    of = customer(2, 10.0)
-    of.transition_plan = Plan(PLAN.name, ceiling_rate=10.0, ceiling_burst=4.0)
+    row = customer(2, 10.0)
+    row.transition_plan = Plan(PLAN.name, ceiling_rate=10.0, ceiling_burst=4.0)
     ceiling = RateCeiling(context())
-    assert ceiling.wait_ms(pending(of, 2.0), 0.0) == 0.0
-    assert ceiling.wait_ms(pending(of, 3.0), 0.0) == inf
+    assert ceiling.wait_ms(pending(row, 2.0), 0.0) == 0.0
+    assert ceiling.wait_ms(pending(row, 3.0), 0.0) == inf
 
 
-def test_unseen_customer_has_what_was_refilled_since_the_start_at_most():
+def test_unseen_customer_has_at_most_the_units_refilled_since_the_gateway_started():
     ceiling = RateCeiling(context(now_ms=1000.0))
     assert ceiling.unseen_level_units(PLAN, 2, 1000.0) == 0.0
     assert ceiling.unseen_level_units(PLAN, 2, 1500.0) == 2.5
@@ -94,6 +94,6 @@
     settings_context.begin_event(1500.0)
     faster = Plan(PLAN.name, ceiling_rate=100.0, ceiling_burst=200.0)
     customers.begin_epoch({PLAN.name: faster, "added": faster}, 2)
-    assert ceiling.unseen_levels[PLAN.name] == BucketLevel(5.0, 1500.0)  # at the rate that held
+    assert ceiling.unseen_levels[PLAN.name] == BucketLevel(5.0, 1500.0)  # at the rate before the change
     assert ceiling.unseen_levels["added"] == BucketLevel(0.0, 1500.0)
     assert ceiling.unseen_level_units(faster, 1, 1600.0) == 15.0
--- a/tests/test_request_rules.py
+++ b/tests/test_request_rules.py
@@ -1,4 +1,4 @@
-"""Rules about requests, each asked alone: where a request goes, what is shed, retried and hedged."""
+"""Rules about requests, each tested by itself: where a request is sent; what is shed, retried and hedged."""
 
 import pytest
 from conftest import SETTINGS, Rig, entry, rig_with
@@ -39,8 +39,9 @@
 
 
 def test_while_every_server_fails_retries_stay_a_small_part_of_the_requests():
-    # Every server rejects every attempt. If each request were tried as often as it may be, the servers would
-    # get three times their load while they are overloaded; it must be a fifth more and what was stored.
+    # Every server rejects every attempt. If each request were tried as often as ``max_attempts`` allows, the
+    # overloaded servers would get three times their load; it must be no more than a fifth above it, and the
+    # retries that were stored.
     rig = rig_with(limits=Limits(max_attempts=3))
     rig.servers(entry(1), entry(2), entry(3))
     for _ in range(200):
@@ -82,19 +83,19 @@
 def test_a_silent_attempt_is_hedged_or_cancelled_as_the_settings_allow(limits, decision):
     rig = hedge_rig(**limits)
     request = pending(rig)
-    made = rig.gateway.attempts.hedging.decide(request, server_of(request))
-    assert isinstance(made, decision)
-    if isinstance(made, SendHedge):
-        assert made.server is not server_of(request)
+    actual = rig.gateway.attempts.hedging.decide(request, server_of(request))
+    assert isinstance(actual, decision)
+    if isinstance(actual, SendHedge):
+        assert actual.server is not server_of(request)
 
 
-@pytest.mark.parametrize("lacks", ["retry budget", "room under the concurrency limit", "another server"])
-def test_a_silent_attempt_goes_on_alone_for_want_of(lacks):
+@pytest.mark.parametrize("missing", ["retry budget", "room under the concurrency limit", "another server"])
+def test_a_silent_attempt_is_neither_hedged_nor_cancelled_without(missing):
     rig = hedge_rig(may_duplicate=True, can_cancel=True)
     request = pending(rig)
-    if lacks == "retry budget":
+    if missing == "retry budget":
         rig.gateway.attempts.retry_budget.tokens = 0.9
-    elif lacks == "another server":
+    elif missing == "another server":
         rig.servers(entry(server_of(request).id))
     else:
         rig.gateway.concurrency_limit.limit = 1.0
@@ -135,7 +136,7 @@
     assert rig.gateway.admission.placement(later) is rig.gateway.endpoints.servers[1]
 
 
-def test_the_longest_hold_ends_with_the_objective_by_weight_the_client_or_the_gateway(rig):
+def test_the_longest_hold_is_bounded_by_weighted_objective_client_timeout_and_shutdown(rig):
     admission = rig.gateway.admission
     request = pending(rig, patience=300.0).request
     patient = pending(rig, patience=4000.0).request
@@ -147,14 +148,14 @@
     assert admission.longest_hold_ms(request, UNSAFE) == 100.0
 
 
-def test_the_queue_sheds_its_least_priority_once_it_is_longer_than_the_limit(rig):
+def test_the_queue_sheds_the_request_of_least_priority_once_it_is_longer_than_the_limit(rig):
     rig.gateway.concurrency_limit.limit = 2.0
     for _ in range(2):
         rig.ask(class_name="unsafe")
     first, second = pending(rig, class_name="unsafe"), pending(rig, class_name="unsafe")
-    assert [one.state for one in (first, second)] == [RequestState.QUEUED] * 2
+    assert [item.state for item in (first, second)] == [RequestState.QUEUED] * 2
     assert rig.gateway.admission.request_to_shed() is None
     rig.gateway.concurrency_limit.limit = 1.0
-    assert rig.gateway.admission.request_to_shed() is first  # of two alike the one queued first
+    assert rig.gateway.admission.request_to_shed() is first  # of two with equal priority the one queued first
     first.request_class, second.request_class = UNSAFE, SAFE
     assert rig.gateway.admission.request_to_shed() is second
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -1,9 +1,8 @@
-"""Settings that change while requests are pending: what was used, what is pending, the number of gateways.
+"""Settings change while requests are pending: used quota, pending requests, the number of gateways.
 
-What happens: operators change plans, classes or the number of gateways under load. What a user would lose:
-a second burst for some, a ceiling or cap exceeded by all gateways together, requests that get no answer.
-What must hold instead: what was used stays used, what was taken keeps its class and plan, the stricter
-limits hold.
+Operators change plans, classes or the number of gateways under load. That must not grant anyone a second
+burst, let all gateways together exceed a ceiling or cap, or leave requests without an answer. Therefore used
+quota stays used, pending requests keep their class and plan, and the stricter limits hold.
 """
 
 from __future__ import annotations
@@ -39,11 +38,11 @@
 
 
 def customer(rig: Rig):
-    (only,) = rig.gateway.customers.rows.values()
-    return only
+    (row,) = rig.gateway.customers.rows.values()
+    return row
 
 
-# ---- What a customer has used
+# ---- Used quota
 
 
 def test_excess_drains_at_the_old_rate_up_to_the_change_and_at_the_new_one_after_it():
@@ -70,13 +69,13 @@
     assert customer(plain).excess_milliunits == pytest.approx(customer(changing).excess_milliunits)
 
 
-def test_plan_that_goes_and_comes_back_finds_its_customers_as_they_were():
+def test_plan_removed_and_added_again_keeps_its_customers_state():
     rig = a_rig(QUOTA, Plan("other"))
     sent(rig, 4, plan="q")
     rig.run(20.0)
     tell(rig, plans=(Plan("other"),))
     before = rig.ask(plan="q")
-    # as an unknown plan
+    # the plan is unknown now
     assert rig.answers[before] == "Reject"
     assert before not in rig.sent
     rig.run(480.0)
@@ -85,26 +84,26 @@
     assert customer(rig).excess_milliunits == pytest.approx(4000.0 - 500.0 + 1000.0)
 
 
-def test_state_of_idle_customers_is_caught_up_in_steps_and_comes_to_the_same():
+def test_rows_of_idle_customers_are_brought_up_to_date_in_steps_with_the_same_result():
     rig = a_rig(QUOTA)
     count = 5 * settings_change.CATCH_UP_ROWS_PER_TICK
     for number in range(count):
         for name in sent(rig, 1, plan="q", customer=f"c{number}", units=2.0):
             rig.finish(name)
-    held = list(rig.gateway.customers.rows.values())
+    rows = list(rig.gateway.customers.rows.values())
     tell(rig, plans=(replace(QUOTA, rate=1.0),))
-    assert sum(one.settings_epoch == 1 for one in held) == 0  # none is touched in the step of the change
+    assert sum(row.settings_epoch == 1 for row in rows) == 0  # the change itself touches no row
     tell(rig, plans=(replace(QUOTA, rate=0.5),))
     rig.run(4.0)
-    assert 0 < sum(one.settings_epoch == 2 for one in held) < count
+    assert 0 < sum(row.settings_epoch == 2 for row in rows) < count
     rig.run(1000.0)
-    assert all(one.settings_epoch == 2 for one in held)
+    assert all(row.settings_epoch == 2 for row in rows)
     assert not rig.gateway.epochs.past_epochs
-    assert {one.excess_milliunits for one in held} == {2000.0}
-    assert len(held) == count
+    assert {row.excess_milliunits for row in rows} == {2000.0}
+    assert len(rows) == count
 
 
-def test_what_is_remembered_of_plans_and_changes_is_bounded():
+def test_stored_state_of_past_plans_classes_and_changes_is_bounded():
     rig = a_rig(QUOTA)
     for number in range(200):
         tell(rig, plans=(Plan(f"p{number}", rate=1.0, burst=4.0),))
@@ -130,35 +129,35 @@
     )
 
 
-# ---- What is pending
+# ---- Pending requests
 
 
-def test_plan_removed_while_its_customer_has_requests_held_queued_and_in_flight():
+def test_held_queued_and_in_flight_requests_of_a_removed_plan_are_still_served():
     rig = a_rig(replace(QUOTA, rate=4.0, burst=2.0, max_in_flight=2), Plan("other"))
     names = [rig.ask("q") for _ in range(2)]
-    out = [name for name in names if name in rig.sent]
+    in_flight = [name for name in names if name in rig.sent]
     held = [name for name in names if name not in rig.answers and name not in rig.sent]
-    assert len(out) == len(held) == 1
-    rig.run(500.0)  # the hold is over, the cap of one is not: it is queued
+    assert len(in_flight) == len(held) == 1
+    rig.run(500.0)  # the hold has ended, but the cap of one is used up: queued
     assert held[0] in rig.gateway.pending_requests.queued
     waiting = rig.ask("q")
     assert waiting not in rig.answers
     assert waiting not in rig.gateway.pending_requests.queued
     tell(rig, plans=(Plan("other"),))
     assert rig.answers[rig.ask("q")] == "Reject"
-    rig.finish(out[0])
+    rig.finish(in_flight[0])
     assert held[0] in rig.sent
     rig.finish(held[0])
     rig.run(600.0)
     assert waiting in rig.sent
     rig.finish(waiting)
-    assert {rig.answers[name] for name in (*out, *held, waiting)} == {"Ok"}
+    assert {rig.answers[name] for name in (*in_flight, *held, waiting)} == {"Ok"}
     assert not rig.gateway.pending_requests.by_id
 
 
-def test_class_removed_or_of_another_idempotency_leaves_what_is_pending_as_it_was_taken():
+def test_pending_requests_keep_their_class_when_it_is_removed_or_changes_its_idempotency():
     rig = a_rig()
-    one, two = rig.ask(class_name="unsafe"), rig.ask(class_name="brief")
+    unsafe_request, brief_request = rig.ask(class_name="unsafe"), rig.ask(class_name="brief")
     tell(
         rig,
         classes=tuple(
@@ -166,19 +165,19 @@
         ),
     )
     assert rig.answers[rig.ask(class_name="brief")] == "Reject"
-    rig.finish(one, Status.RESET)
-    # still one that must not be repeated
-    assert rig.answers[one] == "Fail"
-    assert len(rig.sent[one]) == 1
-    rig.finish(two, Status.OVERLOADED)
-    assert len(rig.sent[two]) == 2
-    rig.finish(two)
+    rig.finish(unsafe_request, Status.RESET)
+    # it still counts as a request that must not be repeated
+    assert rig.answers[unsafe_request] == "Fail"
+    assert len(rig.sent[unsafe_request]) == 1
+    rig.finish(brief_request, Status.OVERLOADED)
+    assert len(rig.sent[brief_request]) == 2
+    rig.finish(brief_request)
     rig.run(5000.0)
-    assert rig.answers[two] == "Ok"
+    assert rig.answers[brief_request] == "Ok"
     assert not rig.gateway.pending_requests.by_id
 
 
-def test_ceiling_halved_with_attempts_out_holds_for_all_that_still_comes():
+def test_rate_ceiling_halved_with_attempts_in_flight_bounds_all_later_requests():
     rig = a_rig(CEILING)
     rig.run(10_000.0)
     assert len(sent(rig, 4, plan="q")) == 4  # six are left of a share of ten
@@ -189,7 +188,7 @@
     assert len(rig.sent) - before == 2  # 2.5 units a second
 
 
-def test_ceiling_raised_with_attempts_out_stays_the_stricter_one_until_they_have_ended():
+def test_rate_ceiling_raised_with_attempts_in_flight_stays_the_old_one_until_they_have_ended():
     rig = a_rig(replace(CEILING, rate=100.0))
     rig.run(10_000.0)
     (name,) = sent(rig, 1, plan="q")
@@ -198,13 +197,13 @@
     assert customer(rig).transition_plan.ceiling_burst == 20.0
     rig.finish(name)
     assert customer(rig).transition_plan is None
-    assert len(sent(rig, 11, plan="q")) == 10  # what the old one had filled, and no more
+    assert len(sent(rig, 11, plan="q")) == 10  # as many as the old ceiling had refilled
     rig.run(200.0)
     assert len(rig.sent) == 12
 
 
 @pytest.mark.parametrize("cap", [2, 16])
-def test_cap_changed_with_attempts_out_is_the_stricter_one_until_they_have_ended(cap):
+def test_stricter_of_old_and_new_cap_holds_until_attempts_in_flight_have_ended(cap):
     rig = a_rig(CAP)
     names = sent(rig, 3, plan="q")
     tell(rig, plans=(replace(CAP, max_in_flight=cap),))
@@ -227,23 +226,23 @@
 # ---- The number of gateways
 
 
-def test_more_gateways_shrink_shares_at_once_and_fewer_let_them_grow_when_the_others_have_heard():
+def test_more_gateways_shrink_shares_at_once_and_fewer_let_them_grow_after_the_fleet_update_time():
     rig = a_rig(QUOTA, gateways=4)
     assert len(sent(rig, 20, plan="q", width=8)) == 2
-    pool = rig.gateway.concurrency_limit.limit
+    limit_before = rig.gateway.concurrency_limit.limit
     tell(rig, gateways=8)
     assert customer(rig).serving_gateways == 8
-    assert rig.gateway.concurrency_limit.limit == pool / 2
+    assert rig.gateway.concurrency_limit.limit == limit_before / 2
     tell(rig, gateways=2)
     rig.run(settings_change.FLEET_UPDATE_MS - 1.0)
     rig.ask(plan="q", width=8)
     assert customer(rig).serving_gateways == 8
     rig.run(1.0)
     assert customer(rig).serving_gateways == 2
-    assert rig.gateway.concurrency_limit.limit == pytest.approx(pool * 2)
+    assert rig.gateway.concurrency_limit.limit == pytest.approx(limit_before * 2)
 
 
-def test_another_change_before_the_others_have_heard_begins_the_wait_anew():
+def test_another_change_within_the_fleet_update_time_restarts_the_wait():
     rig = a_rig(QUOTA, gateways=4)
     tell(rig, gateways=2)
     rig.run(settings_change.FLEET_UPDATE_MS / 2)
@@ -289,10 +288,10 @@
             assert level >= -1e-6
 
 
-# ---- Whole or not at all, and the next process
+# ---- Changes that fail, and the next process of a hot restart
 
 
-def test_settings_that_the_decisions_can_not_take_leave_them_as_they_were(monkeypatch):
+def test_settings_change_that_raises_leaves_the_old_settings_in_force(monkeypatch):
     rig = a_rig()
     sent(rig, 3, plan="metered")
     gateway = rig.gateway
@@ -317,12 +316,12 @@
     assert not gateway.epochs.retired_plans
 
 
-def test_state_of_a_process_with_other_settings_is_fitted_or_left_customer_by_customer():
+def test_state_loaded_under_other_settings_is_adapted_or_left_out_for_each_customer():
     old = a_rig(QUOTA, Plan("c", ceiling_rate=10.0, ceiling_burst=20.0), Plan("gone"))
     old.run(10_000.0)
     for plan in ("q", "c", "gone"):
         sent(old, 1, plan=plan, customer=plan)
-    old.run(1000.0)  # drained at the old rate of one unit a second, up to the moment of handing over
+    old.run(1000.0)  # drained at the old rate of one unit a second, up to the hand-over
     old.do(HotRestartBegun())
     document = state_document.save(old.gateway, {1: "s-1", 2: "s-2"})
     lower = Plan("c", ceiling_rate=2.0, ceiling_burst=4.0)
@@ -336,7 +335,7 @@
     assert found["c", "c"].ceiling_level_units == 2.0
 
 
-def test_a_way_back_after_taking_over_keeps_what_has_been_used():
+def test_settings_changed_and_changed_back_after_a_hot_restart_keep_the_excess():
     old = a_rig(QUOTA)
     sent(old, 4, plan="q")
     old.do(HotRestartBegun())
@@ -352,7 +351,7 @@
     assert len(sent(new, 20, plan="q")) == 0
 
 
-def test_limits_bind_from_the_change_on():
+def test_changed_limits_apply_to_pending_requests():
     rig = a_rig(limits=Limits(max_attempts=3, can_cancel=True))
     name = rig.ask()
     tell(rig, limits=Limits(max_attempts=1))
