--- a/quota_gateway/net/admin.py
+++ b/quota_gateway/net/admin.py
@@ -1,4 +1,8 @@
-"""The admin endpoint: one line in, one line out that begins with YES or NO, then the connection closes."""
+"""The admin endpoint: a TCP listener through which operators and their tools command a running gateway.
+
+A connection carries one command: the caller sends one line, the endpoint answers with one line that begins
+with YES or NO, and closes the connection.
+"""
 
 from __future__ import annotations
 
@@ -12,37 +16,36 @@
 log = logging.getLogger(__name__)
 
 MAX_LINE_BYTES = 256
-LINE_TIMEOUT_S = 3.0  # for a complete line
-ANSWER_TIMEOUT_S = 0.8  # for a command that waits for something: callers wait 1 s
-MAX_CONNECTIONS = 16  # beyond, the longest connected gives way
-DESCRIPTORS = MAX_CONNECTIONS + 2  # with the listener, and a connection before it is counted
-TOKEN_PREFIX = "AS"  # AS TOKEN COMMAND ...
-MAX_TOKEN = (1 << 53) - 1  # the largest that every reader of JSON keeps exactly
+LINE_TIMEOUT_S = 3.0  # from the connection's start until its command line is complete
+ANSWER_TIMEOUT_S = 0.8  # for a command that has to wait; callers wait 1 s for the answer
+MAX_CONNECTIONS = 16  # one more closes the connection that has been open longest
+DESCRIPTORS = MAX_CONNECTIONS + 2  # file descriptors: also the listener, and a connection not yet counted
+TOKEN_PREFIX = "AS"  # "AS TOKEN COMMAND ...": a command with its caller's fencing token
+MAX_TOKEN = (1 << 53) - 1  # the largest integer that every JSON parser represents exactly
 
-FencingCheck = Callable[
-    [int], Awaitable[int]
-]  # of a token: 0 if its holder may act, else the higher one seen
+# Takes a fencing token; returns 0 if its holder may act, else the higher token that was seen before.
+FencingCheck = Callable[[int], Awaitable[int]]
 
 
 class AdminReply(NamedTuple):
-    """The answer to a command: YES or NO, and what is added to it."""
+    """The answer to a command: YES or NO, and the text after it."""
 
     is_done: bool
     text: str
 
     def line(self) -> bytes:
-        """The answer as it is written."""
+        """The answer as a line of bytes for the connection."""
         word = "YES" if self.is_done else "NO"
         return f"{word} {self.text}".strip().encode("ascii", "replace") + b"\n"
 
 
 def done(text: str) -> AdminReply:
-    """The answer of a command that was carried out."""
+    """The answer to a command that was carried out."""
     return AdminReply(True, text)
 
 
 def rejected(reason: str) -> AdminReply:
-    """The answer of a command that changed nothing."""
+    """The answer to a command that was not carried out."""
     return AdminReply(False, reason)
 
 
@@ -50,7 +53,7 @@
 
 
 class Arguments(NamedTuple):
-    """How many arguments a command takes, also in words for the answer to another number."""
+    """The numbers of arguments that a command accepts, and the same in words for a rejection."""
 
     counts: tuple[int, ...]
     text: str
@@ -61,40 +64,40 @@
 
 
 class AdminCommand(NamedTuple):
-    """A command of operators; its handler gets the arguments as one text, separated by one space."""
+    """A command of the endpoint; its handler gets the arguments as one string, separated by single spaces."""
 
     handler: Handler
     arguments: Arguments = NO_ARGUMENT
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection of an operator, for one command."""
+    """One connection to the admin endpoint; it carries one command."""
 
     def __init__(self, endpoint: AdminEndpoint) -> None:
         self._endpoint = endpoint
         self._line = b""
-        self._is_answering = False  # the line is complete, or was rejected: nothing more is read
+        self._is_answering = False  # the line is complete or was rejected: further data is ignored
         self._transport: asyncio.Transport | None = None
         self._line_timer: asyncio.TimerHandle | None = None
         self._task: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for the line."""
-        # uvloop's transports are not asyncio.Transport by class: no isinstance here
+        """Register the connection and start the timeout of its command line."""
+        # uvloop's transports don't inherit from asyncio.Transport, so isinstance would be false.
         self._transport = cast(asyncio.Transport, transport)
         loop = self._endpoint.loop
         self._line_timer = loop.call_later(LINE_TIMEOUT_S, self.reject, "no whole line in time")
-        self._endpoint.opened(self)
+        self._endpoint.connection_opened(self)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """The operator or this end has closed it."""
+        """Stop the timer and unregister the connection; called whichever end closed it."""
         self._transport = None
         if self._line_timer:
             self._line_timer.cancel()
-        self._endpoint.closed(self)
+        self._endpoint.connection_closed(self)
 
     def data_received(self, data: bytes) -> None:
-        """Collect the line; what stands behind it is ignored."""
+        """Collect the command line; data after its end is ignored."""
         if self._is_answering:
             return
         line, end, _ = (self._line + data[: MAX_LINE_BYTES + 2]).partition(b"\n")
@@ -105,7 +108,7 @@
             self._begin_answer()
 
     def eof_received(self) -> bool:
-        """Take what has come as the line; the connection stays open for the answer."""
+        """Treat the data received so far as the line; the connection stays open for the answer."""
         if not self._is_answering:
             self._begin_answer()
         return True
@@ -118,7 +121,7 @@
         self._reply(await self._endpoint.answer(self._line))
 
     def reject(self, reason: str) -> None:
-        """Answer NO, unless an answer is under way already."""
+        """Answer NO with the reason and close, unless the command is already being answered."""
         if not self._is_answering:
             self._is_answering = True
             self._reply(rejected(reason))
@@ -129,61 +132,60 @@
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection without sending what is still buffered."""
         if self._transport:
             self._transport.abort()
 
 
 class AdminEndpoint:
-    """The listener for operators, and the commands it knows.
+    """The listener of the admin endpoint, its open connections and the table of commands.
 
-    Everything runs in the gateway's own loop: YES means that the decisions have taken the command over.
+    Everything runs in the gateway's event loop: YES means that the policy has processed the command.
     """
 
     def __init__(self, commands: Mapping[str, AdminCommand], fencing: FencingCheck | None = None) -> None:
         self.commands = dict(commands)
         self.loop = asyncio.get_running_loop()
-        self.connections: OrderedDict[AdminConnection, None] = OrderedDict()  # the oldest first
+        self.connections: OrderedDict[AdminConnection, None] = OrderedDict()  # oldest first
         self.server: asyncio.Server | None = None
         self._fencing = fencing
 
     # ---- The listener
 
     async def listen(self, host: str, port: int) -> None:
-        """Listen; where that fails it is logged, and the gateway serves without an endpoint."""
+        """Open the listener. A failure is logged, and the gateway serves without an admin endpoint."""
         try:
             self.server = await self.bind(host, port)
         except OSError as error:
-            log.error("no admin endpoint: %r", error)
+            log.error("no admin endpoint, its listener can't be opened: %r", error)
 
     async def bind(self, host: str, port: int) -> asyncio.Server:
-        """A listener at another address, for ``move``.
+        """Open a listener without replacing the present one, which ``move`` does.
 
         Raises:
-            OSError: There can be none.
+            OSError: The address can't be bound.
         """
         return await self.loop.create_server(lambda: AdminConnection(self), host, port)
 
     def move(self, server: asyncio.Server | None) -> None:
-        """Listen there from now on, or nowhere; open connections stay."""
+        """Replace the listener by this one, or by none; open connections stay."""
         if self.server:
             self.server.close()
         self.server = server
 
-    def opened(self, connection: AdminConnection) -> None:
-        """Count a connection.
+    def connection_opened(self, connection: AdminConnection) -> None:
+        """Register a connection, and close the oldest one if there are too many.
 
-        Guards against connections that say nothing: beyond the limit the oldest gives way, so that they never
-        keep an operator out.
+        Otherwise connections that send nothing could occupy all places and keep an operator out.
         """
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
             oldest, _ = self.connections.popitem(last=False)
-            oldest.reject("too many callers")
+            oldest.reject("too many admin connections, this was the oldest")
             oldest.abort()
 
-    def closed(self, connection: AdminConnection) -> None:
-        """Count it no more."""
+    def connection_closed(self, connection: AdminConnection) -> None:
+        """Unregister a connection that has ended."""
         self.connections.pop(connection, None)
 
     def close(self) -> None:
@@ -191,16 +193,16 @@
         if self.server:
             self.server.close()
         for connection in list(self.connections):
-            with suppress(RuntimeError):  # the loop's transport is closing already
+            with suppress(RuntimeError):  # raised where the transport is closing already
                 connection.abort()
 
     # ---- Commands
 
     async def answer(self, line: bytes) -> AdminReply:
-        """Carry a line out; whatever goes wrong with it, there is an answer and the endpoint goes on."""
+        """Carry out a command line. Any failure becomes the answer NO and leaves the endpoint working."""
         words = line.decode("latin-1").split()
         if not words:
-            return rejected("an empty line")
+            return rejected("the line is empty")
         if words[0].upper() == TOKEN_PREFIX:
             refusal = await self._check_token(words)
             if refusal:
@@ -209,18 +211,18 @@
         return await self._carry_out(words[0].upper(), words[1:])
 
     async def _check_token(self, words: list[str]) -> str:
-        """Why ``AS TOKEN COMMAND ...`` may not act; empty if it may.
+        """The reason to reject ``AS TOKEN COMMAND ...``; empty if the command may be carried out.
 
-        Guards against a controller that was replaced: once a higher token has called, a lower one changes
-        nothing any more.
+        This fences off a rollout controller that was replaced: once a command with a higher token has come,
+        commands with a lower one are rejected.
         """
         token = words[1] if len(words) > 2 else ""
         if not (token.isascii() and token.isdecimal() and 0 < int(token) <= MAX_TOKEN):
-            return f"AS takes a token from 1 to {MAX_TOKEN} and a call"
+            return f"AS takes a token from 1 to {MAX_TOKEN} and a command"
         if self._fencing is None:
             return ""
         try:
-            # A process that starts does not know the tokens yet, and answers late.
+            # A process that is starting doesn't know the highest token yet: the check waits until it serves.
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 higher = await self._fencing(int(token))
         except TimeoutError:
@@ -230,7 +232,7 @@
     async def _carry_out(self, name: str, arguments: list[str]) -> AdminReply:
         command = self.commands.get(name)
         if command is None:
-            return rejected("no such call; there are " + ", ".join(sorted(self.commands)))
+            return rejected("no such call; the commands are " + ", ".join(sorted(self.commands)))
         if len(arguments) not in command.arguments.counts:
             return rejected(f"{name} takes {command.arguments.text}")
         try:
@@ -238,6 +240,6 @@
                 return await command.handler(" ".join(arguments))
         except TimeoutError:
             return rejected("not done in time")
-        except Exception:  # a fault of one command must not end the gateway
+        except Exception:  # a bug in one command must not end the gateway
             log.exception("the admin command %s failed", name)
-            return rejected("failed")
+            return rejected("failed, see the gateway's log")
--- a/quota_gateway/net/admin_commands.py
+++ b/quota_gateway/net/admin_commands.py
@@ -1,6 +1,7 @@
-"""The commands of operators for servers, the drain and the process; those of the configuration are in reload.
+"""The admin commands for servers, the drain and the process; those for the configuration are in ``reload``.
 
-Each becomes an event of the decisions, and is answered YES once the decisions have taken it over.
+Commands that take servers out or drain the gateway are posted to the policy (``quota_gateway.policy``) as
+events, and answered YES once the policy has processed them.
 """
 
 from __future__ import annotations
@@ -22,9 +23,10 @@
 
 
 class AdminCommands:
-    """Carries out the commands, in agreement with the peer process of a hot restart.
+    """Carries out the admin commands and shares their effect with the peer process of a hot restart.
 
-    Those that change something wait until this process serves: the state that it takes over would undo them.
+    Commands that change servers, the drain or the highest token wait until this process serves: the state
+    that it takes over from its predecessor would undo an earlier change.
     """
 
     def __init__(
@@ -35,7 +37,7 @@
         hot_restart: HotRestart,
     ) -> None:
         self.serving = asyncio.Event()  # set once this process serves
-        self.configuration_digest: Callable[[], str] = str  # of the configuration in force
+        self.configuration_digest: Callable[[], str] = str  # returns that of the configuration in force
         self._driver = driver
         self._gateway = driver.gateway
         self._clients = clients
@@ -55,10 +57,10 @@
             "RETIRE": AdminCommand(self.retire),
         }
 
-    # ---- What the process is doing
+    # ---- Queries
 
     async def health(self, _: str) -> AdminReply:
-        """Whether this process can serve; a drained one can."""
+        """HEALTH: whether this process can serve. A drained process can, and is answered YES."""
         if self._hot_restart.handed_over:
             return rejected("the next process has taken over")
         if not self.serving.is_set() or not self._clients.ready:
@@ -67,7 +69,7 @@
         return done(f"{state}, {len(self._gateway.endpoints.admin_down)} servers out")
 
     async def figures(self, _: str) -> AdminReply:
-        """Counters since the start of this process."""
+        """FIGURES: the counters of this process since its start, as JSON."""
         return done(
             self._driver.metrics.to_json(
                 self._gateway.responses.outcome_counters.totals,
@@ -78,13 +80,13 @@
         )
 
     async def pools(self, _: str) -> AdminReply:
-        """Connections to servers."""
+        """POOLS: the connections to servers, and counts since the last call, which are reset."""
         return done(self._driver.servers.describe_and_reset())
 
     # ---- Servers that are administratively down
 
     async def offline(self, instance_id: str) -> AdminReply:
-        """Take a server out, whatever discovery lists."""
+        """OFFLINE ID: take a server out of service, whatever discovery says about it."""
         await self.serving.wait()
         server = self._registry.number(instance_id)
         if not server:
@@ -99,7 +101,7 @@
         return done("out")
 
     async def online(self, instance_id: str) -> AdminReply:
-        """Put a server back."""
+        """ONLINE ID: put a server that was taken out back into service."""
         await self.serving.wait()
         server = self._registry.number(instance_id)
         if not server:
@@ -117,12 +119,12 @@
     # ---- The drain
 
     async def leave(self, _: str) -> AdminReply:
-        """Drain the gateway."""
+        """LEAVE: drain the gateway."""
         await self._set_draining(True)
         return done("drained")
 
     async def join(self, _: str) -> AdminReply:
-        """End the drain."""
+        """JOIN: end the drain."""
         await self._set_draining(False)
         return done("taking clients")
 
@@ -134,15 +136,15 @@
     # ---- The process and its peer
 
     async def retire(self, _: str) -> AdminReply:
-        """End the predecessor of a hot restart, be it this process or its peer."""
+        """RETIRE: ask the predecessor of a hot restart to end, be it this process or its peer."""
         refusal = self._hot_restart.retire()
         if refusal:
             return rejected(refusal)
         log.info("the predecessor of the hot restart is asked to end")
-        return done("the process that was followed ends once nothing is in hand")
+        return done("the predecessor ends once it has no request in flight")
 
     async def check_token(self, token: int) -> int:
-        """Accept a fencing token and share it with the peer; 0 if its holder may act, else the higher one."""
+        """Note a fencing token, share it with the peer; 0 if its holder may act, else the higher token."""
         await self.serving.wait()
         highest = self._hot_restart.highest_token
         if not self._hot_restart.accept_token(token):
--- a/quota_gateway/net/configuration_in_force.py
+++ b/quota_gateway/net/configuration_in_force.py
@@ -1,4 +1,4 @@
-"""The configuration in force, and the one step that puts another one into force."""
+"""The configuration in force, and the two steps that replace it: prepare and apply."""
 
 from __future__ import annotations
 
@@ -17,45 +17,45 @@
 
 
 class ConfigurationInForce:
-    """Holds the configuration, its revision, and the one that a rollback leads to.
+    """Holds the configuration in force, its revision, and the rollback target.
 
-    A change is prepared, then applied. All that may fail without a fault of this program is prepared:
-    reading, checking, a listener for the admin endpoint. Applying is one step of the event loop, so that no
-    request is decided by parts of two configurations.
+    A change is prepared, then applied. All that can fail without a bug in this program belongs to the
+    preparation: reading and checking the file, and opening a new listener for the admin endpoint. Applying
+    runs without a suspension, so that no request is decided by parts of two configurations.
     """
 
     def __init__(self, config: Config, parts: ProcessParts, admin_endpoint: admin.AdminEndpoint) -> None:
         self.config = config
         self.revision = 1
         self.since_s = time.time()
-        self.rollback_target: Config | None = None  # in force before the last change, or the trial
+        self.rollback_target: Config | None = None  # in force before the last change, or before the trial
         self._parts = parts
         self._admin_endpoint = admin_endpoint
 
     def describe(self) -> str:
         """Revision, digest and time of the last change, for an answer at the admin endpoint."""
-        return f"revision {self.revision}, digest {self.config.digest}, since {utc(self.since_s)}"
+        return f"revision {self.revision}, digest {self.config.digest}, since {format_utc(self.since_s)}"
 
     async def prepare(self, config: Config) -> asyncio.Server | None:
-        """A new listener of the admin endpoint, where it moves.
+        """Open a new listener for the admin endpoint if its address changes; None if it doesn't.
 
         Raises:
-            ConfigurationError: There can be none.
+            ConfigurationError: The new address can't be bound.
         """
         if config.admin is None or config.admin == self.config.admin:
             return None
         try:
             return await self._admin_endpoint.bind(*config.admin)
         except OSError as error:
-            raise ConfigurationError([f"admin: no listener there: {error.strerror or error}"]) from None
+            raise ConfigurationError([f"admin: can't listen there: {error.strerror or error}"]) from None
 
     def apply(self, config: Config, admin_server: asyncio.Server | None, note: str) -> str:
-        """Put a prepared configuration into force; returns what has changed, for the caller's answer.
+        """Put a prepared configuration into force; returns a summary for the answer to the admin command.
 
-        Raises ConfigurationError where the decisions fail; all is as it was then.
+        Raises ConfigurationError where the policy fails on the new settings; nothing is changed then.
         """
         changes = config.changes(self.config)
-        self._apply_to_decisions(config.settings)
+        self._apply_to_policy(config.settings)
         self._apply_to_sockets(config, admin_server)
         self.config = config
         self.revision += 1
@@ -69,7 +69,7 @@
         )
         return f"revision {self.revision}, {len(changes)} changes{f', {note}' if note else ''}"
 
-    def _apply_to_decisions(self, settings: api.Settings) -> None:
+    def _apply_to_policy(self, settings: api.Settings) -> None:
         driver = self._parts.driver
         if settings != driver.gateway.context.settings:
             driver.post(api.SettingsChanged(settings))
@@ -87,6 +87,6 @@
             self._admin_endpoint.move(admin_server)
 
 
-def utc(at_s: float) -> str:
-    """A moment of Unix time as answers and the log show it."""
-    return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(at_s))
+def format_utc(unix_time_s: float) -> str:
+    """A Unix time as the answers of the admin endpoint show it."""
+    return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(unix_time_s))
--- a/quota_gateway/net/metrics.py
+++ b/quota_gateway/net/metrics.py
@@ -1,6 +1,6 @@
-"""Counters of this process since its start, as the admin endpoint's FIGURES gives them.
+"""Counters of this process since its start, which the admin command FIGURES prints.
 
-Bounded: as many reasons as the decisions know, as many latency buckets as the scale has.
+Their size is bounded by the number of reasons (``GiveUpReason``, ``CloseReason``) and of latency buckets.
 """
 
 from __future__ import annotations
@@ -17,35 +17,35 @@
 from quota_gateway.net.close_reason import CloseReason
 from quota_gateway.state import GiveUpReason
 
-LATENCY_BUCKETS_PER_DOUBLING = 4  # a bucket is 19% wide
-MAX_LATENCY_BUCKET = 68  # begins at 131 s; bucket 0 holds all below 1.19 ms
+LATENCY_BUCKETS_PER_DOUBLING = 4  # each bucket's upper end is 19% above its lower one
+MAX_LATENCY_BUCKET = 68  # all from 131 s on; bucket 0 holds all below 1.19 ms
 
-PROGRAM = str(Path(__file__).parents[2])  # the folder of the version that runs
+PROGRAM = str(Path(__file__).parents[2])  # the folder that the running version was loaded from
 
 
 def latency_bucket(latency_ms: float) -> int:
-    """The bucket of the logarithmic scale that a latency falls into."""
+    """The number of the bucket of the logarithmic scale that a latency falls into."""
     if latency_ms <= 1.0:
         return 0
     return min(MAX_LATENCY_BUCKET, int(LATENCY_BUCKETS_PER_DOUBLING * log2(latency_ms)))
 
 
 def peak_memory_kib() -> int:
-    """The largest resident set that this process has had, in KiB.
+    """The peak resident set size of this process, in KiB.
 
-    Guards against ``ru_maxrss``, which begins with the peak of the parent process: below that no growth
-    shows.
+    ``ru_maxrss`` starts at the parent process's peak and hides any growth below it: it is only a fallback.
     """
-    with suppress(OSError, ValueError, IndexError), open("/proc/self/status", "rb") as file:  # not on Linux
+    with suppress(OSError, ValueError, IndexError), open("/proc/self/status", "rb") as file:  # not Linux
         return int(file.read().split(b"VmHWM:")[1].split()[0])
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
 
 
 class GatewayMetrics:
-    """Counters of requests and of what became of them.
+    """Counters of requests and of how they ended.
 
-    A request that was read ends in exactly one of five ways: served, rejected, failed, its client left, or
-    this gateway closed its connection. So `requests_total` is their sum and the requests without an end yet.
+    A request that was read ends in exactly one of five ways: it was served, rejected or failed, its client
+    disconnected, or this gateway closed its connection. So ``requests_total`` is the sum of these five counts
+    and of the requests that have not ended yet.
     """
 
     def __init__(self) -> None:
@@ -54,15 +54,15 @@
         self.served_total = 0
         self.rejected_total = 0
         self.failed_total = 0
-        self.disconnected_total = 0  # the client left before its answer
-        self.dropped: Counter[CloseReason] = Counter()  # this gateway closed the connection before
+        self.disconnected_total = 0  # the client disconnected before its answer
+        self.dropped: Counter[CloseReason] = Counter()  # this gateway closed the connection before the answer
         self.broken_off_total = 0  # of those served: the rest of a long value never came
-        self.late_total = 0  # served after the latency objective of their class
+        self.late_total = 0  # of those served: later than the latency objective of their class
         self.attempts_total = 0
         self.latency_buckets = [0] * (MAX_LATENCY_BUCKET + 1)  # requests served, by bucket
 
     def count_answer(self, answer: bytes, latency_ms: float, latency_objective_ms: float) -> None:
-        """Count a final answer by its first bytes on the wire: a value, a rejection or another error."""
+        """Count a final answer, classified by its first bytes: a value, a rejection or another error."""
         if answer[:1] == b"$":
             self.count_served(latency_ms, latency_objective_ms)
         elif answer.startswith(b"-BUSY"):
@@ -71,14 +71,14 @@
             self.failed_total += 1
 
     def count_disconnected(self, close_reason: CloseReason | None) -> None:
-        """Count a request whose connection ended first; the reason is None where its client left."""
+        """Count a request whose connection ended before its answer; None means that the client ended it."""
         if close_reason is None:
             self.disconnected_total += 1
         else:
             self.dropped[close_reason] += 1
 
     def ended_total(self) -> int:
-        """Requests that have ended, in one way each."""
+        """Requests that have ended in any of the five ways."""
         return (
             self.served_total
             + self.rejected_total
@@ -88,7 +88,7 @@
         )
 
     def count_served(self, latency_ms: float, latency_objective_ms: float) -> None:
-        """Count a request as served; one with a long value as the value begins."""
+        """Count a request as served; a streamed value counts as its first part is sent."""
         self.served_total += 1
         self.late_total += latency_ms > latency_objective_ms
         self.latency_buckets[latency_bucket(latency_ms)] += 1
@@ -98,7 +98,7 @@
     ) -> str:
         """All counters as a JSON object on one line, by the keys that operators' tools read.
 
-        ``in_flight``: requests that are not done with; ``unanswered``: those of them without an end.
+        ``in_flight``: requests that the driver holds; ``unanswered``: those of them that have not ended.
         """
         document = {
             "pid": os.getpid(),
--- a/quota_gateway/net/peer_process.py
+++ b/quota_gateway/net/peer_process.py
@@ -1,8 +1,7 @@
-"""The other process of the same gateway during a hot restart: whether it lives, and how it is ended.
+"""The other process of the same gateway during a hot restart: whether it is alive, and how to end it.
 
-Two processes never serve side by side. A process that finds the other one hung ends it first, through a
-process descriptor of the kernel, and takes over once it has ended; a hung process that would have woken late
-never does.
+Two processes never serve at the same time. A process that finds the other one hung kills it through a process
+descriptor (pidfd) and takes over only once it has ended, so a hung process can't resume later and serve too.
 """
 
 from __future__ import annotations
@@ -22,14 +21,14 @@
 
 
 class PeerCredentials(NamedTuple):
-    """Process and user at the other end of a Unix socket, as the kernel reports them."""
+    """Process id and user id at the other end of a Unix socket, as the kernel reports them."""
 
     pid: int
     user_id: int
 
 
 def peer_credentials(sock: socket.socket) -> PeerCredentials:
-    """Process and user at the other end of a Unix socket. Raises OSError."""
+    """The credentials of the process at the other end of a Unix socket. Raises OSError."""
     raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, UCRED.size)
     pid, user_id, _group_id = UCRED.unpack(raw)
     return PeerCredentials(pid, user_id)
@@ -38,8 +37,8 @@
 class PeerProcess:
     """Handle of the other process.
 
-    Holds a process descriptor, as a process id may be reused by a third process once its owner has ended.
-    Where there can be none (an old kernel, or the peer is this very process), the peer counts as ended.
+    Holds a process descriptor, as the process id may be reused by a third process once the peer has ended.
+    Where none can be opened (on an old kernel), or the peer is this process itself, the peer counts as ended.
     """
 
     def __init__(self, pid: int) -> None:
@@ -51,7 +50,7 @@
                 self._descriptor = os.pidfd_open(pid)
 
     def alive(self) -> bool:
-        """Whether the process is known not to have ended."""
+        """Whether the process is known to be alive."""
         if self._descriptor < 0:
             return False
         poll = select.poll()
@@ -59,17 +58,17 @@
         return not poll.poll(0)
 
     def kill(self) -> None:
-        """End the process, whatever state it is in."""
+        """End the process with SIGKILL, whatever state it is in."""
         self.signal(signal.SIGKILL)
 
-    def signal(self, number: int) -> None:
-        """Send a signal; nothing happens where the process has ended."""
+    def signal(self, signal_number: int) -> None:
+        """Send a signal; does nothing if the process has ended."""
         if self._descriptor >= 0:
             with suppress(OSError):
-                signal.pidfd_send_signal(self._descriptor, number)
+                signal.pidfd_send_signal(self._descriptor, signal_number)
 
     def when_ended(self, callback: Callable[[], None]) -> None:
-        """Call back once the process has ended: at once, if it has."""
+        """Run the callback once the process has ended; immediately if it has already."""
         if not self.alive():
             callback()
             return
@@ -81,7 +80,7 @@
         self._loop.add_reader(self._descriptor, ended)
 
     def close(self) -> None:
-        """Release the process descriptor; the process counts as ended from now on."""
+        """Close the process descriptor; the process counts as ended from now on."""
         if self._descriptor >= 0:
             self._loop.remove_reader(self._descriptor)
             os.close(self._descriptor)
--- a/quota_gateway/net/process_parts.py
+++ b/quota_gateway/net/process_parts.py
@@ -1,4 +1,4 @@
-"""The parts of this process that a hot restart hands over and a reload changes."""
+"""The parts of this process that a hot restart hands over and that a reload reconfigures."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ProcessParts(NamedTuple):
-    """The decisions' driver, the sockets and discovery's list."""
+    """The policy's driver, the client and server connections, and the servers that discovery lists."""
 
     driver: Driver
     clients: ClientRegistry
@@ -19,5 +19,5 @@
     discovery: Discovery
 
     def server_names(self) -> dict[int, str]:
-        """Discovery's ids of the servers, by the number that this process has given them."""
+        """Discovery's instance ids of the servers, by the number that this process gave each of them."""
         return {number: server_id for server_id, number in self.discovery.registry.numbers.items()}
--- a/quota_gateway/net/reload.py
+++ b/quota_gateway/net/reload.py
@@ -1,18 +1,23 @@
-"""Reloads of the configuration while the gateway serves: completely or not at all, and with a rollback.
+"""Reloads the configuration file while the gateway serves, on SIGHUP or an admin command.
+
+A reload takes effect completely or not at all, and can be rolled back. ``RELOAD CONFIRM SECONDS`` puts the
+new configuration on trial: it is rolled back unless CONFIRM comes in time. The rollback target is the
+configuration that a rollback leads to. A changed file is one that differs from the configuration in force.
 
   state     event                           next state  effect
-  steady    RELOAD, SIGHUP, changed file    steady      the rollback target is what was in force
-  steady    RELOAD CONFIRM, changed file    on trial    the rollback target is what was in force
+  steady    RELOAD, SIGHUP, changed file    steady      the rollback target is the configuration replaced
+  steady    RELOAD CONFIRM, changed file    on trial    the rollback target is the configuration replaced
   on trial  RELOAD, SIGHUP, changed file    steady      the rollback target stays
   on trial  RELOAD CONFIRM, changed file    on trial    a new trial; the rollback target stays
-  on trial  RELOAD CONFIRM, unchanged file  on trial    the time begins anew
-  on trial  CONFIRM                         steady      the configuration stays
-  on trial  the time is up                  steady      the rollback target is in force; no target is left
-  either    ROLLBACK                        steady      the rollback target is in force; no target is left
-  either    any other, unchanged file       unchanged   nothing; in particular no trial begins
-
-A faulty file changes nothing. Once the next process has taken over, all but CONFIG is rejected, SIGHUP too:
-the next process reads the file itself. The states are in ``configuration_trial``.
+  on trial  RELOAD CONFIRM, unchanged file  on trial    the trial's time starts again
+  on trial  CONFIRM                         steady      the configuration in force stays
+  on trial  the trial's time is up          steady      the rollback target takes effect; no target is left
+  either    ROLLBACK                        steady      the rollback target takes effect; no target is left
+  either    any other, unchanged file       unchanged   none; in particular no trial begins
+
+A faulty file changes nothing. Once the next process of a hot restart has taken over, every command here but
+CONFIG is rejected, and so is SIGHUP: the next process reads the file itself. ``configuration_trial`` has the
+states.
 """
 
 from __future__ import annotations
@@ -26,23 +31,23 @@
 from quota_gateway.errors import ConfigurationError
 from quota_gateway.net import admin
 from quota_gateway.net.admin import AdminCommand, AdminReply, Arguments, done, rejected
-from quota_gateway.net.configuration_in_force import ConfigurationInForce, utc
+from quota_gateway.net.configuration_in_force import ConfigurationInForce, format_utc
 from quota_gateway.net.configuration_trial import ConfigurationTrial
 from quota_gateway.net.hot_restart import HotRestart
 from quota_gateway.net.process_parts import ProcessParts
 
 log = logging.getLogger(__name__)
 
-READ_INTERVAL_S = 0.1  # between attempts to read a file that is truncated or missing: it may be being written
-MAX_READS_ON_SIGHUP = 20  # 2 s, half of the time in which the platform wants discovery to have moved
-MAX_READS_ON_COMMAND = 4  # 0.4 s: a caller at the admin endpoint waits 1 s
+READ_INTERVAL_S = 0.1  # between attempts to read a truncated or missing file, which may be being written
+MAX_READS_ON_SIGHUP = 20  # 2 s: half of the time that the platform allows for a move of discovery
+MAX_READS_ON_COMMAND = 4  # 0.4 s: a caller at the admin endpoint waits 1 s for the answer
 MAX_TRIAL_S = 3600
 RELOAD_ARGUMENTS = Arguments((0, 2), "nothing or CONFIRM SECONDS")
-MAX_REASON_CHARS = 400  # of a rejection, in the answer and in the log
+MAX_REASON_CHARS = 400  # of the reason for a rejection, in the answer and in the log
 
 
 class ConfigurationReload:
-    """Takes signals and admin calls, and changes the configuration in force; one change at a time."""
+    """Changes the configuration in force on SIGHUP and on admin commands, one change at a time."""
 
     def __init__(
         self,
@@ -54,8 +59,8 @@
     ) -> None:
         self.in_force = ConfigurationInForce(config, parts, admin_endpoint)
         self.trial = ConfigurationTrial(self._roll_back_expired_trial)
-        self.last_rejection = ""  # when and why
-        # Set once this process serves: a change before that would be undone by what it takes over.
+        self.last_rejection = ""  # time and reason
+        # Set once this process serves: the state that it takes over would undo an earlier change.
         self.serving = asyncio.Event()
         self.signal_pending = False
         self.signal_task: asyncio.Task[None] | None = None
@@ -74,7 +79,7 @@
         }
 
     def close(self) -> None:
-        """Change nothing any more, as the process stops."""
+        """Reject all further changes, as the process is stopping."""
         self._stopping = True
         self.trial.end()
         if self.signal_task:
@@ -83,13 +88,13 @@
     # ---- Signals
 
     def signal(self) -> None:
-        """SIGHUP. Two at once are one reload; one that comes during a reload brings another."""
+        """Reload on SIGHUP. Two signals at once cause one reload; one during a reload causes another."""
         self.signal_pending = True
         if self.signal_task is None:
-            self.signal_task = asyncio.get_running_loop().create_task(self._follow_signals(), name="SIGHUP")
-            self.signal_task.add_done_callback(self._signals_followed)
+            self.signal_task = asyncio.get_running_loop().create_task(self._handle_signals(), name="SIGHUP")
+            self.signal_task.add_done_callback(self._signal_task_done)
 
-    async def _follow_signals(self) -> None:
+    async def _handle_signals(self) -> None:
         await self.serving.wait()
         while self.signal_pending:
             self.signal_pending = False
@@ -99,15 +104,15 @@
             if not logged_already:
                 log.info("SIGHUP: %s", reply.text)
 
-    def _signals_followed(self, task: asyncio.Task[None]) -> None:
+    def _signal_task_done(self, task: asyncio.Task[None]) -> None:
         self.signal_task = None
         if not task.cancelled() and task.exception():
-            log.error("the reload failed: %r", task.exception())
+            log.error("the reload on SIGHUP failed: %r", task.exception())
 
-    # ---- Admin calls
+    # ---- Admin commands
 
     async def show(self, _: str) -> AdminReply:
-        """CONFIG: what is in force."""
+        """CONFIG: the configuration in force, the trial, the rollback target and the last rejection."""
         target = self.in_force.rollback_target
         parts = [self.in_force.describe()]
         if self.trial.active:
@@ -118,11 +123,11 @@
             parts.append(f"last refused {self.last_rejection}")
         return done(", ".join(parts))
 
-    async def reload(self, words: str) -> AdminReply:
-        """RELOAD: read the file again; RELOAD CONFIRM SECONDS: on trial."""
+    async def reload(self, arguments: str) -> AdminReply:
+        """RELOAD: put the file's configuration into force; RELOAD CONFIRM SECONDS: put it on trial."""
         trial_s = None
-        if words:
-            keyword, seconds = words.split()
+        if arguments:
+            keyword, seconds = arguments.split()
             if keyword.upper() != "CONFIRM" or not (seconds.isascii() and seconds.isdecimal()):
                 return rejected("RELOAD takes nothing or CONFIRM SECONDS")
             if not 1 <= int(seconds[:9]) <= MAX_TRIAL_S:
@@ -132,7 +137,7 @@
         return await self._reload(MAX_READS_ON_COMMAND, trial_s)
 
     async def confirm(self, _: str) -> AdminReply:
-        """CONFIRM: keep what is on trial."""
+        """CONFIRM: keep the configuration that is on trial."""
         if not self.trial.active:
             return rejected("nothing is on trial")
         reason = self._unchangeable_reason()
@@ -144,27 +149,27 @@
         return done(f"confirmed, revision {in_force.revision}")
 
     async def rollback(self, _: str) -> AdminReply:
-        """ROLLBACK: put the configuration before the last change, or before the trial, into force again."""
+        """ROLLBACK: put the configuration from before the last change, or the trial, into force again."""
         await self.serving.wait()
         async with self._lock:
             return await self._roll_back("rolled back")
 
-    # ---- A change
+    # ---- Changes
 
     def _unchangeable_reason(self) -> str:
-        """Why this process changes nothing any more; empty while it may."""
+        """Why this process no longer accepts changes; empty while it does."""
         if self._stopping:
             return "this process stops"
         return "the next process has taken over" if self._hot_restart.handed_over else ""
 
     def _check_changeable(self) -> None:
-        """Raise ConfigurationError if this process changes nothing any more."""
+        """Raise ConfigurationError if this process no longer accepts changes."""
         reason = self._unchangeable_reason()
         if reason:
             raise ConfigurationError([reason])
 
     async def _reload(self, max_reads: int, trial_s: float | None) -> AdminReply:
-        """Read and apply the file; one that is truncated may be being written, and is read again."""
+        """Read and apply the file; retry while it is truncated or missing, as it may be being written."""
         reads = 0
         while True:
             reads += 1
@@ -178,15 +183,15 @@
             await asyncio.sleep(READ_INTERVAL_S)
 
     async def _apply_file(self, trial_s: float | None) -> str:
-        """Put the file's configuration into force; what has changed. Raises ConfigurationError."""
+        """Put the file's configuration into force; returns what changed. Raises ConfigurationError."""
         in_force = self.in_force
         config = read(read_file(self._environment["EDGE_CONFIG"]), self._environment, reload=True)
-        await asyncio.sleep(0)  # other tasks have their turn between reading and applying
+        await asyncio.sleep(0)  # let other tasks run between reading and applying
         faults = config.faults_of_fixed_names(in_force.config)
         if faults:
             raise ConfigurationError(faults)
         if not config.changes(in_force.config):
-            if self.trial.active and trial_s:  # its time begins anew
+            if self.trial.active and trial_s:  # the trial's time starts again
                 self.trial.end()
                 self.trial.begin(trial_s)
             return f"nothing changed, revision {in_force.revision}"
@@ -199,11 +204,14 @@
         return text
 
     async def _change_to(self, config: Config, note: str) -> str:
-        """Prepare and apply a configuration; a trial of the one before ends. Raises ConfigurationError."""
+        """Prepare and apply a configuration, and end any trial; returns what changed.
+
+        Raises ConfigurationError.
+        """
         self._check_changeable()
         admin_server = await self.in_force.prepare(config)
         try:
-            self._check_changeable()  # the next process may have taken over meanwhile
+            self._check_changeable()  # the next process may have taken over during the preparation
             text = self.in_force.apply(config, admin_server, note)
         except ConfigurationError:
             if admin_server:
@@ -213,10 +221,10 @@
         return text
 
     def _reject(self, error: ConfigurationError) -> AdminReply:
-        """The answer to a change that can't be made; everything is as it was."""
-        more = f" ({len(error.faults)} faults)" if len(error.faults) > 1 else ""
-        reason = f"{error}"[:MAX_REASON_CHARS] + more
-        self.last_rejection = f"{utc(time.time())}: {reason}"
+        """Log and remember why a change was not made; returns the answer NO."""
+        fault_count = f" ({len(error.faults)} faults)" if len(error.faults) > 1 else ""
+        reason = f"{error}"[:MAX_REASON_CHARS] + fault_count
+        self.last_rejection = f"{format_utc(time.time())}: {reason}"
         revision = self.in_force.revision
         log.error("configuration refused, revision %d stays: %s", revision, reason)
         return rejected(f"refused, revision {revision} stays: {reason}")
@@ -224,7 +232,7 @@
     # ---- Rollback
 
     async def _roll_back(self, note: str) -> AdminReply:
-        """Change to the rollback target; after that there is none to go back to."""
+        """Put the rollback target into force; after that there is no target."""
         target = self.in_force.rollback_target
         if target is None:
             return rejected("there is nothing to go back to")
@@ -236,7 +244,7 @@
         return done(text)
 
     async def _roll_back_expired_trial(self) -> bool:
-        """Whether nothing is left to do; false where a rollback is not possible now."""
+        """Roll back unless the trial has ended otherwise; false where a rollback is not possible now."""
         async with self._lock:
             if self._stopping or not self.trial.is_due():
                 return True
--- a/quota_gateway/net/retained_connections.py
+++ b/quota_gateway/net/retained_connections.py
@@ -1,4 +1,4 @@
-"""Copies of client connections that were transferred to the next process, to take back if it dies early."""
+"""Copies of client connections that were transferred to the next process, for use if that process dies."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 log = logging.getLogger(__name__)
 
-NOT_RETAINED = 0  # in place of a retained connection's id
+NOT_RETAINED = 0  # in place of the id, where no copy was made
 
 
 class RetainedConnection(NamedTuple):
-    """A copy of a transferred connection's descriptor, and what was true as it was transferred."""
+    """A copy of a transferred connection's descriptor, and the connection's state at the transfer."""
 
     descriptor: int
     consumed_bytes: int
-    has_requested: bool  # a request had come on it
+    has_requested: bool  # a request had been received on it
 
     def untouched(self) -> bool:
-        """Whether no process has read from the connection since it was transferred."""
+        """Whether no process has read from the connection since the transfer."""
         try:
             return bytes_consumed(self.descriptor) == self.consumed_bytes
         except OSError:  # the connection has ended
@@ -30,7 +30,7 @@
 
 
 class ReclaimedConnection(NamedTuple):
-    """A connection that was taken back from a process that has ended."""
+    """A connection that is taken back after the next process has died."""
 
     sock: socket.socket
     has_requested: bool
@@ -39,9 +39,10 @@
 class RetainedConnections:
     """Bounded set of copies, by id.
 
-    If the next process dies, connections of which it has read nothing are as they were and go on here. On
-    any other it may have answered something, so that connection is closed. A copy keeps its connection open
-    for the client, so the next process reports each connection that it closes, and the copy goes too.
+    If the next process dies, connections from which it has read nothing are unchanged, and this process
+    continues them. On any other it may have sent an answer, so that connection is closed. A copy keeps its
+    connection open for the client, so the next process reports each connection that it closes, and the copy
+    is closed too.
     """
 
     def __init__(self) -> None:
@@ -52,7 +53,7 @@
         return len(self._copies)
 
     def retain(self, descriptor: int, has_requested: bool, max_connections: int) -> int:
-        """Copy a connection; returns its id, or NOT_RETAINED where the bound or the kernel allows no copy."""
+        """Copy a connection; returns the copy's id, or NOT_RETAINED at the bound or if the copy failed."""
         if len(self._copies) >= max_connections:
             return NOT_RETAINED
         try:
@@ -65,13 +66,13 @@
         return self._last_id
 
     def release(self, retained_id: int) -> None:
-        """Close a copy; nothing happens if there is none of this id."""
+        """Close a copy; does nothing if there is none with this id."""
         copy = self._copies.pop(retained_id, None)
         if copy:
             os.close(copy.descriptor)
 
     def reclaim(self) -> list[ReclaimedConnection]:
-        """The untouched connections, which are the caller's from now on; all others are closed."""
+        """Return the untouched connections, which the caller owns from now on, and close all others."""
         copies = self._copies
         self._copies = {}
         reclaimed = []
--- a/quota_gateway/net/tcp_info.py
+++ b/quota_gateway/net/tcp_info.py
@@ -1,4 +1,4 @@
-"""Byte counts of a TCP connection as the kernel keeps them, whichever process reads or writes it."""
+"""The kernel's byte counts of a TCP connection, which cover all processes that read or write it."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 # tcpi_pacing_rate (104), tcpi_max_pacing_rate (112), tcpi_bytes_acked (120), tcpi_bytes_received (128).
 BYTES_ACKED_OFFSET = 120
 BYTES_RECEIVED_OFFSET = 128
-TCP_INFO_BYTES = 136  # up to the end of the last field that is read
-MAX_READS = 100  # of a counter that moves while it is read
+TCP_INFO_BYTES = 136  # up to the end of tcpi_bytes_received, the last field needed
+MAX_READS = 100  # attempts to read a counter that changes meanwhile
 COUNTER = struct.Struct("Q")
 IOCTL_RESULT = struct.Struct("i")
 
 
 def bytes_consumed(descriptor: int) -> int:
-    """Bytes that were read out of the kernel: those received, less those unread. Raises OSError."""
+    """Bytes that processes have read: those received less those in the receive queue. Raises OSError."""
     received, unread = _counter_with_queue(descriptor, BYTES_RECEIVED_OFFSET, termios.FIONREAD)
     return received - unread
 
 
 def bytes_written(descriptor: int) -> int:
-    """Bytes that were written into the kernel, up to a constant of the connection. Raises OSError.
+    """Bytes that processes have written, plus an offset that is constant for a connection. Raises OSError.
 
-    They are those that the peer has acknowledged and those still in the send queue.
+    Computed as the bytes that the peer has acknowledged and those still in the send queue.
     """
     acknowledged, unacknowledged = _counter_with_queue(descriptor, BYTES_ACKED_OFFSET, termios.TIOCOUTQ)
     return acknowledged + unacknowledged
 
 
 def _counter_with_queue(descriptor: int, offset: int, request: int) -> tuple[int, int]:
-    """A counter, and the bytes of it that still wait in a queue, as of one moment.
+    """A counter and the size of the queue that belongs to it, consistent with each other.
 
-    Bytes that come between the two readings would be in one of them only: more would be unread than had been
-    received. So the counter is read again behind the queue, until it has not moved.
+    They are two system calls. Bytes that arrive between them would be in one value only, so that more bytes
+    could be unread than were received. So the counter is read again after the queue, until it is unchanged.
     """
     counter = _tcp_info_counter(descriptor, offset)
     for _ in range(MAX_READS):
@@ -47,7 +47,7 @@
         if counter_after == counter:
             return counter, queued
         counter = counter_after
-    raise BlockingIOError(errno.EAGAIN, "the connection's byte counts do not come to rest")
+    raise BlockingIOError(errno.EAGAIN, "the connection's TCP byte count changes with every reading")
 
 
 def _tcp_info_counter(descriptor: int, offset: int) -> int:
@@ -58,6 +58,6 @@
 
 
 def _queued_bytes(descriptor: int, request: int) -> int:
-    """Bytes that wait in the receive queue (FIONREAD) or in the send queue (TIOCOUTQ)."""
+    """The number of bytes in the receive queue (FIONREAD) or in the send queue (TIOCOUTQ)."""
     (count,) = IOCTL_RESULT.unpack(fcntl.ioctl(descriptor, request, IOCTL_RESULT.pack(0)))
     return int(count)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The admin endpoint: one line in, one line out, and no caller keeps another one out."""
+"""The admin endpoint: one command line, one answer line, and limits on slow and silent connections."""
 
 import asyncio
 import socket
@@ -9,17 +9,17 @@
 from quota_gateway.net import admin
 
 
-class Caller:
+class AdminClient:
     """One connection to the admin endpoint."""
 
-    async def open(self, endpoint: admin.AdminEndpoint) -> "Caller":
+    async def open(self, endpoint: admin.AdminEndpoint) -> "AdminClient":
         assert endpoint.server
         port = endpoint.server.sockets[0].getsockname()[1]
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", port)
         return self
 
     async def ask(self, line: bytes) -> bytes:
-        """What comes back until the endpoint closes."""
+        """Send a line; returns all that comes back until the endpoint closes the connection."""
         self.writer.write(line)
         return await self.answer()
 
@@ -30,33 +30,33 @@
             return b""
 
 
-async def an_endpoint(**more) -> admin.AdminEndpoint:
-    asked = []
+async def open_endpoint(**extra_commands) -> admin.AdminEndpoint:
+    taken_out = []
 
     async def health(_: str) -> admin.AdminReply:
         return admin.done("serving")
 
     async def offline(name: str) -> admin.AdminReply:
-        asked.append(name)
+        taken_out.append(name)
         return admin.done("") if name == "s-1" else admin.rejected("nobody has this id")
 
-    async def broken(_: str) -> admin.AdminReply:
+    async def raise_error(_: str) -> admin.AdminReply:
         raise ZeroDivisionError
 
-    made = admin.AdminEndpoint(
+    admin_endpoint = admin.AdminEndpoint(
         {
             "HEALTH": admin.AdminCommand(health),
             "OFFLINE": admin.AdminCommand(offline, admin.ONE_ID),
-            "LEAVE": admin.AdminCommand(broken),
-            **more,
+            "LEAVE": admin.AdminCommand(raise_error),
+            **extra_commands,
         }
     )
-    await made.listen("127.0.0.1", 0)
-    return made
+    await admin_endpoint.listen("127.0.0.1", 0)
+    return admin_endpoint
 
 
 @pytest.mark.parametrize(
-    ("line", "begins"),
+    ("line", "answer_prefix"),
     [
         (b"HEALTH\n", b"YES"),
         (b"HEALTH\r\n", b"YES"),
@@ -74,47 +74,46 @@
         (b"x" * 300, b"NO the line"),
     ],
 )
-def test_one_line_in_one_line_out_and_then_it_closes(line, begins):
+def test_each_command_line_gets_one_answer_line_and_the_connection_closes(line, answer_prefix):
     async def test():
-        endpoint = await an_endpoint()
-        answer = await (await Caller().open(endpoint)).ask(line)
-        assert answer.startswith(begins)
+        endpoint = await open_endpoint()
+        answer = await (await AdminClient().open(endpoint)).ask(line)
+        assert answer.startswith(answer_prefix)
         assert answer.endswith(b"\n")
         assert answer.count(b"\n") == 1
-        assert (await (await Caller().open(endpoint)).ask(b"HEALTH\n")).startswith(b"YES")
+        assert (await (await AdminClient().open(endpoint)).ask(b"HEALTH\n")).startswith(b"YES")
         endpoint.close()
 
     run(test())
 
 
-def test_line_in_pieces_or_ended_by_the_end_of_sending_is_a_line():
+def test_line_may_come_byte_by_byte_and_end_with_end_of_stream():
     async def test():
-        endpoint = await an_endpoint()
-        caller = await Caller().open(endpoint)
+        endpoint = await open_endpoint()
+        client = await AdminClient().open(endpoint)
         for byte in b"OFFLINE s-1":
-            caller.writer.write(bytes([byte]))
-            await caller.writer.drain()
-        caller.writer.write_eof()
-        assert (await caller.answer()).startswith(b"YES")
+            client.writer.write(bytes([byte]))
+            await client.writer.drain()
+        client.writer.write_eof()
+        assert (await client.answer()).startswith(b"YES")
         endpoint.close()
 
     run(test())
 
 
-def test_silent_callers_are_told_no_after_a_while_and_give_way_to_new_ones(monkeypatch):
-    """Many connect to the admin endpoint and send nothing.
+def test_silent_connections_time_out_with_no_and_the_oldest_are_closed_for_new_ones(monkeypatch):
+    """Connections that send nothing must not keep an operator out of the endpoint during an incident.
 
-    An operator would find it full in the middle of an incident. The oldest give way, and each that is left is
-    answered NO when its time is up.
+    The oldest are closed for new ones, and each that stays open is answered NO at its timeout.
     """
     monkeypatch.setattr(admin, "LINE_TIMEOUT_S", 0.2)
 
     async def test():
-        endpoint = await an_endpoint()
-        silent = [await Caller().open(endpoint) for _ in range(3 * admin.MAX_CONNECTIONS)]
-        assert (await (await Caller().open(endpoint)).ask(b"HEALTH\n")).startswith(b"YES")
+        endpoint = await open_endpoint()
+        silent = [await AdminClient().open(endpoint) for _ in range(3 * admin.MAX_CONNECTIONS)]
+        assert (await (await AdminClient().open(endpoint)).ask(b"HEALTH\n")).startswith(b"YES")
         assert len(endpoint.connections) <= admin.MAX_CONNECTIONS
-        answers = [await caller.answer() for caller in silent]
+        answers = [await client.answer() for client in silent]
         assert answers[-1].startswith(b"NO no whole line")
         assert not endpoint.connections
         endpoint.close()
@@ -122,31 +121,27 @@
     run(test())
 
 
-def test_call_that_takes_too_long_is_answered_no(monkeypatch):
-    """A command waits for something that never comes.
+def test_command_that_exceeds_the_timeout_is_answered_no(monkeypatch):
+    """A command that waits forever is answered NO within the time that operators' tools wait.
 
-    Its operator would wait without end and not know whether it was done. The answer is NO, within the time
-    that operators' tools wait.
+    Otherwise its operator would wait without end and not know whether it was carried out.
     """
     monkeypatch.setattr(admin, "ANSWER_TIMEOUT_S", 0.05)
 
     async def test():
-        async def never(_: str) -> admin.AdminReply:
+        async def wait_forever(_: str) -> admin.AdminReply:
             await asyncio.get_running_loop().create_future()
             return admin.done("")
 
-        endpoint = await an_endpoint(JOIN=admin.AdminCommand(never))
-        assert (await (await Caller().open(endpoint)).ask(b"JOIN\n")).startswith(b"NO not done in time")
+        endpoint = await open_endpoint(JOIN=admin.AdminCommand(wait_forever))
+        assert (await (await AdminClient().open(endpoint)).ask(b"JOIN\n")).startswith(b"NO not done in time")
         endpoint.close()
 
     run(test())
 
 
-def test_admin_endpoint_that_can_not_be_opened_is_missing_and_no_crash():
-    """The admin endpoint's address is taken as the gateway starts.
-
-    A gateway that ended over it would take its clients' capacity along. It serves without the endpoint.
-    """
+def test_gateway_runs_without_an_admin_endpoint_if_its_address_is_taken():
+    """A gateway that ended because its admin address is in use would be missing as serving capacity."""
 
     async def test():
         with socket.create_server(("127.0.0.1", 0)) as taken:
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -1,4 +1,4 @@
-"""Two processes of one gateway, one of which hangs or dies; figures and fencing tokens."""
+"""A hot restart in which one of the two processes hangs or dies; counters and fencing tokens."""
 
 import json
 import os
@@ -20,187 +20,191 @@
 from quota_gateway.net.tcp_info import bytes_consumed
 
 
-def beside(tmp_path, case, seconds=4.0, steps=()):
-    """One gateway under load; the case plays with its processes."""
+def run_beside_load(tmp_path, case, seconds=4.0, steps=()):
+    """Run a case with one gateway under load; the case starts, stops and kills its processes."""
 
     async def test():
         world = msgspec.structs.replace(SCENARIO.world, gateways=1, seconds=seconds)
         scenario = msgspec.structs.replace(SCENARIO, world=world, rate=80.0, steps=steps)
-        async with FaultBench(scenario, tmp_path / "rig", program=Program.of(ROOT)) as rig:
-            await case(rig, rig.managed_gateways["g0"])
+        async with FaultBench(scenario, tmp_path / "rig", program=Program.of(ROOT)) as bench:
+            await case(bench, bench.managed_gateways["g0"])
 
     run(test())
 
 
-def test_next_process_that_hangs_is_ended_and_its_connections_are_taken_back(tmp_path):
-    async def case(rig, member):
-        old = member.process
-        idle = await Peer().open(rig.links["clients>g0"].at[1], rig.host)
+def test_successor_that_hangs_is_killed_and_its_connections_are_taken_back(tmp_path):
+    async def case(bench, gateway):
+        old = gateway.process
+        idle = await Peer().open(bench.links["clients>g0"].at[1], bench.host)
         assert await idle.ask(call_of(1)) == b"0000000000000001"
-        new = await member.start()
-        assert await member.ready(new)
+        new = await gateway.start()
+        assert await gateway.ready(new)
         new.signal(signal.SIGSTOP)
-        idle.send(call_of(2))  # into a connection that the stopped process has by now, and has not read
-        await rig.until(lambda: not new.alive)
+        idle.send(call_of(2))  # the stopped process owns this connection by now and can't read from it
+        await bench.until(lambda: not new.alive)
         assert await idle.reply() == b"0000000000000002"
         assert old.alive
         assert (await old.call("HEALTH")).startswith("YES serving")
-        assert "the peer process hangs" in member.log()
-        assert "connections reclaimed" in member.log()
-        again = await member.start()
-        assert await member.ready(again)  # the way is open for the next one
+        assert "the peer process hangs" in gateway.log()
+        assert "connections reclaimed" in gateway.log()
+        third = await gateway.start()
+        assert await gateway.ready(third)  # another hot restart is possible
 
-    beside(tmp_path, case)
+    run_beside_load(tmp_path, case)
 
 
-def test_next_process_that_dies_leaves_untouched_connections_and_closes_the_others(tmp_path):
-    async def case(rig, member):
-        untouched, used = [await Peer().open(rig.links["clients>g0"].at[1], rig.host) for _ in range(2)]
+def test_untouched_connections_survive_the_successors_death_and_others_are_closed(tmp_path):
+    async def case(bench, gateway):
+        untouched, used = [await Peer().open(bench.links["clients>g0"].at[1], bench.host) for _ in range(2)]
         for number, peer in enumerate((untouched, used)):
             assert await peer.ask(call_of(number)) == b"%016x" % number
-        new = await member.start()
-        assert await member.ready(new)
+        new = await gateway.start()
+        assert await gateway.ready(new)
         assert await used.ask(call_of(7)) == b"%016x" % 7
         new.signal(signal.SIGKILL)
         assert await used.reply() is None
         assert await untouched.ask(call_of(8)) == b"%016x" % 8
 
-    beside(tmp_path, case)
+    run_beside_load(tmp_path, case)
 
 
-def test_old_process_that_hangs_is_ended_and_the_next_goes_on_alone(tmp_path):
-    async def case(rig, member):
-        old = member.process
+def test_predecessor_that_hangs_before_the_handover_is_killed_and_the_successor_serves(tmp_path):
+    async def case(bench, gateway):
+        old = gateway.process
         old.signal(signal.SIGSTOP)
-        new = await member.start()
-        assert await member.ready(new)
+        new = await gateway.start()
+        assert await gateway.ready(new)
         assert not old.alive
-        assert "the predecessor hangs" in member.log()
-        peer = await Peer().open(rig.links["clients>g0"].at[1], rig.host)
+        assert "the predecessor hangs" in gateway.log()
+        peer = await Peer().open(bench.links["clients>g0"].at[1], bench.host)
         assert await peer.ask(call_of(1)) == b"0000000000000001"
 
-    beside(tmp_path, case)
+    run_beside_load(tmp_path, case)
 
 
-def test_old_process_that_hangs_after_the_hot_restart_is_ended(tmp_path):
-    async def case(rig, member):
-        old = member.process
-        new = await member.start()
-        assert await member.ready(new)
+def test_predecessor_that_hangs_after_the_handover_is_killed(tmp_path):
+    async def case(bench, gateway):
+        old = gateway.process
+        new = await gateway.start()
+        assert await gateway.ready(new)
         old.signal(signal.SIGSTOP)
-        await rig.until(lambda: not old.alive)
+        await bench.until(lambda: not old.alive)
         assert new.alive
         assert (await new.call("HEALTH")).startswith("YES serving")
 
-    beside(tmp_path, case)
+    run_beside_load(tmp_path, case)
 
 
-def test_busy_machine_makes_nobody_hung(tmp_path):
-    """Both share one core with processes that spin: slow, and left alone."""
+def test_processes_on_an_overloaded_core_are_not_taken_for_hung(tmp_path):
+    """Both processes share one core with busy loops, which makes them slow; neither may be taken for hung."""
 
-    async def case(rig, member):
-        verdict = await through(rig)
+    async def case(bench, gateway):
+        verdict = await through(bench)
         assert verdict.kept, verdict.told
-        assert "hangs" not in member.log()
-        assert sum(process.alive for process in member.processes) >= 1
+        assert "hangs" not in gateway.log()
+        assert sum(process.alive for process in gateway.processes) >= 1
 
-    beside(
+    run_beside_load(
         tmp_path, case, steps=(Step("busy", ("g0",), at_s=0.2, for_s=3.5), Step("upgrade", ("g0",), at_s=0.5))
     )
 
 
-def test_connection_that_the_next_process_closes_ends_for_its_client(tmp_path):
-    async def case(rig, member):
-        peer = await Peer().open(rig.links["clients>g0"].at[1], rig.host)
+def test_connection_closed_by_the_successor_is_closed_for_its_client(tmp_path):
+    async def case(bench, gateway):
+        peer = await Peer().open(bench.links["clients>g0"].at[1], bench.host)
         assert await peer.ask(call_of(1)) == b"0000000000000001"
-        new = await member.start()
-        assert await member.ready(new)
+        new = await gateway.start()
+        assert await gateway.ready(new)
         peer.send(b"garbage\r\n" * 40)
-        while (answer := await peer.reply()) is not None:  # the process before holds a copy
+        while (answer := await peer.reply()) is not None:  # the predecessor has a copy to close too
             assert answer.startswith("-ERR")
-        assert all(process.alive for process in member.processes)
+        assert all(process.alive for process in gateway.processes)
 
-    beside(tmp_path, case)
+    run_beside_load(tmp_path, case)
 
 
 def call_of(number: int) -> bytes:
     return call(number, plan="basis", wait=4000)
 
 
-def test_kept_copies_are_bounded_and_only_untouched_ones_come_back():
+def test_retained_copies_are_bounded_and_only_untouched_ones_are_reclaimed():
     listener = socket.create_server(("127.0.0.1", 0))
     pairs = [(socket.create_connection(listener.getsockname()), listener.accept()[0]) for _ in range(3)]
-    kept, before = RetainedConnections(), len(os.listdir("/proc/self/fd"))
-    pairs[0][0].sendall(b"half")  # unread before and after
-    numbers = [kept.retain(near.fileno(), n == 0, 2) for n, (_, near) in enumerate(pairs)]
+    retained, descriptors_before = RetainedConnections(), len(os.listdir("/proc/self/fd"))
+    pairs[0][0].sendall(b"half")  # not read before or after the transfer
+    numbers = [retained.retain(near.fileno(), n == 0, 2) for n, (_, near) in enumerate(pairs)]
     assert numbers == [1, 2, 0]
     pairs[1][0].sendall(b"all")
     assert pairs[1][1].recv(3) == b"all"
     assert bytes_consumed(pairs[1][1].fileno()) == 3
-    (reclaimed,) = kept.reclaim()
+    (reclaimed,) = retained.reclaim()
     assert reclaimed.has_requested
     assert reclaimed.sock.recv(4) == b"half"
-    for one in (reclaimed.sock, *(end for pair in pairs for end in pair)):
-        one.close()
-    assert len(os.listdir("/proc/self/fd")) == before - 6
+    for sock in (reclaimed.sock, *(end for pair in pairs for end in pair)):
+        sock.close()
+    assert len(os.listdir("/proc/self/fd")) == descriptors_before - 6
     listener.close()
 
 
-def test_figures_add_up_to_what_the_clients_saw(tmp_path):
-    async def case(rig, member):
-        await rig.load.run()
-        await rig.load.finish()
-        yes, _, text = (await rig.call_admin("g0", "FIGURES")).partition(" ")
-        assert yes == "YES"
-        seen, counted = json.loads(text), rig.load.outcomes
-        assert seen["asked"] == rig.load.requests_total > 100
-        assert seen["in_hand"] == 0
-        assert (seen["served"], seen["refused"], seen["failed"]) == (
-            counted["ok"],
-            counted["busy"],
-            counted["error"],
+def test_figures_match_the_outcomes_that_clients_counted(tmp_path):
+    async def case(bench, gateway):
+        await bench.load.run()
+        await bench.load.finish()
+        status, _, text = (await bench.call_admin("g0", "FIGURES")).partition(" ")
+        assert status == "YES"
+        figures, outcomes = json.loads(text), bench.load.outcomes
+        assert figures["asked"] == bench.load.requests_total > 100
+        assert figures["in_hand"] == 0
+        assert (figures["served"], figures["refused"], figures["failed"]) == (
+            outcomes["ok"],
+            outcomes["busy"],
+            outcomes["error"],
         )
-        assert sum(seen["latency"].values()) == seen["served"]
-        assert seen["attempts"] >= seen["served"]
-        assert sum(seen["reasons"].values()) >= seen["refused"]
-        assert seen["pid"] == member.process.pid
-        assert seen["revision"] in await rig.call_admin("g0", "CONFIG")
+        assert sum(figures["latency"].values()) == figures["served"]
+        assert figures["attempts"] >= figures["served"]
+        assert sum(figures["reasons"].values()) >= figures["refused"]
+        assert figures["pid"] == gateway.process.pid
+        assert figures["revision"] in await bench.call_admin("g0", "CONFIG")
         assert len(text) < 4096
 
-    beside(tmp_path, case, seconds=1.5)
+    run_beside_load(tmp_path, case, seconds=1.5)
 
 
-@pytest.mark.parametrize(("ms", "step"), [(0.0, 0), (1.0, 0), (1.2, 1), (2.0, 4), (1000.0, 39), (1e9, 68)])
-def test_scale_of_latencies_is_bounded_and_a_fifth_wide(ms, step):
-    assert metrics.latency_bucket(ms) == step
+@pytest.mark.parametrize(
+    ("latency_ms", "bucket"), [(0.0, 0), (1.0, 0), (1.2, 1), (2.0, 4), (1000.0, 39), (1e9, 68)]
+)
+def test_latency_buckets_are_bounded_and_about_a_fifth_wide(latency_ms, bucket):
+    assert metrics.latency_bucket(latency_ms) == bucket
 
 
-def test_token_that_was_followed_by_a_higher_one_can_do_nothing_whoever_serves(tmp_path):
-    async def case(rig, member):
-        ask = rig.call_admin
+def test_lower_fencing_token_is_rejected_by_every_later_process_too(tmp_path):
+    async def case(bench, gateway):
+        ask = bench.call_admin
         assert (await ask("g0", "AS 7 LEAVE")) == "YES drained"
         assert (await ask("g0", "AS 7 JOIN")) == "YES taking clients"
         assert (await ask("g0", "AS 6 LEAVE")) == "NO an older token: 7 has called"
         assert (await ask("g0", "AS 0 LEAVE")).startswith("NO AS takes a token from 1")
         assert (await ask("g0", "AS 8")).startswith("NO AS takes")
         assert (await ask("g0", "AS 9 NOTHING")).startswith("NO no such call")
-        new = await member.start()
-        assert await member.ready(new)
-        assert (await new.call("AS 8 LEAVE")) == "NO an older token: 9 has called"  # went along
+        new = await gateway.start()
+        assert await gateway.ready(new)
+        assert (await new.call("AS 8 LEAVE")) == "NO an older token: 9 has called"  # handed over
         assert (await new.call("HEALTH")).startswith("YES serving")
-        for process in member.processes:
+        for process in gateway.processes:
             process.signal(signal.SIGKILL)
             await process.child.wait()
-        last = await member.start()  # from nothing, but in the same folder
-        assert await member.ready(last)
+        last = await gateway.start()  # without a predecessor, but in the same folder
+        assert await gateway.ready(last)
         assert (await last.call("AS 8 LEAVE")) == "NO an older token: 9 has called"
-        assert (await last.call("LEAVE")) == "YES drained"  # who has none is an operator
+        assert (await last.call("LEAVE")) == "YES drained"  # a command without a token is an operator's
 
-    beside(tmp_path, case)
+    run_beside_load(tmp_path, case)
 
 
-def test_memory_is_the_process_own_and_not_its_starters():
-    held = b"x" * 300_000_000
+def test_peak_memory_excludes_the_parent_process():
+    parent_memory = b"x" * 300_000_000
     code = "from quota_gateway.net.metrics import peak_memory_kib; print(peak_memory_kib())"
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert 1_000 < int(done.stdout) < len(held) // 2048
+    completed = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    assert 1_000 < int(completed.stdout) < len(parent_memory) // 2048
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Another configuration while requests run: completely or not at all, with a rollback."""
+"""Reloads while requests run: they apply completely or not at all, and can be rolled back."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from quota_gateway.config import read, read_file
 from quota_gateway.errors import IllegalTransitionError
 from quota_gateway.net import admin, configuration_trial, connection_budget
-from quota_gateway.net import reload as module
+from quota_gateway.net import reload as reload_module
 from quota_gateway.net.discovery import Discovery
 from quota_gateway.net.process_parts import ProcessParts
 from quota_gateway.net.reload import ConfigurationReload
@@ -29,8 +29,8 @@
 DOCUMENT = {**GOOD, "settings": {**GOOD["settings"], "services": [SERVICE], "tariffs": [PLAN]}}
 
 
-class Configured:
-    """A gateway with a configuration file, and the admin commands."""
+class ReloadFixture:
+    """A gateway with a configuration file and the admin commands of reloads."""
 
     def __init__(self, gateway, path, environment):
         self.gateway, self.path, self.driver = gateway, path, gateway.driver
@@ -51,28 +51,28 @@
         self.reload.serving.set()
 
     def write(self, **changes):
-        """The file, with other settings."""
+        """Write the configuration file with some settings changed."""
         self.document["settings"].update(changes)
         self.path.write_text(json.dumps(self.document))
 
-    def plan(self, **changes):
+    def write_plan(self, **changes):
         self.write(tariffs=[{**PLAN, **changes}])
 
-    async def tell(self, line: str) -> str:
+    async def command(self, line: str) -> str:
         yes, text = await self.admin_endpoint.answer(line.encode())
         return f"{'YES' if yes else 'NO'} {text}"
 
     def state(self):
-        """All that a refused file must leave as it was."""
-        decisions, clients, servers = self.driver.gateway, self.gateway.clients, self.gateway.servers
+        """All state that a rejected file must leave unchanged."""
+        policy, clients, servers = self.driver.gateway, self.gateway.clients, self.gateway.servers
         return (
-            decisions.context.settings,
-            decisions.epochs.plans,
-            decisions.context.classes,
-            decisions.epochs.gateways,
-            decisions.concurrency_limit.limit,
-            decisions.epochs.epoch,
-            {k: (c.excess_milliunits, c.excess_updated_ms) for k, c in decisions.customers.rows.items()},
+            policy.context.settings,
+            policy.epochs.plans,
+            policy.context.classes,
+            policy.epochs.gateways,
+            policy.concurrency_limit.limit,
+            policy.epochs.epoch,
+            {k: (c.excess_milliunits, c.excess_updated_ms) for k, c in policy.customers.rows.items()},
             clients.dispatcher.parser,
             clients.most_connections,
             servers.reply_reader,
@@ -91,26 +91,26 @@
 
 
 @asynccontextmanager
-async def configured(tmp_path, *fakes, **environment):
+async def reload_fixture(tmp_path, *fakes, **environment):
     path = tmp_path / "config.json"
     settings = settings_from(DOCUMENT["settings"])
-    told = {field.name: getattr(settings, field.name) for field in fields(settings)}
-    async with node(*fakes, **told) as gateway:
-        made = Configured(gateway, path, {"EDGE_CONFIG": str(path), **environment})
-        yield made
-        made.reload.close()
-        made.admin_endpoint.close()
+    values = {field.name: getattr(settings, field.name) for field in fields(settings)}
+    async with node(*fakes, **values) as gateway:
+        fixture = ReloadFixture(gateway, path, {"EDGE_CONFIG": str(path), **environment})
+        yield fixture
+        fixture.reload.close()
+        fixture.admin_endpoint.close()
 
 
-def calm(kind=SERVICE, **more) -> dict:
-    return {**kind, **more}
+def changed_service(service=SERVICE, **changes) -> dict:
+    return {**service, **changes}
 
 
-def test_hundred_reloads_while_requests_run_and_refused_files_among_them_lose_nothing(tmp_path):
+def test_hundred_reloads_and_some_rejected_files_lose_no_running_request(tmp_path):
     async def test():
         server = FakeServer(lambda words: array(words[2]))
-        async with configured(tmp_path, server) as made:
-            peers = [await made.gateway.peer() for _ in range(4)]
+        async with reload_fixture(tmp_path, server) as fixture:
+            peers = [await fixture.gateway.peer() for _ in range(4)]
             answers, numbers = [], iter(range(1, 10_000))
             done = asyncio.Event()
 
@@ -119,231 +119,233 @@
                     number = next(numbers)
                     answers.append((number, await peer.ask(call(number))))
 
-            asking = [asyncio.create_task(ask(peer)) for peer in peers]
-            before = made.reload.in_force.revision
+            ask_tasks = [asyncio.create_task(ask(peer)) for peer in peers]
+            before = fixture.reload.in_force.revision
             for number in range(100):
-                await made.gateway.servers.loop.create_task(asyncio.sleep(0))
+                await fixture.gateway.servers.loop.create_task(asyncio.sleep(0))
                 if number % 10 == 9:
-                    kept = made.state()
-                    made.write(tariffs=[{**PLAN, "refill": -1.0}])
-                    assert "settings.tariffs[0].refill: -1.0, want" in await made.tell("RELOAD")
-                    assert made.state()[:6] == kept[:6]
-                    assert made.state()[7:] == kept[7:]
-                made.write(tariffs=[{**PLAN, "value_factor": 2.0 + number}], balancers=2 + number % 3)
-                assert (await made.tell("RELOAD")).startswith("YES")
+                    state_before = fixture.state()
+                    fixture.write(tariffs=[{**PLAN, "refill": -1.0}])
+                    assert "settings.tariffs[0].refill: -1.0, want" in await fixture.command("RELOAD")
+                    assert fixture.state()[:6] == state_before[:6]
+                    assert fixture.state()[7:] == state_before[7:]
+                fixture.write(tariffs=[{**PLAN, "value_factor": 2.0 + number}], balancers=2 + number % 3)
+                assert (await fixture.command("RELOAD")).startswith("YES")
             done.set()
-            await asyncio.gather(*asking)
-            assert made.reload.in_force.revision == before + 100
+            await asyncio.gather(*ask_tasks)
+            assert fixture.reload.in_force.revision == before + 100
             assert len(answers) >= 4
             assert all(answer == b"%016x" % number for number, answer in answers)
             assert len({number for number, _ in answers}) == len(answers)
-            assert not made.driver.requests
-            assert not made.driver.gateway.pending_requests.by_id
+            assert not fixture.driver.requests
+            assert not fixture.driver.gateway.pending_requests.by_id
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    ("change", "told"),
+    ("change", "fault"),
     [
         ({"tick_ms": True}, "settings.tick_ms: true, want a number"),
         ({"tariffs": []}, "settings.tariffs: [], want a list"),
     ],
 )
-def test_refused_file_changes_nothing_and_is_remembered(tmp_path, change, told):
+def test_rejected_file_changes_nothing_and_config_shows_the_reason(tmp_path, change, fault):
     async def test():
-        async with configured(tmp_path, FakeServer()) as made:
-            peer = await made.gateway.peer()
+        async with reload_fixture(tmp_path, FakeServer()) as fixture:
+            peer = await fixture.gateway.peer()
             await peer.ask(call(1))
-            before = made.state()
-            made.write(**change)
-            assert (await made.tell("RELOAD")).startswith(f"NO refused, revision 1 stays: {told}")
-            assert made.state() == before
-            assert told in await made.tell("CONFIG")
+            before = fixture.state()
+            fixture.write(**change)
+            assert (await fixture.command("RELOAD")).startswith(f"NO refused, revision 1 stays: {fault}")
+            assert fixture.state() == before
+            assert fault in await fixture.command("CONFIG")
 
     run(test())
 
 
 @pytest.mark.parametrize("name", ["name", "listen", "seed"])
-def test_what_can_not_change_fails_the_reload_whole_and_is_named(tmp_path, name):
+def test_change_of_a_fixed_name_rejects_the_whole_reload_and_is_named(tmp_path, name):
     async def test():
-        async with configured(tmp_path) as made:
-            before = made.state()
-            made.document.update({name: {"name": "x", "listen": "h:1", "seed": "ff"}[name]})
-            made.plan(refill=3.0, most_at_once=5.0)
-            assert f"{name}: " in await made.tell("RELOAD")
-            assert made.state() == before
+        async with reload_fixture(tmp_path) as fixture:
+            before = fixture.state()
+            fixture.document.update({name: {"name": "x", "listen": "h:1", "seed": "ff"}[name]})
+            fixture.write_plan(refill=3.0, most_at_once=5.0)
+            assert f"{name}: " in await fixture.command("RELOAD")
+            assert fixture.state() == before
 
     run(test())
 
 
-def test_fault_in_the_last_step_of_preparing_leaves_all_as_it_was(tmp_path):
+def test_admin_address_in_use_rejects_the_reload_and_changes_nothing(tmp_path):
     async def test():
-        async with configured(tmp_path, FakeServer()) as made:
-            with socket.create_server(("127.0.0.1", 0)) as taken:
-                before = made.state()
-                made.document["admin"] = f"127.0.0.1:{taken.getsockname()[1]}"
-                made.document["discovery"] = "127.0.0.1:9"
-                made.plan(refill=3.0, most_at_once=5.0)
-                assert (await made.tell("RELOAD")).startswith("NO refused, revision 1 stays: admin: ")
-                assert made.state() == before
-            assert (await made.tell("RELOAD")).startswith("YES")  # the address is free now
-            assert made.admin_endpoint.server
-            assert made.discovery.address == ("127.0.0.1", 9)
-            assert made.driver.gateway.epochs.plans["free"].rate == 3.0
+        async with reload_fixture(tmp_path, FakeServer()) as fixture:
+            with socket.create_server(("127.0.0.1", 0)) as listener:
+                before = fixture.state()
+                fixture.document["admin"] = f"127.0.0.1:{listener.getsockname()[1]}"
+                fixture.document["discovery"] = "127.0.0.1:9"
+                fixture.write_plan(refill=3.0, most_at_once=5.0)
+                assert (await fixture.command("RELOAD")).startswith("NO refused, revision 1 stays: admin: ")
+                assert fixture.state() == before
+            assert (await fixture.command("RELOAD")).startswith("YES")  # the address is no longer in use
+            assert fixture.admin_endpoint.server
+            assert fixture.discovery.address == ("127.0.0.1", 9)
+            assert fixture.driver.gateway.epochs.plans["free"].rate == 3.0
 
     run(test())
 
 
-def test_decisions_that_fail_leave_the_sockets_as_they_were_too(tmp_path, monkeypatch):
+def test_policy_that_fails_on_new_settings_leaves_the_sockets_unchanged_too(tmp_path, monkeypatch):
     async def test():
-        async with configured(tmp_path, FakeServer()) as made:
-            before = made.state()
+        async with reload_fixture(tmp_path, FakeServer()) as fixture:
+            before = fixture.state()
             monkeypatch.setattr(
-                type(made.driver.gateway.concurrency_limit), "mean_latencies_ms", lambda self, kinds: 1 / 0
+                type(fixture.driver.gateway.concurrency_limit), "mean_latencies_ms", lambda self, kinds: 1 / 0
             )
-            made.document["discovery"] = "127.0.0.1:9"
-            made.write(services=[SERVICE, calm(name="new")])
-            assert "the decisions failed" in await made.tell("RELOAD")
-            assert made.state() == before
+            fixture.document["discovery"] = "127.0.0.1:9"
+            fixture.write(services=[SERVICE, changed_service(name="new")])
+            assert "the decisions failed" in await fixture.command("RELOAD")
+            assert fixture.state() == before
 
     run(test())
 
 
-def test_requests_in_flight_end_under_the_plan_they_were_taken_under_and_later_ones_are_unknown(tmp_path):
+def test_requests_in_flight_finish_though_their_plan_is_removed_and_later_ones_are_rejected(tmp_path):
     async def test():
         server = FakeServer(lambda words: None)
-        async with configured(tmp_path, server) as made:
-            peer = await made.gateway.peer()
+        async with reload_fixture(tmp_path, server) as fixture:
+            peer = await fixture.gateway.peer()
             peer.send(call(1))
             await server.until(lambda: len(server.commands) == 1)
-            made.plan(name="other")
-            assert (await made.tell("RELOAD")).startswith("YES")
+            fixture.write_plan(name="other")
+            assert (await fixture.command("RELOAD")).startswith("YES")
             server.writers[0].write(array(b"v"))
             assert await peer.reply() == b"v"
             assert (await peer.ask(call(2))).startswith("-ERR unknown class or plan")
-            made.plan()
-            assert (await made.tell("RELOAD")).startswith("YES")
+            fixture.write_plan()
+            assert (await fixture.command("RELOAD")).startswith("YES")
             server.answer = lambda words: array(b"w")
             assert await peer.ask(call(3)) == b"w"
 
     run(test())
 
 
-def test_fewer_descriptors_close_what_is_idle_first_and_never_what_is_in_flight(tmp_path):
+def test_lower_descriptor_limit_closes_idle_connections_first_and_none_in_flight(tmp_path):
     async def test():
         server = FakeServer(lambda words: None)
-        async with configured(tmp_path, server) as made:
-            clients, servers = made.gateway.clients, made.gateway.servers
-            peers = [await made.gateway.peer() for _ in range(8)]
+        async with reload_fixture(tmp_path, server) as fixture:
+            clients, servers = fixture.gateway.clients, fixture.gateway.servers
+            peers = [await fixture.gateway.peer() for _ in range(8)]
             for number, peer in enumerate(peers[:6]):
                 peer.send(call(number + 1))
             await server.until(lambda: len(server.commands) == 6)
             server.writers[0].write(array(b"v"))
             server.writers[1].write(array(b"v"))
-            first = [
+            answered_peers = [
                 peer
                 for number, peer in enumerate(peers[:6])
                 if server.commands[server.by.index(0)][2].endswith(b"%x" % (number + 1))
                 or server.commands[server.by.index(1)][2].endswith(b"%x" % (number + 1))
             ]
-            for peer in first:
+            for peer in answered_peers:
                 assert await peer.reply() == b"v"
             await until(lambda: sum(len(host.idle) for host in servers.hosts.values()) == 2)
-            made.document["limits"] = {
+            fixture.document["limits"] = {
                 "sockets": connection_budget.OTHER_DESCRIPTORS + 4
-            }  # two for each side
-            made.write()
-            assert (await made.tell("RELOAD")).startswith("YES")
+            }  # two connections for clients, two for servers
+            fixture.write()
+            assert (await fixture.command("RELOAD")).startswith("YES")
             assert len(servers.connections) == 4
             assert not any(host.idle for host in servers.hosts.values())
-            for peer in [*first, *peers[6:]]:
+            for peer in [*answered_peers, *peers[6:]]:
                 assert await peer.reply() is None
             assert len(clients.connections) == 4
             for writer in server.writers[2:]:
                 writer.write(array(b"late"))
-            kept = [peer for peer in peers[:6] if peer not in first]
-            assert [await peer.reply() for peer in kept] == [b"late"] * 4
+            waiting_peers = [peer for peer in peers[:6] if peer not in answered_peers]
+            assert [await peer.reply() for peer in waiting_peers] == [b"late"] * 4
             await until(lambda: len(clients.connections) <= 2 and len(servers.connections) <= 2)
 
     run(test())
 
 
-# ---- The way back
+# ---- Rollback and trial
 
 
-def test_admin_endpoint_tells_what_is_in_force_and_goes_back_one_step(tmp_path):
+def test_config_shows_what_is_in_force_and_rollback_works_once(tmp_path):
     async def test():
-        async with configured(tmp_path) as made:
-            assert await made.tell("ROLLBACK") == "NO there is nothing to go back to"
-            first = made.reload.in_force.config
-            made.plan(refill=3.0, most_at_once=5.0)
-            assert await made.tell("RELOAD") == "YES revision 2, 2 changes"
-            assert await made.tell("RELOAD") == "YES nothing changed, revision 2"
-            told = await made.tell("CONFIG")
-            assert told.startswith(f"YES revision 2, digest {made.reload.in_force.config.digest}, since 20")
-            assert f"way back to {first.digest}" in told
-            assert "trial" not in told
-            assert (await made.tell("ROLLBACK")).startswith("YES revision 3")
-            assert made.driver.gateway.epochs.plans["free"].rate == 0.0
-            assert made.reload.in_force.config is first
-            assert await made.tell("ROLLBACK") == "NO there is nothing to go back to"
+        async with reload_fixture(tmp_path) as fixture:
+            assert await fixture.command("ROLLBACK") == "NO there is nothing to go back to"
+            first_config = fixture.reload.in_force.config
+            fixture.write_plan(refill=3.0, most_at_once=5.0)
+            assert await fixture.command("RELOAD") == "YES revision 2, 2 changes"
+            assert await fixture.command("RELOAD") == "YES nothing changed, revision 2"
+            config_answer = await fixture.command("CONFIG")
+            assert config_answer.startswith(
+                f"YES revision 2, digest {fixture.reload.in_force.config.digest}, since 20"
+            )
+            assert f"way back to {first_config.digest}" in config_answer
+            assert "trial" not in config_answer
+            assert (await fixture.command("ROLLBACK")).startswith("YES revision 3")
+            assert fixture.driver.gateway.epochs.plans["free"].rate == 0.0
+            assert fixture.reload.in_force.config is first_config
+            assert await fixture.command("ROLLBACK") == "NO there is nothing to go back to"
 
     run(test())
 
 
-def test_going_back_keeps_what_customers_have_used(tmp_path):
+def test_rollback_keeps_customers_excess(tmp_path):
     async def test():
-        async with configured(tmp_path, FakeServer()) as made:
-            made.plan(refill=0.001, most_at_once=8.0)
-            await made.tell("RELOAD")
-            peer = await made.gateway.peer()
+        async with reload_fixture(tmp_path, FakeServer()) as fixture:
+            fixture.write_plan(refill=0.001, most_at_once=8.0)
+            await fixture.command("RELOAD")
+            peer = await fixture.gateway.peer()
             for number in range(1, 5):
                 assert await peer.ask(call(number))
-            made.plan(refill=0.002, most_at_once=8.0)
-            assert (await made.tell("RELOAD")).startswith("YES")
-            assert (await made.tell("ROLLBACK")).startswith("YES")
-            (customer,) = made.driver.gateway.customers.rows.values()
+            fixture.write_plan(refill=0.002, most_at_once=8.0)
+            assert (await fixture.command("RELOAD")).startswith("YES")
+            assert (await fixture.command("ROLLBACK")).startswith("YES")
+            (customer,) = fixture.driver.gateway.customers.rows.values()
             assert customer.excess_milliunits > 3990.0
             assert [await peer.ask(call(number)) for number in range(6, 16)][-1] == "-BUSY"
 
     run(test())
 
 
-def test_trial_that_nobody_confirms_is_left_and_one_that_is_confirmed_stays(tmp_path):
+def test_unconfirmed_trial_is_rolled_back_and_a_confirmed_one_stays(tmp_path):
     async def test():
-        async with configured(tmp_path) as made:
-            assert await made.tell("CONFIRM") == "NO nothing is on trial"
-            first = made.reload.in_force.config
-            made.plan(refill=3.0, most_at_once=5.0)
-            assert "unless confirmed" in await made.tell("RELOAD CONFIRM 30")
-            assert "on trial for" in await made.tell("CONFIG")
-            made.reload.trial.expire()  # as a timer that fires early would: nothing yet
-            await made.reload.trial.rollback_task
-            assert made.reload.trial.active
-            assert made.reload.in_force.config is not first
-            made.reload.trial.ends_at_s = 0.0
-            made.reload.trial.expire()
-            await until(lambda: made.reload.in_force.config is first)
-            assert not made.reload.trial.active
-            assert made.driver.gateway.epochs.plans["free"].rate == 0.0
-            assert (await made.tell("RELOAD CONFIRM 1")).startswith("YES")
-            assert (await made.tell("CONFIRM")).startswith("YES confirmed")
-            made.reload.trial.expire()
-            await made.reload.trial.rollback_task
-            assert made.driver.gateway.epochs.plans["free"].rate == 3.0
-            assert made.reload.in_force.rollback_target is first
+        async with reload_fixture(tmp_path) as fixture:
+            assert await fixture.command("CONFIRM") == "NO nothing is on trial"
+            first_config = fixture.reload.in_force.config
+            fixture.write_plan(refill=3.0, most_at_once=5.0)
+            assert "unless confirmed" in await fixture.command("RELOAD CONFIRM 30")
+            assert "on trial for" in await fixture.command("CONFIG")
+            fixture.reload.trial.expire()  # as a timer that fires early would: nothing is rolled back
+            await fixture.reload.trial.rollback_task
+            assert fixture.reload.trial.active
+            assert fixture.reload.in_force.config is not first_config
+            fixture.reload.trial.ends_at_s = 0.0
+            fixture.reload.trial.expire()
+            await until(lambda: fixture.reload.in_force.config is first_config)
+            assert not fixture.reload.trial.active
+            assert fixture.driver.gateway.epochs.plans["free"].rate == 0.0
+            assert (await fixture.command("RELOAD CONFIRM 1")).startswith("YES")
+            assert (await fixture.command("CONFIRM")).startswith("YES confirmed")
+            fixture.reload.trial.expire()
+            await fixture.reload.trial.rollback_task
+            assert fixture.driver.gateway.epochs.plans["free"].rate == 3.0
+            assert fixture.reload.in_force.rollback_target is first_config
 
     run(test())
 
 
-def test_a_trial_that_is_replaced_ends_first(tmp_path):
-    """Two timers would run: the older one would roll back a configuration that has more time."""
+def test_trial_must_end_before_another_begins(tmp_path):
+    """Otherwise two timers would run, and the older one would roll back the newer trial too early."""
 
     async def test():
-        async with configured(tmp_path) as made:
-            trial = made.reload.trial
-            trial.end()  # nothing is on trial: nothing happens
+        async with reload_fixture(tmp_path) as fixture:
+            trial = fixture.reload.trial
+            trial.end()  # without a trial this does nothing
             trial.begin(30.0)
             with pytest.raises(IllegalTransitionError):
                 trial.begin(60.0)
@@ -353,15 +355,15 @@
     run(test())
 
 
-def test_trial_of_a_second_goes_back_by_itself(tmp_path):
+def test_trial_of_one_second_is_rolled_back_by_its_timer(tmp_path):
     async def test():
-        async with configured(tmp_path) as made:
-            first = made.reload.in_force.config
-            made.plan(refill=3.0, most_at_once=5.0)
-            assert (await made.tell("RELOAD CONFIRM 1")).startswith("YES")
-            while made.reload.in_force.config is not first:
+        async with reload_fixture(tmp_path) as fixture:
+            first_config = fixture.reload.in_force.config
+            fixture.write_plan(refill=3.0, most_at_once=5.0)
+            assert (await fixture.command("RELOAD CONFIRM 1")).startswith("YES")
+            while fixture.reload.in_force.config is not first_config:
                 await asyncio.sleep(0.01)
-            assert not made.reload.trial.active
+            assert not fixture.reload.trial.active
 
     run(test())
 
@@ -380,73 +382,73 @@
         "ROLLBACK 2",
     ],
 )
-def test_calls_that_are_none_are_told_no_and_change_nothing(tmp_path, line):
+def test_malformed_commands_are_answered_no_and_change_nothing(tmp_path, line):
     async def test():
-        async with configured(tmp_path) as made:
-            made.plan(refill=3.0, most_at_once=5.0)
-            before = made.state()
-            assert (await made.tell(line)).startswith("NO ")
-            assert made.state() == before
+        async with reload_fixture(tmp_path) as fixture:
+            fixture.write_plan(refill=3.0, most_at_once=5.0)
+            before = fixture.state()
+            assert (await fixture.command(line)).startswith("NO ")
+            assert fixture.state() == before
 
     run(test())
 
 
-def test_file_changed_during_a_trial_takes_its_place_and_the_way_back_stays(tmp_path):
+def test_reload_during_a_trial_replaces_it_and_keeps_the_rollback_target(tmp_path):
     async def test():
-        async with configured(tmp_path) as made:
-            first = made.reload.in_force.config
-            made.plan(refill=3.0, most_at_once=5.0)
-            await made.tell("RELOAD CONFIRM 30")
-            made.plan(refill=4.0, most_at_once=5.0)
-            assert (await made.tell("RELOAD")).startswith("YES")
-            assert not made.reload.trial.active
-            assert made.reload.in_force.rollback_target is first
-            made.plan(refill=5.0, most_at_once=5.0)
-            await made.tell("RELOAD CONFIRM 30")
-            assert (await made.tell("ROLLBACK")).startswith("YES")
-            assert not made.reload.trial.active
-            assert made.driver.gateway.epochs.plans["free"].rate == 4.0
+        async with reload_fixture(tmp_path) as fixture:
+            first_config = fixture.reload.in_force.config
+            fixture.write_plan(refill=3.0, most_at_once=5.0)
+            await fixture.command("RELOAD CONFIRM 30")
+            fixture.write_plan(refill=4.0, most_at_once=5.0)
+            assert (await fixture.command("RELOAD")).startswith("YES")
+            assert not fixture.reload.trial.active
+            assert fixture.reload.in_force.rollback_target is first_config
+            fixture.write_plan(refill=5.0, most_at_once=5.0)
+            await fixture.command("RELOAD CONFIRM 30")
+            assert (await fixture.command("ROLLBACK")).startswith("YES")
+            assert not fixture.reload.trial.active
+            assert fixture.driver.gateway.epochs.plans["free"].rate == 4.0
 
     run(test())
 
 
-def test_trial_that_ends_during_a_drain_goes_back_and_the_drain_stays(tmp_path):
+def test_trial_that_expires_during_a_drain_is_rolled_back_and_the_drain_stays(tmp_path):
     async def test():
-        async with configured(tmp_path) as made:
-            made.driver.on_set_serving = made.gateway.clients.set_serving
-            first = made.reload.in_force.config
-            made.plan(refill=3.0, most_at_once=5.0)
-            await made.tell("RELOAD CONFIRM 30")
-            made.driver.post(DrainChanged(True))
-            made.reload.trial.ends_at_s = 0.0
-            made.reload.trial.expire()
-            await until(lambda: made.reload.in_force.config is first)
-            assert made.driver.gateway.drain.is_draining
-            peer = await made.gateway.peer()
+        async with reload_fixture(tmp_path) as fixture:
+            fixture.driver.on_set_serving = fixture.gateway.clients.set_serving
+            first_config = fixture.reload.in_force.config
+            fixture.write_plan(refill=3.0, most_at_once=5.0)
+            await fixture.command("RELOAD CONFIRM 30")
+            fixture.driver.post(DrainChanged(True))
+            fixture.reload.trial.ends_at_s = 0.0
+            fixture.reload.trial.expire()
+            await until(lambda: fixture.reload.in_force.config is first_config)
+            assert fixture.driver.gateway.drain.is_draining
+            peer = await fixture.gateway.peer()
             assert (await peer.ask(resp("PING"))).startswith("-DRAINING")
 
     run(test())
 
 
-def test_way_back_that_is_shut_is_tried_until_it_is_open(tmp_path, monkeypatch):
+def test_rollback_is_retried_until_the_next_process_no_longer_serves(tmp_path, monkeypatch):
     monkeypatch.setattr(configuration_trial, "RETRY_INTERVAL_S", 0.01)
 
     async def test():
-        async with configured(tmp_path) as made:
-            first = made.reload.in_force.config
-            made.plan(refill=3.0, most_at_once=5.0)
-            await made.tell("RELOAD CONFIRM 30")
-            made.hot_restart.handed_over = True  # the next process has taken over: nothing is changed here
-            made.reload.trial.ends_at_s = 0.0
-            made.reload.trial.expire()
-            await made.reload.trial.rollback_task
-            assert made.reload.in_force.config is not first
-            assert made.reload.trial.active
-            assert "has taken over" in await made.tell("RELOAD CONFIRM 9")
-            assert "has taken over" in await made.tell("CONFIRM")
-            assert "has taken over" in await made.tell("ROLLBACK")
-            made.hot_restart.handed_over = False  # it died
-            await until(lambda: made.reload.in_force.config is first)
+        async with reload_fixture(tmp_path) as fixture:
+            first_config = fixture.reload.in_force.config
+            fixture.write_plan(refill=3.0, most_at_once=5.0)
+            await fixture.command("RELOAD CONFIRM 30")
+            fixture.hot_restart.handed_over = True  # the next process has taken over
+            fixture.reload.trial.ends_at_s = 0.0
+            fixture.reload.trial.expire()
+            await fixture.reload.trial.rollback_task
+            assert fixture.reload.in_force.config is not first_config
+            assert fixture.reload.trial.active
+            assert "has taken over" in await fixture.command("RELOAD CONFIRM 9")
+            assert "has taken over" in await fixture.command("CONFIRM")
+            assert "has taken over" in await fixture.command("ROLLBACK")
+            fixture.hot_restart.handed_over = False  # the next process died
+            await until(lambda: fixture.reload.in_force.config is first_config)
 
     run(test())
 
@@ -454,116 +456,116 @@
 # ---- SIGHUP
 
 
-def count_readings(monkeypatch) -> list[str]:
-    readings = []
+def record_reads(monkeypatch) -> list[str]:
+    reads = []
 
-    def counted(path):
-        readings.append(path)
+    def record_read(path):
+        reads.append(path)
         return read_file(path)
 
-    monkeypatch.setattr(module, "read_file", counted)
-    return readings
+    monkeypatch.setattr(reload_module, "read_file", record_read)
+    return reads
 
 
-def test_two_signals_at_once_are_one_reload_and_one_that_comes_later_is_another(tmp_path, monkeypatch):
+def test_two_signals_at_once_cause_one_reload_and_a_later_one_causes_another(tmp_path, monkeypatch):
     async def test():
-        async with configured(tmp_path) as made:
-            readings = count_readings(monkeypatch)
-            made.plan(refill=3.0, most_at_once=5.0)
-            made.reload.signal()
-            made.reload.signal()
-            await until(lambda: made.reload.signal_task is None)
-            assert len(readings) == 1
-            assert made.reload.in_force.revision == 2
-            made.reload.signal()
-            await until(lambda: made.reload.signal_task is None)
-            assert len(readings) == 2
-            assert made.reload.in_force.revision == 2
+        async with reload_fixture(tmp_path) as fixture:
+            reads = record_reads(monkeypatch)
+            fixture.write_plan(refill=3.0, most_at_once=5.0)
+            fixture.reload.signal()
+            fixture.reload.signal()
+            await until(lambda: fixture.reload.signal_task is None)
+            assert len(reads) == 1
+            assert fixture.reload.in_force.revision == 2
+            fixture.reload.signal()
+            await until(lambda: fixture.reload.signal_task is None)
+            assert len(reads) == 2
+            assert fixture.reload.in_force.revision == 2
 
     run(test())
 
 
-def test_file_that_is_being_written_is_read_again_and_no_signal_in_between_is_missed(tmp_path, monkeypatch):
-    monkeypatch.setattr(module, "READ_INTERVAL_S", 0.001)
+def test_truncated_file_is_read_again_and_a_signal_meanwhile_is_not_lost(tmp_path, monkeypatch):
+    monkeypatch.setattr(reload_module, "READ_INTERVAL_S", 0.001)
 
     async def test():
-        async with configured(tmp_path) as made:
-            readings = count_readings(monkeypatch)
-            made.path.write_text("")
-            made.reload.signal()
-            await until(lambda: len(readings) >= 2)
-            made.path.write_text('{"half')
-            made.reload.signal()
-            made.document["discovery"] = "127.0.0.1:9"
-            made.write()
-            await until(lambda: made.reload.signal_task is None)
-            assert made.discovery.address == ("127.0.0.1", 9)
-            assert made.reload.in_force.revision == 2
-            assert readings
-            assert not made.reload.signal_pending
+        async with reload_fixture(tmp_path) as fixture:
+            reads = record_reads(monkeypatch)
+            fixture.path.write_text("")
+            fixture.reload.signal()
+            await until(lambda: len(reads) >= 2)
+            fixture.path.write_text('{"half')
+            fixture.reload.signal()
+            fixture.document["discovery"] = "127.0.0.1:9"
+            fixture.write()
+            await until(lambda: fixture.reload.signal_task is None)
+            assert fixture.discovery.address == ("127.0.0.1", 9)
+            assert fixture.reload.in_force.revision == 2
+            assert reads
+            assert not fixture.reload.signal_pending
 
     run(test())
 
 
-def test_file_that_stays_torn_is_given_up_after_a_while_and_the_next_signal_counts(tmp_path, monkeypatch):
-    monkeypatch.setattr(module, "READ_INTERVAL_S", 0.0)
+def test_file_that_stays_truncated_is_rejected_and_the_next_signal_reloads(tmp_path, monkeypatch):
+    monkeypatch.setattr(reload_module, "READ_INTERVAL_S", 0.0)
 
     async def test():
-        async with configured(tmp_path) as made:
-            readings, before = count_readings(monkeypatch), made.state()
-            made.path.write_text("{")
-            made.reload.signal()
-            await until(lambda: made.reload.signal_task is None)
-            assert len(readings) == module.MAX_READS_ON_SIGHUP
-            assert made.state() == before
-            assert "not JSON" in made.reload.last_rejection
-            made.plan(refill=3.0, most_at_once=5.0)
-            made.reload.signal()
-            await until(lambda: made.reload.signal_task is None)
-            assert made.reload.in_force.revision == 2
+        async with reload_fixture(tmp_path) as fixture:
+            reads, before = record_reads(monkeypatch), fixture.state()
+            fixture.path.write_text("{")
+            fixture.reload.signal()
+            await until(lambda: fixture.reload.signal_task is None)
+            assert len(reads) == reload_module.MAX_READS_ON_SIGHUP
+            assert fixture.state() == before
+            assert "not JSON" in fixture.reload.last_rejection
+            fixture.write_plan(refill=3.0, most_at_once=5.0)
+            fixture.reload.signal()
+            await until(lambda: fixture.reload.signal_task is None)
+            assert fixture.reload.in_force.revision == 2
 
     run(test())
 
 
-def test_signal_before_it_serves_waits_and_one_while_it_stops_changes_nothing(tmp_path):
+def test_signal_waits_until_the_process_serves_and_changes_nothing_once_it_stops(tmp_path):
     async def test():
-        async with configured(tmp_path) as made:
-            made.reload.serving.clear()
-            made.plan(refill=3.0, most_at_once=5.0)
-            made.reload.signal()
+        async with reload_fixture(tmp_path) as fixture:
+            fixture.reload.serving.clear()
+            fixture.write_plan(refill=3.0, most_at_once=5.0)
+            fixture.reload.signal()
             await asyncio.sleep(0)
-            assert made.reload.in_force.revision == 1
-            made.reload.serving.set()
-            await until(lambda: made.reload.signal_task is None)
-            assert made.reload.in_force.revision == 2
-            made.reload.close()
-            made.plan(refill=4.0, most_at_once=5.0)
-            made.reload.signal()
-            await until(lambda: made.reload.signal_task is None)
-            assert made.reload.in_force.revision == 2
-            assert "stops" in await made.tell("RELOAD")
+            assert fixture.reload.in_force.revision == 1
+            fixture.reload.serving.set()
+            await until(lambda: fixture.reload.signal_task is None)
+            assert fixture.reload.in_force.revision == 2
+            fixture.reload.close()
+            fixture.write_plan(refill=4.0, most_at_once=5.0)
+            fixture.reload.signal()
+            await until(lambda: fixture.reload.signal_task is None)
+            assert fixture.reload.in_force.revision == 2
+            assert "stops" in await fixture.command("RELOAD")
 
     run(test())
 
 
-def test_discovery_of_the_file_comes_before_the_environments(tmp_path):
+def test_discovery_address_of_the_file_takes_precedence_on_reload(tmp_path):
     async def test():
-        async with configured(tmp_path, EDGE_DISCOVERY="127.0.0.1:7") as made:
-            assert made.discovery.address == ("127.0.0.1", 7)
-            assert (await made.tell("RELOAD")).startswith("YES revision 2")
-            assert made.discovery.address == ("127.0.0.1", 8500)
+        async with reload_fixture(tmp_path, EDGE_DISCOVERY="127.0.0.1:7") as fixture:
+            assert fixture.discovery.address == ("127.0.0.1", 7)
+            assert (await fixture.command("RELOAD")).startswith("YES revision 2")
+            assert fixture.discovery.address == ("127.0.0.1", 8500)
 
     run(test())
 
 
-def test_one_line_tells_what_changed_and_why_a_file_was_refused(tmp_path, caplog):
+def test_log_has_one_line_for_a_change_and_one_for_a_rejected_file(tmp_path, caplog):
     async def test():
-        async with configured(tmp_path) as made:
+        async with reload_fixture(tmp_path) as fixture:
             caplog.set_level("INFO")
-            made.plan(refill=3.0, most_at_once=5.0)
-            await made.tell("RELOAD")
-            made.plan(refill=-3.0)
-            await made.tell("RELOAD")
+            fixture.write_plan(refill=3.0, most_at_once=5.0)
+            await fixture.command("RELOAD")
+            fixture.write_plan(refill=-3.0)
+            await fixture.command("RELOAD")
 
     run(test())
     lines = [record.getMessage() for record in caplog.records if "configuration" in record.getMessage()]
@@ -574,41 +576,41 @@
 
 
 @pytest.mark.parametrize("content", [b"", b'{"name": "n', b" " * 10 * 1024 * 1024, None, "a folder"])
-def test_file_that_is_none_is_refused_within_the_time_of_a_call_and_changes_nothing(tmp_path, content):
+def test_unusable_file_is_rejected_before_the_command_times_out_and_changes_nothing(tmp_path, content):
     async def test():
-        async with configured(tmp_path) as made:
-            before = made.state()
-            made.path.unlink()
+        async with reload_fixture(tmp_path) as fixture:
+            before = fixture.state()
+            fixture.path.unlink()
             if isinstance(content, bytes):
-                made.path.write_bytes(content)
+                fixture.path.write_bytes(content)
             elif content:
-                made.path.mkdir()
-            answer = await made.tell("RELOAD")
+                fixture.path.mkdir()
+            answer = await fixture.command("RELOAD")
             assert answer.startswith("NO refused, revision 1 stays: ")
-            assert made.state() == before
+            assert fixture.state() == before
 
     run(test())
 
 
-def test_sighup_that_crosses_the_hot_restart_is_carried_out_before_it_or_not_at_all(tmp_path):
-    """The state is written in one step of the loop, which comes in each of the turns that a reload takes."""
+def test_sighup_during_the_handover_is_applied_before_it_or_not_at_all(tmp_path):
+    """The state is handed over in one step of the event loop, here in each turn that a reload takes."""
 
     async def test():
         seen = set()
         for turns in range(8):
-            async with configured(tmp_path) as made:
-                made.plan(value_factor=2.0 + turns)
-                made.reload.signal()
+            async with reload_fixture(tmp_path) as fixture:
+                fixture.write_plan(value_factor=2.0 + turns)
+                fixture.reload.signal()
                 for _ in range(turns):
                     await asyncio.sleep(0)
-                made.hot_restart.handed_over = True
-                then = made.state()
-                while made.reload.signal_task:
+                fixture.hot_restart.handed_over = True
+                state_at_handover = fixture.state()
+                while fixture.reload.signal_task:
                     await asyncio.sleep(0)
-                assert made.state() == then  # what the next process was given is what holds here
-                took = made.reload.in_force.revision > 1
-                assert took != ("the next process has taken over" in made.reload.last_rejection)
-                seen.add(took)
+                assert fixture.state() == state_at_handover  # the state that was handed over
+                is_applied = fixture.reload.in_force.revision > 1
+                assert is_applied != ("the next process has taken over" in fixture.reload.last_rejection)
+                seen.add(is_applied)
         assert seen == {True, False}
 
     run(test())
