--- a/quota_gateway/net/servers/__init__.py
+++ b/quota_gateway/net/servers/__init__.py
@@ -1,7 +1,7 @@
-"""Towards servers: attempts, their connections, and the pool of all connections.
+"""Sends attempts to servers over a pool of connections and reports their outcomes.
 
-The outcome of an attempt is reported once. An attempt whose last byte was not handed to the kernel never ran;
-one that was may have, whatever became of it.
+Each attempt's outcome is reported exactly once. If the last byte of an attempt was not handed to the kernel,
+the server can't have executed it. Once it was, the server may have executed it, whatever the outcome is.
 """
 
 from quota_gateway.net.servers.attempt import Attempt, Sink, Source
--- a/quota_gateway/net/servers/attempt.py
+++ b/quota_gateway/net/servers/attempt.py
@@ -1,4 +1,4 @@
-"""An attempt at a server, as its connection sees it, and the two ends of a streamed value."""
+"""One attempt to run a command at a server, and the interfaces for the two ends of a streamed value."""
 
 from __future__ import annotations
 
@@ -12,58 +12,60 @@
 
 
 class Sink(Protocol):
-    """Receiver of a streamed value: the client's side."""
+    """Receives a streamed value on the client's side."""
 
     def write(self, data: bytes) -> None:
-        """Take the next piece."""
+        """Accept the next piece of the value."""
 
     def end(self, whole: bool) -> None:
-        """Take note that no more comes; ``whole``: the value is complete."""
+        """Called once after the last piece; ``whole`` says whether the value is complete."""
 
 
 class Source(Protocol):
-    """Sender of a streamed value: the server's side, which the receiver pauses and resumes."""
+    """Delivers a streamed value from the server's side; the receiver pauses and resumes it."""
 
     def pause(self) -> None:
-        """Read nothing more until ``resume``."""
+        """Stop reading from the server until ``resume`` is called."""
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue reading from the server."""
 
 
 StreamHandler = Callable[[int, Source], Sink | None]
 
 
 def reject_stream(_length: int, _source: Source) -> None:
-    """Stream handler of an attempt that takes no streamed value."""
+    """Stream handler for an attempt that accepts no streamed value."""
     return
 
 
 class Attempt:
-    """A command on its way to a server. Owned by the driver until ``finish`` has been called.
+    """A command that is sent to a server once. The driver owns it until ``finish`` has been called.
 
-    ``payload`` is called as the first byte could be written; None if by then the attempt may not begin.
-    ``begun`` is called with the length when a streamed value begins; it returns the receiver, if any.
-    ``done`` is called once, with the outcome.
+    ``payload`` is called when the connection is ready for the first byte. It returns the bytes to send, or
+    None if the attempt may no longer start.
+    ``on_stream`` is called with the length in bytes when a streamed value begins. It returns the receiver, or
+    None if there is none.
+    ``on_finish`` is called once, with the outcome; it is None from then on.
     """
 
-    __slots__ = ("payload", "done", "begun", "connection")
+    __slots__ = ("payload", "on_finish", "on_stream", "connection")
 
     def __init__(
         self,
         payload: Callable[[], bytes | None],
-        done: Callable[[Reply], None],
-        begun: StreamHandler = reject_stream,
+        on_finish: Callable[[Reply], None],
+        on_stream: StreamHandler = reject_stream,
     ) -> None:
         self.payload = payload
-        self.begun = begun
-        self.done: Callable[[Reply], None] | None = done
+        self.on_stream = on_stream
+        self.on_finish: Callable[[Reply], None] | None = on_finish
         self.connection: PooledConnection | None = None
 
     def finish(self, reply: Reply) -> None:
-        """Report the outcome; only the first call does anything."""
-        done = self.done
-        self.done = None
+        """Report the outcome; calls after the first one do nothing."""
+        on_finish = self.on_finish
+        self.on_finish = None
         self.connection = None
-        if done:
-            done(reply)
+        if on_finish:
+            on_finish(reply)
--- a/quota_gateway/net/servers/endpoint.py
+++ b/quota_gateway/net/servers/endpoint.py
@@ -1,4 +1,4 @@
-"""A server as the sockets see it: its address, and its idle connections."""
+"""What the connection pool knows of one server: its address, its state and its idle connections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ServerEndpoint:
-    """A server by its last entry in the endpoint list.
+    """One server, as its last entry in the endpoint list describes it.
 
     ``epoch`` counts the changes that make older connections unusable: a connection whose epoch differs is
     closed instead of used.
@@ -25,6 +25,6 @@
         self.started_ms = 0.0
         self.epoch = 0
         self.listed = False  # listed as ready
-        self.ready = False  # listed as ready, and not taken out by an operator
-        self.idle: list[PooledConnection] = []  # the most recently used last
-        self.reported_idle = False  # whether the decisions believe that a connection is idle
+        self.ready = False  # listed as ready and not set down by an operator
+        self.idle: list[PooledConnection] = []  # ordered by last use, the most recent at the end
+        self.reported_idle = False  # what the policy code was last told: at least one connection is idle
--- a/quota_gateway/net/servers/pool.py
+++ b/quota_gateway/net/servers/pool.py
@@ -1,4 +1,4 @@
-"""The servers of the endpoint list and the pool of all connections to them, bounded over all servers."""
+"""The servers of the endpoint list and the pool of connections to them, with one limit over all servers."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 from quota_gateway.net.servers.endpoint import Address, ServerEndpoint
 from quota_gateway.net.servers.replies import Reply, ReplyReader
 
-IDLE_LIMIT_RATIO = 0.4  # of the servers' idle limit: connections are retired well before servers close them
+IDLE_LIMIT_RATIO = 0.4  # of the servers' idle timeout: idle connections are closed well before servers do it
 READ_BYTES = 64 * 1024
 MIN_READ_BYTES = 4 * 1024
-MAX_STREAMED_BYTES = 8 * 1024 * 1024  # of streamed values held by slow clients, over all connections
+MAX_STREAMED_BYTES = 8 * 1024 * 1024  # of streamed values buffered for slow clients, over all connections
 RETIRE_INTERVAL_S = 1.0
-REUSE_DELAY_S = 0.01  # after a reply: a second one may come some milliseconds behind it
+REUSE_DELAY_S = 0.01  # after a reply: servers may send a second one some milliseconds later
 
 
 @dataclass(slots=True)
 class PoolCounts:
-    """What the pool has done since operators asked last."""
+    """What the pool has done since the last POOLS command of an operator."""
 
-    handshakes: int = 0  # connections begun
-    reuses: int = 0  # attempts on a connection that was idle
-    evicted: int = 0  # idle connections closed for lack of capacity
-    rejected: int = 0  # attempts that found no capacity
+    handshakes: int = 0  # new connections for attempts
+    reuses: int = 0  # attempts sent on a connection that was idle
+    evicted: int = 0  # idle connections closed to make room for others
+    rejected: int = 0  # attempts that failed because no more connections were allowed
 
     def describe(self) -> str:
-        """Text of the counts, as the admin endpoint's POOLS answers it."""
+        """The counts as text, for the reply to the admin command POOLS."""
         return (
             f"{self.handshakes} handshakes, {self.reuses} reuses, {self.evicted} evicted, "
             f"{self.rejected} turned away for want of room since the last look"
@@ -40,20 +40,20 @@
 
 
 class ServerPool:
-    """The servers of the endpoint list, and every connection to one of them."""
+    """The servers of the endpoint list and all connections to them; starts attempts on these connections."""
 
     def __init__(self, settings: api.Settings, most_connections: int) -> None:
         self.loop = asyncio.get_running_loop()
         self.hosts: dict[int, ServerEndpoint] = {}
-        self.admin_down: set[int] = set()  # servers that operators took out, whatever discovery lists
+        self.admin_down: set[int] = set()  # servers set down by operators, whatever discovery lists
         self.connections: set[PooledConnection] = set()
         self.buffer = memoryview(bytearray(READ_BYTES))
-        self.streams = 0  # values being streamed
+        self.streams = 0  # number of values that are being streamed
         self.counts = PoolCounts()
-        self.peer_connections = 0  # connections that the process before this one still holds
-        # During a hot restart: passes a connection on to the next process; false if that failed.
+        self.peer_connections = 0  # connections that the previous process still holds (hot restart)
+        # Set during a hot restart: passes a connection on to the next process; returns false if that failed.
         self.transfer: Callable[[PooledConnection, int], bool] | None = None
-        # Set by the driver: the first connection to a server became idle, or none is any more.
+        # Set by the driver; called when the first connection to a server becomes idle, or when none is left.
         self.on_idle_changed: Callable[[api.IdleConnectionChanged], None] = lambda _: None
         self.reconfigure(settings, most_connections)
         self.retire_timer = self.loop.call_later(RETIRE_INTERVAL_S, self._retire_idle)
@@ -61,7 +61,7 @@
     # ---- Settings and the endpoint list
 
     def reconfigure(self, settings: api.Settings, most_connections: int) -> None:
-        """Apply new settings; beyond the limit idle connections are closed, the longest idle first."""
+        """Apply new settings; idle connections beyond the limit are closed, those idle the longest first."""
         self.connect_timeout_s = settings.limits.connect_timeout_ms / 1000.0
         self.idle_limit_s = settings.limits.connection_idle_ms / 1000.0 * IDLE_LIMIT_RATIO
         self.reply_reader = ReplyReader(settings.load_fields)
@@ -70,7 +70,7 @@
             pass
 
     def update(self, endpoints: api.ServerList, addresses: Mapping[int, Address]) -> None:
-        """Take over an endpoint list; connections that it makes unusable are closed."""
+        """Apply an endpoint list; close connections that it makes unusable, busy ones after their reply."""
         listed = {entry.server for entry in endpoints.entries}
         if endpoints.kind is not api.ListKind.CHANGES:
             for server in [number for number in self.hosts if number not in listed]:
@@ -83,7 +83,7 @@
 
     def _update_host(self, entry: api.ServerEntry, address: Address) -> None:
         host = self.hosts.setdefault(entry.server, ServerEndpoint(entry.server))
-        # A server that restarted or moved must not be sent anything on a connection from before.
+        # After a server has restarted or moved, nothing may be sent on its older connections.
         is_same_process = host.address == address and host.started_ms == entry.started_ms
         host.address = address
         host.started_ms = entry.started_ms
@@ -93,7 +93,7 @@
             self._invalidate(host)
 
     def set_admin_down(self, server: int, admin_down: bool) -> None:
-        """Use no connection to a server any more, or use it again; attempts in flight go on."""
+        """Stop sending attempts to a server, or allow them again; attempts in flight continue."""
         if admin_down:
             self.admin_down.add(server)
         else:
@@ -110,7 +110,7 @@
             self._invalidate(host)
 
     def _invalidate(self, host: ServerEndpoint) -> None:
-        """Make every connection to the server unusable; idle ones are closed."""
+        """Close the idle connections to the server and mark the others, which are not used again."""
         host.epoch += 1
         for connection in list(host.idle):
             connection.close(api.Status.RESET)
@@ -118,7 +118,7 @@
     # ---- Attempts
 
     def start(self, server: int, attempt: Attempt) -> None:
-        """Send an attempt on the connection used last, or on a new one."""
+        """Send an attempt on the most recently used idle connection, or on a new one."""
         host = self.hosts.get(server)
         if host is None or not host.ready:
             attempt.finish(Reply(api.Status.CONNECT_FAILED))
@@ -134,13 +134,13 @@
         self._connect(host, attempt)
 
     def _reusable(self, host: ServerEndpoint) -> PooledConnection | None:
-        """The idle connection used last, of those that have been quiet for a moment since their reply.
+        """The most recently used idle connection whose last reply is at least ``REUSE_DELAY_S`` old.
 
-        A server may send a reply twice. Behind the next command the second one would be taken for that
-        command's reply; while the connection is idle, whatever comes closes it.
+        A server may send a reply twice. If the second copy arrived after the next command was sent, it would
+        be taken for that command's reply. On an idle connection, any bytes received close it.
         """
-        latest = self.loop.time() - REUSE_DELAY_S
-        return next((one for one in reversed(host.idle) if one.idle_since <= latest), None)
+        cutoff = self.loop.time() - REUSE_DELAY_S
+        return next((candidate for candidate in reversed(host.idle) if candidate.idle_since <= cutoff), None)
 
     def _connect(self, host: ServerEndpoint, attempt: Attempt) -> None:
         if self._is_at_limit() and not self._evict():
@@ -153,18 +153,21 @@
         connection.task = self.loop.create_task(connection.open())
 
     def cancel(self, attempt: Attempt, status: api.Status) -> None:
-        """Close the attempt's connection, then report the outcome. Without its last byte it never ran."""
+        """Close the attempt's connection, then report the outcome.
+
+        An attempt whose last byte was not sent can't have run: it ends with CONNECT_FAILED, not ``status``.
+        """
         connection = attempt.connection
-        if attempt.done and connection:
+        if attempt.on_finish and connection:
             connection.close(status if connection.last_byte_sent else api.Status.CONNECT_FAILED)
 
     def cancel_unsent(self, attempt: Attempt) -> None:
-        """Stop an attempt whose last byte has not gone out; one that is on its way is waited for."""
+        """Cancel an attempt whose last byte was not sent yet; one that has been sent completely continues."""
         connection = attempt.connection
-        if attempt.done and connection and not connection.last_byte_sent:
+        if attempt.on_finish and connection and not connection.last_byte_sent:
             connection.close(api.Status.CONNECT_FAILED)
 
-    # ---- The pool
+    # ---- Keeping and closing connections
 
     def _is_over_limit(self) -> bool:
         return len(self.connections) + self.peer_connections > self.most_connections
@@ -173,12 +176,16 @@
         return len(self.connections) + self.peer_connections >= self.most_connections
 
     def read_buffer(self) -> memoryview:
-        """Buffer for one read: less for each when slow clients hold many streamed values."""
+        """Buffer for one read; smaller while many values are streamed, as slow clients may hold them up."""
         size = max(MIN_READ_BYTES, min(READ_BYTES, MAX_STREAMED_BYTES // max(1, self.streams)))
         return self.buffer[:size]
 
     def release(self, connection: PooledConnection) -> None:
-        """Keep a connection whose attempt has ended well, unless its server has changed meanwhile."""
+        """Make a connection idle after a complete reply, or once it is adopted.
+
+        During a hot restart it is passed on to the next process instead. It is closed if its server has
+        changed meanwhile or the pool is over its limit.
+        """
         if connection.closed or connection.epoch != connection.host.epoch or self._is_over_limit():
             connection.close(api.Status.RESET)
             return
@@ -196,7 +203,7 @@
             connection.close(api.Status.RESET)
 
     def _evict(self) -> bool:
-        """Close the connection that has been idle longest; false if none is idle."""
+        """Close the connection that has been idle the longest; return false if none is idle."""
         idle = [host.idle[0] for host in self.hosts.values() if host.idle]
         oldest = min(idle, key=lambda connection: connection.idle_since, default=None)
         if oldest is None:
@@ -206,21 +213,21 @@
         return True
 
     def _retire_idle(self) -> None:
-        """Close idle connections well before the server does, which would reset a request written then."""
-        latest = self.loop.time() - self.idle_limit_s
+        """Close idle connections well before the server does, which would reset a request sent just then."""
+        cutoff = self.loop.time() - self.idle_limit_s
         for host in self.hosts.values():
-            for connection in [one for one in host.idle if one.idle_since < latest]:
+            for connection in [candidate for candidate in host.idle if candidate.idle_since < cutoff]:
                 connection.close(api.Status.RESET)
         self.retire_timer = self.loop.call_later(RETIRE_INTERVAL_S, self._retire_idle)
 
     def _report_idle(self, host: ServerEndpoint) -> None:
-        """Tell the decisions when the first connection becomes idle, or none is any more."""
+        """Tell the policy code when the first connection to a server becomes idle, or when none is left."""
         if host.reported_idle != bool(host.idle):
             host.reported_idle = not host.reported_idle
             self.on_idle_changed(api.IdleConnectionChanged(host.number, host.reported_idle))
 
     def discard(self, connection: PooledConnection) -> None:
-        """Remove a connection that is closing from the pool."""
+        """Remove a closed connection from the pool."""
         self.connections.discard(connection)
         with suppress(ValueError):
             connection.host.idle.remove(connection)
@@ -229,7 +236,7 @@
     # ---- Hot restart
 
     def transfer_idle(self) -> None:
-        """Pass every idle connection on to the next process."""
+        """Pass every idle connection on to the next process; close those for which that fails."""
         for host in self.hosts.values():
             for connection in list(host.idle):
                 self._transfer_or_close(connection)
@@ -242,7 +249,7 @@
             connection.close(api.Status.RESET)
 
     async def adopt(self, server: int, sock: socket.socket) -> None:
-        """Take over an idle connection of the process before this one."""
+        """Add an idle connection that the previous process passed on; close it if it can't be used."""
         host = self.hosts.get(server)
         if host is None or not host.ready or self._is_at_limit():
             sock.close()
@@ -250,12 +257,12 @@
         connection = PooledConnection(self, host, None)
         connection.socket = sock
         self.connections.add(connection)
-        await connection.come_up(sock)
+        await connection.create_transport(sock)
 
-    # ---- Operators, and the end
+    # ---- Status for operators, and shutdown
 
     def describe_and_reset(self) -> str:
-        """What the pool holds, and what it has done since the last look."""
+        """The reply to the admin command POOLS: open connections, and the counts, which restart at zero."""
         open_count = len(self.connections)
         idle = sum(len(host.idle) for host in self.hosts.values())
         connecting = sum(connection.transport is None for connection in self.connections)
@@ -268,7 +275,7 @@
         )
 
     def close(self) -> None:
-        """Close everything, at the end of the process."""
+        """Close all connections, at the end of the process."""
         self.retire_timer.cancel()
         for connection in list(self.connections):
             connection.close(api.Status.CANCELLED)
--- a/quota_gateway/net/servers/replies.py
+++ b/quota_gateway/net/servers/replies.py
@@ -1,4 +1,4 @@
-"""Replies of servers: from what the RESP parser yields to the outcome of an attempt. No sockets here."""
+"""Turns the RESP parser's output for a server's reply into the outcome of an attempt. Uses no sockets."""
 
 from __future__ import annotations
 
@@ -12,38 +12,41 @@
 
 log = logging.getLogger(__name__)
 
-OVERLOADED_WORD = "BUSY"  # first word of an error line: rejected, nothing was done
-SYNTAX_WORD = "SYNTAX"  # the server could not read our command
+OVERLOADED_WORD = "BUSY"  # first word of an error line: the server rejected the command and did not run it
+SYNTAX_WORD = "SYNTAX"  # first word of an error line: the server could not read the command
 
 
 class ServerError(Exception):
-    """An error line of a server, in the form in which the RESP parser yields it."""
+    """An error line from a server, as the RESP parser returns it."""
 
 
 @dataclass(slots=True)
 class Reply:
-    """Outcome of an attempt, with what the reply reported beside its value."""
+    """Outcome of an attempt, with the value and the reports that came with it."""
 
     status: api.Status
     value: bytes | None = None
-    metered_use_percent: float | None = None  # of the customer by all gateways, of its plan's rate
-    final_units: float | None = None  # in place of the estimate
+    metered_use_percent: float | None = None  # the customer's use at all gateways, of its plan's rate
+    final_units: float | None = None  # actual cost of the request, which replaces the estimate
     load: tuple[float, ...] | None = None  # in the order of the settings' load fields
-    malformed: bool = False  # not the protocol: the connection is of no further use
+    malformed: bool = False  # violates the protocol: the connection can't be used again
 
 
 class ReplyReader:
-    """Reads replies, with the metered use and load reports in them."""
+    """Reads parsed replies, including the metered use, cost and load reports in them.
+
+    ``load_fields``: names of the load values to report, in this order.
+    """
 
     def __init__(self, load_fields: tuple[str, ...]) -> None:
         self.load_fields = load_fields
 
     def read(self, parsed: object) -> Reply:
-        """The outcome that a parsed reply stands for; a malformed one may have run."""
+        """The outcome for a parsed reply; after a malformed reply the command may have run."""
         if isinstance(parsed, ServerError):
             return self._read_error(str(parsed))
         if not isinstance(parsed, list) or not parsed or not isinstance(parsed[0], bytes):
-            log.warning("malformed answer: %.100r", parsed)
+            log.warning("malformed reply from a server, closing its connection: %.100r", parsed)
             return Reply(api.Status.ERROR, malformed=True)
         reply = Reply(api.Status.OK, parsed[0])
         for fields in parsed[1:]:
@@ -70,7 +73,7 @@
 
 
 def _number_fields(text: str) -> dict[str, float]:
-    """``a=1,b=2`` as numbers; parts of another form, negative or not finite, are left out."""
+    """Parse ``a=1,b=2`` into numbers; parts of another form, negative or not finite, are left out."""
     fields = {}
     for part in text.split(","):
         name, _, number = part.partition("=")
--- a/quota_gateway/net/servers/reply_decoder.py
+++ b/quota_gateway/net/servers/reply_decoder.py
@@ -1,4 +1,4 @@
-"""From a server's bytes to its replies, and to the pieces of a long value. No sockets here."""
+"""Decodes a server's bytes into replies, and into the pieces of long values. Uses no sockets."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 )
 from quota_gateway.net.servers.replies import ServerError
 
-MAX_REPLY_BYTES = 192 * 1024  # read without a complete reply: a value of 64 KiB, one read, and to spare
+MAX_REPLY_BYTES = 192 * 1024  # of an incomplete reply: a value of 64 KiB, one read, and a margin
 
 
 class DecodedReply(NamedTuple):
-    """What the parser made of a reply, and whether nothing but this one complete reply has come."""
+    """A parsed reply, and whether exactly this one complete reply was received."""
 
-    parsed: object  # False: incomplete, and beyond the bound or out of turn
+    parsed: object  # False: an incomplete reply that is too long, or that no attempt waits for
     is_clean: bool
 
 
 class LongValueBegun(NamedTuple):
-    """A reply whose long value is passed on as it comes, and the value's first bytes."""
+    """The start of a reply whose long value is streamed: its length and its first bytes."""
 
     value_bytes: int
     data: bytes
@@ -35,8 +35,8 @@
 class ReplyDecoder:
     """Decodes the replies on one connection, one after the other.
 
-    A long value is told apart by the first bytes of its reply; its pieces go through ``split_value``, and the
-    rest of the reply is parsed as if the value were empty.
+    The first bytes of a reply show whether it begins with a long value. The caller then passes the value's
+    bytes through ``split_value``, and the rest of the reply is parsed as if the value were empty.
     """
 
     __slots__ = (
@@ -52,27 +52,28 @@
     def __init__(self) -> None:
         self._parser = hiredis.Reader(replyError=ServerError)
         self._lengths = DeclaredLengths(STREAMED_VALUE_BYTES, is_replies=True)
-        # Bytes held back: those that do not tell yet what they begin, or what stands behind a long value.
+        # Bytes held back from the parser: the start of a reply while it is too short to show whether a long
+        # value begins, or the bytes after a long value.
         self._head = b""
         self._is_head_read = False
         self._unparsed_bytes = 0
-        self._value_words = 0  # of the reply that a long value begins
+        self._value_words = 0  # array length of the reply that begins with a long value
         self._value_bytes_left = 0
 
     def feed(self, data: bytes, is_reply_due: bool) -> DecodedReply | LongValueBegun | None:
-        """Take bytes; None while a reply is incomplete. Raises ProtocolError for what is no reply."""
+        """Decode received bytes; None while a reply is incomplete. Raises ProtocolError if it is invalid."""
         if is_reply_due and not self._is_head_read:
             self._head += data
-            found = parse_long_value_head(self._head)
-            if found is None:
+            long_value = parse_long_value_head(self._head)
+            if long_value is None:
                 return None
             data = self._head
             self._head = b""
             self._is_head_read = True
-            if found.words:
-                self._value_words = found.words
-                self._value_bytes_left = found.value_bytes
-                return LongValueBegun(found.value_bytes, data[found.value_at :])
+            if long_value.words:
+                self._value_words = long_value.words
+                self._value_bytes_left = long_value.value_bytes
+                return LongValueBegun(long_value.value_bytes, data[long_value.value_at :])
         return self._parse(data, is_reply_due)
 
     def _parse(self, data: bytes, is_reply_due: bool) -> DecodedReply | None:
@@ -83,10 +84,10 @@
             parsed = self._parser.gets()
             has_more = self._parser.has_data() or valid < len(data)
         except (hiredis.HiredisError, ValueError, MemoryError) as error:  # MemoryError: an array of billions
-            raise ProtocolError(f"not RESP: {error!r}") from None
+            raise ProtocolError(f"the RESP parser failed: {error!r}") from None
         is_complete = parsed is not False
         if not is_complete and valid < len(data):
-            raise ProtocolError("a length out of bounds")
+            raise ProtocolError("a declared length is out of bounds")
         if not is_complete and is_reply_due and self._unparsed_bytes <= MAX_REPLY_BYTES:
             return None
         self._unparsed_bytes = 0
@@ -96,28 +97,31 @@
     # ---- Streamed values
 
     def split_value(self, data: bytes) -> int:
-        """How many of these bytes belong to the value; the others are behind its end."""
+        """How many of these bytes belong to the long value; the others come after its end."""
         in_value = min(len(data), self._value_bytes_left)
         self._value_bytes_left -= in_value
         return in_value
 
     def is_value_complete(self) -> bool:
-        """Whether all bytes of the value have come; its line's end may be missing."""
+        """Whether all bytes of the value have been received; the CRLF after it may be missing."""
         return not self._value_bytes_left
 
     def take_line_end(self, data: bytes) -> bool:
-        """Take bytes behind a value; whether its line's end is there. Raises ProtocolError if it runs on."""
+        """Take the bytes after a long value; whether its CRLF is complete.
+
+        Raises ProtocolError if anything but CRLF follows: the value is longer than declared.
+        """
         self._head += data
         if not self._head.startswith(LINE_END[: len(self._head)]):
-            raise ProtocolError("a long value runs on")
+            raise ProtocolError("a long value is longer than declared")
         return len(self._head) >= len(LINE_END)
 
     def resume_reply(self, is_reply_due: bool) -> DecodedReply | None:
-        """Go on behind a streamed value: the parser gets the reply with an empty value in its place."""
+        """Parse the rest of a reply after its streamed value, with an empty value in its place."""
         head = self._head
         self._head = b""
         return self._parse(b"*%d\r\n$0\r\n" % self._value_words + head, is_reply_due)
 
     def holds_partial_reply(self) -> bool:
-        """Whether bytes of a reply are held that is not complete."""
+        """Whether the start of an incomplete reply has been received."""
         return bool(self._head or self._unparsed_bytes)
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -1,5 +1,7 @@
-"""Two events that cross on a connection to a server. A gate holds back the end of the handshake, so that
-whatever is to cross it has come before it."""
+"""Races on connections to servers, such as a server that drains while a connection to it is being opened.
+
+A gate holds connections back until the other event has happened.
+"""
 
 import asyncio
 from dataclasses import replace
@@ -7,7 +9,7 @@
 import pytest
 from fakes import SETTINGS, FakeServer, Raw, array, call, node, run, until
 from test_net_driver import Script, scripted
-from test_net_servers import Ends
+from test_net_servers import OutcomeCollector
 
 from quota_gateway import Idempotency, IdempotencyScope, Limits, ListKind, Send, ServerState, Status
 from quota_gateway.net.servers import pool as pool_module
@@ -18,7 +20,7 @@
 
 
 class Gate:
-    """The loop, but connections come up only when the gate is open, or not at all."""
+    """Stands in for the event loop: connects only once the gate is open; if broken, creates no transport."""
 
     def __init__(self, gateway, broken: bool = False) -> None:
         self.loop, self.open, self.broken = gateway.servers.loop, asyncio.Event(), broken
@@ -43,33 +45,33 @@
     return gateway.clients.listener.getsockname()[1]
 
 
-def ahead(gateway, ms: float) -> None:
-    """The decisions' clock, and the driver's, go on by so much."""
+def advance_clock(gateway, ms: float) -> None:
+    """Move the clock of the driver and the policy code forward."""
     clock = gateway.driver.clock
     gateway.driver.clock = lambda: clock() + ms
 
 
-async def settled(gateway) -> None:
-    """Every connection that was on its way has come up or has ended."""
-    await until(lambda: all(one.transport for one in gateway.servers.connections))
+async def wait_until_connections_settle(gateway) -> None:
+    """Wait until each connection has a transport or has been closed."""
+    await until(lambda: all(connection.transport for connection in gateway.servers.connections))
 
 
 @pytest.mark.parametrize("limits", LIMITS)
 @pytest.mark.parametrize("kind", KINDS)
-@pytest.mark.parametrize("crossing", ["drain", "gone", "restart", "client left", "time over"])
-def test_no_first_byte_on_a_connection_that_comes_up_too_late(limits, kind, crossing):
+@pytest.mark.parametrize("event", ["drain", "gone", "restart", "client left", "time over"])
+def test_nothing_is_sent_on_a_connection_that_is_opened_too_late(limits, kind, event):
     async def test():
         fake = FakeServer()
         async with node(fake, limits=LIMITS[limits]) as gateway:
             gate, raw = Gate(gateway), Raw(port(gateway))
             raw.send(call(1, kind))
             await until(lambda: bool(gate.sockets))
-            match crossing:
+            match event:
                 case "drain":
                     gateway.told(fake.entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
                 case "gone":
                     gateway.told(fake.entry(1, state=ServerState.REMOVED), kind=ListKind.CHANGES)
-                case "restart":  # the process that was connected to is another's by now: asked for anew
+                case "restart":  # another process runs there now: it needs a new connection
                     gateway.told(fake.entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
                     gateway.told(fake.entry(1, started_ms=1.0), kind=ListKind.CHANGES)
                     gateway.told(fake.entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
@@ -77,56 +79,56 @@
                     raw.sock.close()
                     await until(lambda: gateway.driver.metrics.disconnected_total == 1)
                 case "time over":
-                    ahead(gateway, 60_000.0)
+                    advance_clock(gateway, 60_000.0)
             gate.open.set()
-            await settled(gateway)
+            await wait_until_connections_settle(gateway)
             await until(lambda: not gateway.driver.requests)
-            if crossing != "client left":
+            if event != "client left":
                 assert (await raw.read(5)) == b"-BUSY"  # it never ran
             assert not fake.commands
             assert gateway.driver.metrics.served_total == 0
-            await let_go(gate)
+            await assert_descriptors_released(gate)
 
     run(test())
 
 
-async def let_go(gate: Gate) -> None:
-    """No socket object keeps a descriptor that the loop has closed: it would close another's later."""
+async def assert_descriptors_released(gate: Gate) -> None:
+    """Check that no socket object keeps a descriptor that the loop closed: it would close another's later."""
     for _ in range(100):
         await asyncio.sleep(0)
     assert [sock.fileno() for sock in gate.sockets] == [-1] * len(gate.sockets)
 
 
 @pytest.mark.parametrize("turns", range(6))
-@pytest.mark.parametrize("crossing", ["drain", "stopped"])
-def test_descriptor_of_a_connection_that_ends_as_it_comes_up_is_closed_once(crossing, turns):
+@pytest.mark.parametrize("event", ["drain", "stopped"])
+def test_descriptor_of_a_connection_that_is_closed_while_being_opened_is_closed_once(event, turns):
     async def test():
         fake = FakeServer()
         async with node(fake) as gateway:
-            gate, ends = Gate(gateway), Ends()
-            attempt = ends.attempt()
+            gate, collector = Gate(gateway), OutcomeCollector()
+            attempt = collector.attempt()
             gateway.servers.start(1, attempt)
             await until(lambda: bool(gate.sockets))
             gate.open.set()
-            for _ in range(turns):  # of the loop, between its connection and its first byte
+            for _ in range(turns):  # of the event loop, between connecting and the first byte
                 await asyncio.sleep(0)
-            if crossing == "drain":
+            if event == "drain":
                 gateway.told(fake.entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
             gateway.servers.cancel(attempt, Status.CANCELLED)
-            assert await ends.status() in (Status.CANCELLED, Status.CONNECT_FAILED)
+            assert await collector.status() in (Status.CANCELLED, Status.CONNECT_FAILED)
             assert not gateway.servers.connections
-            await let_go(gate)
+            await assert_descriptors_released(gate)
 
     run(test())
 
 
 @pytest.mark.parametrize("limits", LIMITS)
 @pytest.mark.parametrize("scope", list(IdempotencyScope))
-def test_repeat_is_not_written_once_its_window_has_ended_while_it_was_connected_for(limits, scope):
+def test_retry_is_not_sent_if_its_idempotency_window_ends_while_the_connection_is_opened(limits, scope):
     key = replace(SETTINGS.classes[1], idempotency_scope=scope, idempotency_window_ms=1000.0)
 
     async def test():
-        fake = FakeServer(lambda words: b"")  # takes the command and hangs up: it may have run
+        fake = FakeServer(lambda words: b"")  # takes the command and closes: it may have run
         classes = (SETTINGS.classes[0], key, SETTINGS.classes[2])
         async with node(fake, limits=LIMITS[limits], classes=classes) as gateway:
             raw, gate = Raw(port(gateway)), Gate(gateway)
@@ -135,17 +137,17 @@
             await until(lambda: bool(fake.commands))
             gate.open.clear()
             await until(lambda: len(gate.sockets) == 2)
-            ahead(gateway, 1500.0)
+            advance_clock(gateway, 1500.0)
             gate.open.set()
             assert await raw.read(5) == (b"-BUSY" if scope is IdempotencyScope.ALL else b"-ERR ")
-            await settled(gateway)
+            await wait_until_connections_settle(gateway)
             assert len(fake.commands) == 1
 
     run(test())
 
 
 @pytest.mark.parametrize(("memory_ms", "sent"), [(60_000.0, 2), (1.0, 1)])
-def test_repeat_within_its_window_is_written(memory_ms, sent):
+def test_retry_is_sent_only_within_its_idempotency_window(memory_ms, sent):
     async def test():
         answers = iter([b"", array(b"v")])
         fake = FakeServer(lambda words: next(answers))
@@ -159,33 +161,33 @@
     run(test())
 
 
-def test_command_whose_last_byte_is_held_up_is_given_up_and_one_that_went_out_is_waited_for():
+def test_cancel_unsent_stops_only_an_attempt_whose_last_byte_was_not_sent():
     async def test():
         fake = FakeServer(lambda words: None)
         async with node(fake) as gateway:
-            sent, held = Ends(), Ends()
-            out = sent.attempt()
-            gateway.servers.start(1, out)
+            sent, unsent = OutcomeCollector(), OutcomeCollector()
+            sent_attempt = sent.attempt()
+            gateway.servers.start(1, sent_attempt)
             await fake.until(lambda: len(fake.commands) == 1)
-            long = held.attempt(bytes(64_000_000))
-            gateway.servers.start(1, long)
-            await until(lambda: bool(long.connection.transport))
-            for attempt in (out, long):
+            unsent_attempt = unsent.attempt(bytes(64_000_000))
+            gateway.servers.start(1, unsent_attempt)
+            await until(lambda: bool(unsent_attempt.connection.transport))
+            for attempt in (sent_attempt, unsent_attempt):
                 gateway.servers.cancel_unsent(attempt)
-            assert await held.status() is Status.CONNECT_FAILED
+            assert await unsent.status() is Status.CONNECT_FAILED
             assert sent.empty()
 
     run(test())
 
 
 @pytest.mark.usefixtures("no_rest")
-def test_second_attempt_that_comes_up_after_the_answer_is_not_sent():
+def test_second_attempt_is_not_sent_if_it_connects_after_the_request_was_answered():
     async def test():
         quick, late = FakeServer(lambda words: array(b"v")), FakeServer()
         async with node(quick, late) as gateway:
-            ends = Ends()
-            gateway.servers.start(1, ends.attempt())
-            assert await ends.status() is Status.OK  # so that one connection is there
+            collector = OutcomeCollector()
+            gateway.servers.start(1, collector.attempt())
+            assert await collector.status() is Status.OK  # leaves one idle connection
             gate = Gate(gateway)
             script = Script(Request=lambda e: [Send("r", 1), Send("r", 2)])
             answers = scripted(gateway, script)
@@ -198,7 +200,7 @@
     run(test())
 
 
-def test_what_never_went_out_is_not_held_against_its_server():
+def test_attempt_that_was_never_sent_is_not_counted_as_a_failure_of_its_server():
     async def test():
         fake = FakeServer()
         async with node(fake, limits=LIMITS["no cancel"]) as gateway:
@@ -209,33 +211,33 @@
             await until(lambda: gateway.driver.metrics.disconnected_total == 1)
             gate.open.set()
             await until(lambda: not gateway.driver.requests)
-            assert not marks(gateway)
+            assert not failure_records_of(gateway)
 
     run(test())
 
 
-def marks(gateway) -> list:
+def failure_records_of(gateway) -> list:
     servers = gateway.driver.gateway.endpoints.servers
     return [record for server in servers.values() for record in server.failure_records.values()]
 
 
-def test_socket_whose_transport_can_not_be_made_is_closed():
+def test_socket_is_closed_if_its_transport_can_not_be_created():
     async def test():
         async with node(FakeServer()) as gateway:
-            gate, ends = Gate(gateway, broken=True), Ends()
+            gate, collector = Gate(gateway, broken=True), OutcomeCollector()
             gate.open.set()
-            gateway.servers.start(1, ends.attempt())
-            assert await ends.status() is Status.CONNECT_FAILED
+            gateway.servers.start(1, collector.attempt())
+            assert await collector.status() is Status.CONNECT_FAILED
             await until(lambda: gate.sockets[0].fileno() < 0)
             assert not gateway.servers.connections
 
     run(test())
 
 
-# ---- Answers
+# ---- Replies
 
 
-def test_second_answer_that_comes_behind_the_next_command_is_not_taken_for_its_answer(monkeypatch):
+def test_duplicate_reply_is_not_taken_for_the_reply_to_the_next_command(monkeypatch):
     monkeypatch.setattr(pool_module, "REUSE_DELAY_S", 3600.0)
 
     async def test():
@@ -249,13 +251,13 @@
             peer = await gateway.peer()
             assert await peer.ask(call(1)) == b"%016x" % 1
             assert await peer.ask(call(2)) == b"%016x" % 2
-            await fake.until(lambda: fake.ended == 1)  # what came out of turn has ended its connection
+            await fake.until(lambda: fake.ended == 1)  # the reply without a request has closed its connection
             assert await peer.ask(call(3)) == b"%016x" % 3
 
     run(test())
 
 
-def test_connection_that_has_rested_is_used_again_before_an_older_one(monkeypatch):
+def test_idle_connection_past_its_reuse_delay_is_reused(monkeypatch):
     monkeypatch.setattr(pool_module, "REUSE_DELAY_S", 0.0)
 
     async def test():
@@ -269,8 +271,8 @@
     run(test())
 
 
-# A value that is longer than it declares, and figures that are: no line's end where one has to be.
-RUN_ON = [
+# Replies with a value, or a field after it, longer than declared: CRLF is missing where it has to be.
+OVERLONG_REPLIES = [
     b"*3\r\n$4\r\nabcdef$-1\r\n$-1\r\n",
     b"*3\r\n$4\r\nabcd\r$$-1\r\n$-1\r\n",
     b"*3\r\n$0\r\nx\n$-1\r\n$-1\r\n",
@@ -279,13 +281,13 @@
 
 
 @pytest.mark.parametrize("cut", [None, *range(1, 24)])
-@pytest.mark.parametrize("run_on", RUN_ON)
-def test_answer_that_runs_on_beyond_its_declared_length_is_broken_however_it_is_cut(run_on, cut):
+@pytest.mark.parametrize("overlong_reply", OVERLONG_REPLIES)
+def test_reply_longer_than_declared_fails_the_request_however_it_is_split(overlong_reply, cut):
     async def test():
         def answer(words):
             if fake.commands[0] is not words:
                 return array(words[2])
-            fake.writers[0].write(run_on[:cut])
+            fake.writers[0].write(overlong_reply[:cut])
             return None
 
         fake = FakeServer(answer)
@@ -297,10 +299,13 @@
                 await until(
                     lambda: (
                         not gateway.driver.requests
-                        or any(one.decoder.holds_partial_reply() for one in gateway.servers.connections)
+                        or any(
+                            connection.decoder.holds_partial_reply()
+                            for connection in gateway.servers.connections
+                        )
                     )
                 )
-                fake.writers[0].write(run_on[cut:])
+                fake.writers[0].write(overlong_reply[cut:])
             assert await peer.reply() == "-ERR failed"  # it may have run
             assert await peer.ask(call(2, "buy")) == b"%016x" % 2
             assert fake.by == [0, 1]
@@ -320,10 +325,10 @@
         array(b"v") + b"*3\r\n$1",
         b"+half a li",
         b"*3\r\n$1\r\nv\r\n$",
-        *RUN_ON,
+        *OVERLONG_REPLIES,
     ],
 )
-def test_connection_of_a_broken_answer_is_never_used_again(monkeypatch, broken):
+def test_connection_is_never_reused_after_a_malformed_or_extra_reply(monkeypatch, broken):
     monkeypatch.setattr(pool_module, "REUSE_DELAY_S", 0.0)
 
     async def test():
@@ -331,7 +336,7 @@
         fake = FakeServer(lambda words: next(answers, array(words[2])))
         async with node(fake) as gateway:
             peer = await gateway.peer()
-            if b"ha" in broken or broken.endswith(b"v\r\n$"):  # it never ends: its client leaves
+            if b"ha" in broken or broken.endswith(b"v\r\n$"):  # incomplete: the client disconnects
                 peer.send(call(1))
                 await fake.until(lambda: len(fake.commands) == 1)
                 peer.writer.close()
@@ -345,13 +350,13 @@
     run(test())
 
 
-@pytest.mark.parametrize("breaks", [b"", array(b"v")[:-3], b"*3\r\n$100\r\nhalf", b"-ERR fail"])
+@pytest.mark.parametrize("partial_reply", [b"", array(b"v")[:-3], b"*3\r\n$100\r\nhalf", b"-ERR fail"])
 @pytest.mark.parametrize("kind", KINDS)
-def test_server_that_breaks_off_costs_each_request_one_answer_and_no_unsafe_one_runs_twice(kind, breaks):
+def test_each_request_is_answered_and_no_unsafe_one_sent_twice_if_a_server_closes_early(kind, partial_reply):
     async def test():
         def answer(words):
-            if breaks:
-                bad.writers[bad.by[-1]].write(breaks)
+            if partial_reply:
+                bad.writers[bad.by[-1]].write(partial_reply)
             return b""
 
         bad, good = FakeServer(answer), FakeServer()
@@ -368,5 +373,5 @@
     run(test())
 
 
-def test_effects_of_the_table_are_all_there():
+def test_classes_under_test_cover_every_idempotency_kind():
     assert {item.idempotency for item in SETTINGS.classes} == set(Idempotency)
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -1,4 +1,4 @@
-"""Long values: passed on as they come, held back with a slow client, and never taken for complete."""
+"""Long values: streamed to the client, paused while it is slow, never passed on as complete if cut short."""
 
 import asyncio
 import socket
@@ -19,14 +19,14 @@
 HEAD, TAIL = b"*3\r\n$%d\r\n" % LENGTH, b"\r\n$7\r\nused=40\r\n$-1\r\n"
 
 
-def held(*numbers: int):
-    """A server that keeps silent on these requests, for the test to answer, and answers others shortly."""
+def server_silent_on(*numbers: int):
+    """A server that leaves these requests for the test to answer and gives the others a short reply."""
     ids = [b"%016x" % number for number in numbers]
     return FakeServer(lambda words: None if words[2] in ids else b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 
 
 def writer(server: FakeServer, number: int) -> asyncio.StreamWriter:
-    """Of the connection that request came on."""
+    """The server's writer for the connection on which the request came."""
     return next(
         server.writers[n]
         for n, words in zip(server.by, server.commands, strict=True)
@@ -55,22 +55,22 @@
         (b"*3\r\n$99999999", (0, 0, 0)),
     ],
 )
-def test_head_of_a_long_value_is_told_apart_as_soon_as_it_can_be(head, found):
+def test_long_value_is_recognised_from_the_first_bytes_of_its_reply(head, found):
     assert parse_long_value_head(head) == found
 
 
 @pytest.mark.usefixtures("no_rest")
 @pytest.mark.parametrize("piece", [7, 1000, 65_536, LENGTH * 2])
-def test_long_value_arrives_whole_in_pieces_of_any_size_and_the_connections_live_on(piece):
+def test_long_value_arrives_complete_in_pieces_of_any_size_and_its_connections_are_reused(piece):
     async def test():
-        server = held(1)
+        server = server_silent_on(1)
         async with node(server) as gateway:
             peer = await gateway.peer()
             peer.send(call(1))
             await server.until(lambda: len(server.commands) == 1)
             answer = HEAD + VALUE + TAIL
-            for at in range(0, min(len(answer), 40 * piece), piece):  # then the rest at once
-                server.writers[0].write(answer[at : at + piece])
+            for offset in range(0, min(len(answer), 40 * piece), piece):  # the rest is written at once
+                server.writers[0].write(answer[offset : offset + piece])
                 await server.writers[0].drain()
             server.writers[0].write(answer[40 * piece :])
             assert await peer.reply() == VALUE
@@ -83,9 +83,9 @@
     run(test())
 
 
-def test_first_bytes_are_passed_on_at_once_and_the_deadline_ends_nothing_that_has_begun():
+def test_first_bytes_are_passed_on_at_once_and_a_stream_that_has_begun_has_no_deadline():
     async def test():
-        server = held(1)
+        server = server_silent_on(1)
         async with node(server) as gateway:
             peer = await gateway.peer()
             peer.send(call(1, wait=200))
@@ -93,7 +93,7 @@
             server.writers[0].write(HEAD + VALUE[:10])
             first = await peer.reader.readexactly(len(b"$%d\r\n" % LENGTH) + 10)
             assert first == b"$%d\r\n" % LENGTH + VALUE[:10]
-            await asyncio.sleep(0.4)  # past what the client would have waited for the first byte
+            await asyncio.sleep(0.4)  # longer than the client waits for the first byte
             peer.parser.feed(first)
             server.writers[0].write(VALUE[10:] + TAIL)
             assert await peer.reply() == VALUE
@@ -102,9 +102,9 @@
     run(test())
 
 
-def test_value_that_breaks_off_ends_the_connection_and_is_not_tried_again():
+def test_value_cut_short_closes_the_client_connection_and_is_not_retried():
     async def test():
-        server = held(1)
+        server = server_silent_on(1)
         async with node(server) as gateway:
             peer = await gateway.peer()
             peer.send(call(1))
@@ -123,33 +123,34 @@
 
 @pytest.mark.parametrize("end", [b"xy", b"\rx", b"$-"])
 @pytest.mark.parametrize("cut", [0, 1, 2])
-def test_long_value_that_runs_on_beyond_its_length_is_not_taken_for_whole(end, cut):
+def test_long_value_longer_than_declared_is_not_passed_on_as_complete(end, cut):
     async def test():
-        server = held(1)
+        server = server_silent_on(1)
         async with node(server) as gateway:
             peer = await gateway.peer()
             peer.send(call(1))
             await server.until(lambda: len(server.commands) == 1)
-            read = asyncio.ensure_future(peer.reader.read())  # to its end
+            read = asyncio.ensure_future(peer.reader.read())  # until the connection is closed
             server.writers[0].write(HEAD + VALUE + end[:cut])
             await until(
                 lambda: all(
-                    one.sink and one.decoder.is_value_complete() for one in gateway.servers.connections
+                    connection.sink and connection.decoder.is_value_complete()
+                    for connection in gateway.servers.connections
                 )
             )
             server.writers[0].write(end[cut:] + TAIL)
-            assert (b"$%d\r\n" % LENGTH + VALUE).startswith(await read)  # no line's end behind it
+            assert (b"$%d\r\n" % LENGTH + VALUE).startswith(await read)  # no CRLF after it
             await until(lambda: not gateway.driver.requests and not gateway.servers.streams)
             assert not gateway.servers.connections
 
     run(test())
 
 
-def test_server_that_gives_no_more_of_a_value_is_given_up_after_a_while(monkeypatch):
+def test_connection_is_closed_when_a_server_stops_sending_within_a_value(monkeypatch):
     monkeypatch.setattr(connection_module, "STREAM_SILENCE_S", 0.2)
 
     async def test():
-        server = held(1)
+        server = server_silent_on(1)
         async with node(server) as gateway:
             peer = await gateway.peer()
             peer.send(call(1))
@@ -162,8 +163,8 @@
     run(test())
 
 
-async def narrow(port: int) -> socket.socket:
-    """A client that has little room and reads when the test does."""
+async def connect_with_small_buffer(port: int) -> socket.socket:
+    """Connect a client socket with a small receive buffer, which the test reads itself."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.setblocking(False)
@@ -171,23 +172,23 @@
     return sock
 
 
-def test_slow_clients_hold_the_servers_back_and_little_is_kept_for_them():
+def test_slow_clients_pause_reading_from_servers_and_little_is_buffered_for_them():
     async def test():
         loop, many = asyncio.get_running_loop(), 12
-        server = held(*range(1, many + 1))
+        server = server_silent_on(*range(1, many + 1))
         async with node(server) as gateway:
             port = gateway.clients.listener.getsockname()[1]
-            socks = [await narrow(port) for _ in range(many)]
+            socks = [await connect_with_small_buffer(port) for _ in range(many)]
             for number, sock in enumerate(socks, 1):
                 await loop.sock_sendall(sock, call(number))
             await server.until(lambda: len(server.commands) == many)
-            for one in server.writers:
-                one.transport.set_write_buffer_limits(2 * LENGTH)
-                one.write(HEAD + VALUE + TAIL)
-            paused = gateway.servers.connections
-            await until(lambda: all(not c.transport.is_reading() for c in paused))
-            kept = [c.transport.get_write_buffer_size() for c in gateway.clients.connections]
-            assert max(kept) <= pool_module.READ_BYTES
+            for server_writer in server.writers:
+                server_writer.transport.set_write_buffer_limits(2 * LENGTH)
+                server_writer.write(HEAD + VALUE + TAIL)
+            server_connections = gateway.servers.connections
+            await until(lambda: all(not c.transport.is_reading() for c in server_connections))
+            buffered_bytes = [c.transport.get_write_buffer_size() for c in gateway.clients.connections]
+            assert max(buffered_bytes) <= pool_module.READ_BYTES
             for sock in socks:
                 got, size = 0, len(b"$%d\r\n" % LENGTH) + LENGTH + 2
                 while got < size:
@@ -198,8 +199,8 @@
     run(test())
 
 
-async def slow_reader_with_a_value(gateway, server: FakeServer) -> Raw:
-    """A client that left its reply unread until the gateway could write no more, and then took all of it."""
+async def client_that_read_a_long_value_slowly(gateway, server: FakeServer) -> Raw:
+    """A client that left its reply unread until the gateway could write no more, and then read all of it."""
     raw = Raw(gateway.clients.listener.getsockname()[1], room=4096)
     raw.send(call(1))
     await server.until(lambda: len(server.commands) == 1)
@@ -213,16 +214,16 @@
 
 
 def test_client_that_took_a_long_value_slowly_is_read_again():
-    """A client is slow to take its reply; nothing is read from it meanwhile. Then it sends its next request.
+    """The gateway reads nothing from a client while it is slow to take its reply, but has to resume later.
 
-    The connection was never read again: the request stayed in the kernel until its client gave it up, with no
-    answer and no line in the log. A client that has caught up has to be read like any other.
+    Once the client had caught up, the connection was still not read: its next request stayed in the kernel
+    until the client gave up, with no answer and no line in the log.
     """
 
     async def test():
-        server = held(1)
+        server = server_silent_on(1)
         async with node(server) as gateway:
-            raw = await slow_reader_with_a_value(gateway, server)
+            raw = await client_that_read_a_long_value_slowly(gateway, server)
             raw.send(call(2))
             assert await raw.read(7) == b"$1\r\nv\r\n"
             raw.sock.close()
@@ -230,13 +231,13 @@
     run(test())
 
 
-def test_end_of_a_client_that_took_a_long_value_slowly_is_seen():
-    """It closes after its slow reply: unread, its end kept the connection and its descriptor for good."""
+def test_close_by_a_client_that_took_a_long_value_slowly_is_noticed():
+    """It closes after its slow reply. The close was never read: the connection and its descriptor leaked."""
 
     async def test():
-        server = held(1)
+        server = server_silent_on(1)
         async with node(server) as gateway:
-            raw = await slow_reader_with_a_value(gateway, server)
+            raw = await client_that_read_a_long_value_slowly(gateway, server)
             raw.sock.close()
             await until(lambda: not gateway.clients.connections)
 
@@ -244,11 +245,11 @@
 
 
 def test_client_that_took_many_short_replies_slowly_is_read_again():
-    """As with a long value, where the replies of many requests together are more than the client takes."""
+    """As with a long value, but many short replies together are more than the client takes."""
 
     async def test():
         value = b"$60000\r\n" + b"x" * 60_000 + b"\r\n"
-        count = 60  # fewer than may be in flight on a connection, more bytes than both ends' sockets hold
+        count = 60  # below the limit in flight on a connection; more bytes than both sockets buffer
         server = FakeServer(lambda _words: b"*3\r\n%b$-1\r\n$-1\r\n" % value)
         async with node(server) as gateway:
             raw = Raw(gateway.clients.listener.getsockname()[1], room=4096)
@@ -265,21 +266,21 @@
     run(test())
 
 
-def test_reads_are_smaller_when_many_values_are_on_their_way():
+def test_reads_are_smaller_when_many_values_are_being_streamed():
     async def test():
         async with node() as gateway:
             assert len(gateway.servers.read_buffer()) == pool_module.READ_BYTES
-            for passing in (100, 1000, 100_000):
-                gateway.servers.streams = passing
+            for ongoing in (100, 1000, 100_000):
+                gateway.servers.streams = ongoing
                 size = len(gateway.servers.read_buffer())
-                assert size == pool_module.MIN_READ_BYTES or size * passing <= pool_module.MAX_STREAMED_BYTES
+                assert size == pool_module.MIN_READ_BYTES or size * ongoing <= pool_module.MAX_STREAMED_BYTES
 
     run(test())
 
 
-def test_client_that_leaves_in_the_middle_of_a_value_frees_its_server():
+def test_client_that_disconnects_within_a_value_closes_the_server_connection():
     async def test():
-        server = held(1)
+        server = server_silent_on(1)
         async with node(server) as gateway:
             peer = await gateway.peer()
             peer.send(call(1))
@@ -292,9 +293,9 @@
     run(test())
 
 
-def test_long_value_waits_for_its_turn_on_its_connection():
+def test_long_value_waits_for_the_replies_before_it_on_its_connection():
     async def test():
-        server = held(1, 2)
+        server = server_silent_on(1, 2)
         async with node(server) as gateway:
             peer = await gateway.peer()
             peer.send(call(1), call(2), resp("PING"))
@@ -311,7 +312,7 @@
     run(test())
 
 
-def test_clients_that_read_no_answers_are_bounded_over_all_of_them(monkeypatch):
+def test_unsent_bytes_of_clients_that_read_no_answers_have_one_limit_over_all_clients(monkeypatch):
     monkeypatch.setattr(registry_module, "MAX_UNSENT_BYTES", 600_000)
 
     async def test():
@@ -323,40 +324,41 @@
         )
         async with node(server) as gateway:
             peers = [await gateway.peer() for _ in range(4)]
-            for at, peer in enumerate(peers):  # the first of each is never answered: the rest wait behind it
-                peer.send(*(call(at * 16 + number) for number in range(6)))
+            # The server never answers the first request of each peer; the replies to the others wait for it.
+            for index, peer in enumerate(peers):
+                peer.send(*(call(index * 16 + number) for number in range(6)))
             await until(lambda: len(gateway.clients.connections) < 4)
             assert gateway.clients.unsent.used_bytes <= 600_000
 
     run(test())
 
 
-def test_body_may_come_slowly_while_a_head_that_does_not_end_is_closed(monkeypatch):
+def test_slow_command_body_is_accepted_but_an_incomplete_command_head_times_out(monkeypatch):
     monkeypatch.setattr(command_timer_module, "COMMAND_TIMEOUT_S", 0.3)
 
     async def test():
         server = FakeServer()
         async with node(server) as gateway:
-            peer, head = await gateway.peer(), await gateway.peer()
+            peer, slow_peer = await gateway.peer(), await gateway.peer()
             assert await peer.ask(call(2))
-            assert await head.ask(call(3))
+            assert await slow_peer.ask(call(3))
             command = call(4, "buy", body=b"b" * 40)
             peer.send(command[:-32])
-            head.send(call(5)[:20])
-            for at in range(32, 0, -4):  # 0.8 s in all: longer than a head may take
+            slow_peer.send(call(5)[:20])
+            for bytes_left in range(32, 0, -4):  # 0.8 s in all: longer than a command head may take
                 await asyncio.sleep(0.1)
-                peer.send(command[-at : len(command) - at + 4])
+                peer.send(command[-bytes_left : len(command) - bytes_left + 4])
             assert await peer.reply() == b"0000000000000004"
-            assert (await head.reply()).startswith("-ERR no whole command")
-            assert await head.reply() is None
+            assert (await slow_peer.reply()).startswith("-ERR no whole command")
+            assert await slow_peer.reply() is None
 
     run(test())
 
 
-# ---- The decisions
+# ---- Policy code
 
 
-def test_answer_that_has_begun_has_no_deadline_and_no_second_copy():
+def test_streamed_answer_has_no_deadline_and_no_second_attempt():
     rig = Rig(rig_with(limits=Limits(max_attempts=3, may_duplicate=True, can_cancel=True)).settings)
     rig.servers(entry(1), entry(2))
     name = rig.ask()
@@ -370,12 +372,12 @@
 
 
 def test_slow_client_does_not_make_its_server_look_slow(rig):
-    before = rig.gateway.concurrency_limit.latencies.mean_ms["safe"]
+    latency_before = rig.gateway.concurrency_limit.latencies.mean_ms["safe"]
     name = rig.ask()
     server = rig.gateway.endpoints.servers[rig.sent[name][0]]
     rig.do(StreamStarted(name, 0, server.id, 50.0))
-    pool = rig.gateway.concurrency_limit.limit
+    limit_before = rig.gateway.concurrency_limit.limit
     rig.run(3900.0)
     rig.do(AttemptEnded(name, 0, server.id, Status.OK, 3900.0, request_answered=True))
-    assert rig.gateway.concurrency_limit.limit == pool
-    assert rig.gateway.concurrency_limit.latencies.mean_ms["safe"] < before
+    assert rig.gateway.concurrency_limit.limit == limit_before
+    assert rig.gateway.concurrency_limit.latencies.mean_ms["safe"] < latency_before
