--- a/quota_gateway/net/admin_commands.py
+++ b/quota_gateway/net/admin_commands.py
@@ -96,7 +96,7 @@
         if server not in self._gateway.endpoints.admin_down:
             self._registry.unpin(instance_id, listed=self._is_listed(server))
             return rejected("too many servers are out")
-        await self._hot_restart.share_wishes()
+        await self._hot_restart.share_overrides()
         log.info("server %s is administratively down", instance_id)
         return done("out")
 
@@ -109,7 +109,7 @@
         self._driver.post(api.ServerAdminDown(server, False))
         is_listed = self._is_listed(server)
         self._registry.unpin(instance_id, is_listed)
-        await self._hot_restart.share_wishes()
+        await self._hot_restart.share_overrides()
         log.info("server %s is no longer administratively down", instance_id)
         return done("back" if is_listed else "back, once discovery lists it")
 
@@ -131,7 +131,7 @@
     async def _set_draining(self, is_draining: bool) -> None:
         await self.serving.wait()
         self._driver.post(api.DrainChanged(is_draining))
-        await self._hot_restart.share_wishes()
+        await self._hot_restart.share_overrides()
 
     # ---- The process and its peer
 
@@ -150,5 +150,5 @@
         if not self._hot_restart.accept_token(token):
             return highest
         if token > highest:
-            await self._hot_restart.share_wishes()
+            await self._hot_restart.share_overrides()
         return 0
--- a/quota_gateway/net/hot_restart/address.py
+++ b/quota_gateway/net/hot_restart/address.py
@@ -1,4 +1,4 @@
-"""Addresses of Unix sockets in a folder whose path may be longer than a socket's address can be."""
+"""Addresses of Unix sockets in a folder whose path may be too long for a socket address."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class SocketFolder:
-    """The folder in which processes of one gateway meet.
+    """The folder with the sockets through which the processes of one gateway connect to each other.
 
-    Where the path of a socket does not fit into an address, it is reached through a descriptor of the
-    folder: ``/proc/self/fd/N/name`` is short and means the same file.
+    If the path of a socket is too long for an address, the address goes through a descriptor of the folder:
+    ``/proc/self/fd/N/name`` is short and refers to the same file.
     """
 
     def __init__(self, path: Path) -> None:
@@ -20,7 +20,7 @@
         self._descriptor = -1
 
     def address(self, name: str) -> str:
-        """Address of the socket of this name. Raises OSError where the folder can't be opened."""
+        """Address of the socket of this name. Raises OSError if the folder can't be opened."""
         path = str(self.path / name)
         if len(os.fsencode(path)) <= MAX_ADDRESS_BYTES:
             return path
@@ -29,7 +29,7 @@
         return f"/proc/self/fd/{self._descriptor}/{name}"
 
     def close(self) -> None:
-        """Close the folder's descriptor, if there is one."""
+        """Close the folder's descriptor, if one is open."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
--- a/quota_gateway/net/hot_restart/connection_transfer.py
+++ b/quota_gateway/net/hot_restart/connection_transfer.py
@@ -1,4 +1,4 @@
-"""Open connections of clients and to servers, transferred from one process to the next as descriptors."""
+"""Transfer of open client and server connections from one process to the next, as descriptors."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 
 
 class ConnectionSender:
-    """The predecessor's side.
+    """The predecessor's side: sends connections to the successor.
 
-    Idle connections go at once, busy ones as soon as they are between two requests; the successor is notified
-    of how many are left. Copies of client connections are retained, up to a bound.
+    Idle connections are sent at once, busy ones as soon as they are between two requests; the successor is
+    told how many are left. Copies of client connections are retained, up to a limit, so that this process can
+    serve them again if the successor dies.
     """
 
     def __init__(self, parts: ProcessParts) -> None:
@@ -45,19 +46,19 @@
         self._transfer_clients(session)
 
     def end(self) -> None:
-        """Transfer no more; copies stay retained."""
+        """Stop transferring connections; the retained copies stay open."""
         self._session = None
         self._parts.clients.transfer = None
         self._parts.servers.transfer = None
 
     def remaining(self) -> RemainingConnections:
-        """The connections that this process still has."""
+        """Count the connections that this process still has."""
         return RemainingConnections(
             clients=len(self._parts.clients.connections), servers=len(self._parts.servers.connections)
         )
 
     def _transfer_clients(self, session: PeerSession) -> None:
-        """Transfer the clients that are between requests now, report what is left, and come back later."""
+        """Transfer the clients that are between requests, report what is left, and schedule the next run."""
         if session is not self._session:
             return
         for client in list(self._parts.clients.connections):
@@ -69,19 +70,19 @@
         self._loop.call_later(limits.TRANSFER_INTERVAL_S, self._transfer_clients, session)
 
     def _transfer_client(self, client: Client, descriptor: int) -> bool:
-        """Whether the connection is the successor's now."""
+        """Send a client connection; whether the successor owns it now."""
         session = self._session
         if session is None or not session.open:
             return False
         retained_id = self.retained.retain(descriptor, client.has_requested, self._max_retained)
         waited_s = self._loop.time() - client.opened_at_s
         session.send(ClientConnection(client.has_requested, waited_s, retained_id), descriptor)
-        if not session.open:  # it ended before the connection was on it: the connection stays here
+        if not session.open:  # it ended before the connection was sent: the connection stays here
             self.retained.release(retained_id)
         return session.open
 
     def _transfer_server(self, connection: PooledConnection, descriptor: int) -> bool:
-        """Whether the connection is the successor's now."""
+        """Send a connection to a server; whether the successor owns it now."""
         session = self._session
         server_id = self._parts.server_names().get(connection.host.number, "")
         if session is None or not session.open or not server_id:
@@ -93,8 +94,9 @@
 class ConnectionReceiver:
     """The successor's side: adopts connections, and reports each retained one that it closes.
 
-    Connections that the predecessor still has count against this process's limits. One that is adopted is
-    taken out of that count at once: counted twice, it would push out others for lack of capacity.
+    Connections that the predecessor still has count against this process's limits. An adopted connection is
+    subtracted from their number at once: counted twice, it would cause others to be closed for lack of
+    capacity.
     """
 
     def __init__(self, parts: ProcessParts) -> None:
@@ -103,7 +105,7 @@
         self._adoptions: set[asyncio.Task[None]] = set()  # of connections to servers
 
     def set_remaining(self, remaining: RemainingConnections) -> None:
-        """Count what the predecessor still has."""
+        """Set how many connections the predecessor still has."""
         self._parts.clients.peer_connections = remaining.clients
         self._parts.servers.peer_connections = remaining.servers
 
@@ -113,7 +115,7 @@
         self._parts.clients.on_closed = self._closed
 
     def end(self) -> None:
-        """The predecessor has ended: it has nothing any more and is notified of nothing."""
+        """Handle the predecessor's end: it has no connections any more, and gets no more reports."""
         self._session = None
         self._parts.clients.on_closed = None
         self.set_remaining(RemainingConnections(clients=0, servers=0))
@@ -143,7 +145,7 @@
 
 def _take_socket(descriptors: list[int]) -> socket.socket:
     if len(descriptors) != 1:
-        raise PeerProcessError(f"a connection came with {len(descriptors)} descriptors")
+        raise PeerProcessError(f"a connection came with {len(descriptors)} descriptors instead of one")
     sock = socket.socket(fileno=descriptors.pop())
     sock.setblocking(False)
     return sock
--- a/quota_gateway/net/hot_restart/link.py
+++ b/quota_gateway/net/hot_restart/link.py
@@ -1,4 +1,4 @@
-"""Link between two processes over a Unix socket: complete messages, some with descriptors."""
+"""Link between two processes over a Unix socket: whole messages, some with file descriptors."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_DESCRIPTORS = 4  # of one message; ours have one at most
+MAX_DESCRIPTORS = 4  # accepted with one message; this version sends one at most
 NO_DESCRIPTOR = -1
 
 
@@ -28,12 +28,12 @@
     descriptor: int = NO_DESCRIPTOR
 
     def descriptors(self) -> list[int]:
-        """The descriptors that go with it."""
+        """The descriptors to send with the message."""
         return [self.descriptor] if self.descriptor != NO_DESCRIPTOR else []
 
 
 class Link:
-    """A connection to the peer process; any failure of the socket or of a message ends it.
+    """A connection to the peer process; a socket error or a malformed message ends it.
 
     ``on_message`` is called with the bytes and descriptors of each message, and closes the descriptors that
     it does not keep; a PeerProcessError that it raises ends the link. ``on_end`` is called once.
@@ -48,7 +48,7 @@
         self.queue: deque[QueuedMessage] = deque()
         self.open = True
         self.peer_process = PeerProcess(peer_credentials(sock).pid)
-        self.has_received = False  # anything, since the owner reset it
+        self.has_received = False  # whether any message has come since the owner last set this to False
         self._sock = sock
         self._on_message = on_message
         self._on_end = on_end
@@ -57,11 +57,11 @@
         self._loop.add_reader(sock.fileno(), self._readable)
 
     def send(self, data: bytes, descriptor: int = NO_DESCRIPTOR) -> None:
-        """Send a message, or queue it; the descriptor is duplicated. Does nothing once the link has ended."""
+        """Send or queue a message and a duplicate of the descriptor; does nothing once the link has ended."""
         if not self.open:
             return
         if len(self.queue) >= limits.MAX_QUEUED_MESSAGES:
-            self.end("the peer process reads nothing")
+            self.end("the peer process does not read its messages, and the queue is full")
             return
         copy = os.dup(descriptor) if descriptor != NO_DESCRIPTOR else NO_DESCRIPTOR
         self.queue.append(QueuedMessage(data, copy))
@@ -101,7 +101,7 @@
     def _receive(self, data: bytes, descriptors: list[int], flags: int) -> None:
         if not data or flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
             close_descriptors(descriptors)
-            self.end("closed" if not data else "a message is too long")
+            self.end("closed by the peer process" if not data else "a message exceeds the limits")
             return
         self.has_received = True
         try:
@@ -110,7 +110,7 @@
             self.end(f"malformed message: {error}")
 
     def end(self, reason: str) -> None:
-        """Close the link; does nothing if it has ended."""
+        """Close the link and log the reason; does nothing if it has ended."""
         if not self.open:
             return
         self.open = False
@@ -125,22 +125,22 @@
 
 
 def decode_number(body: bytes) -> int:
-    """The number that a message's body is. Raises PeerProcessError if it is none."""
+    """Decode a message body that is one decimal number. Raises PeerProcessError if it is not."""
     try:
         return int(body)
     except ValueError as error:
-        raise PeerProcessError(f"not a number: {body!r:.40}") from error
+        raise PeerProcessError(f"message body is not a number: {body!r:.40}") from error
 
 
 def close_descriptors(descriptors: Iterable[int]) -> None:
-    """Close descriptors that no object owns; one that is closed already does no harm."""
+    """Close descriptors that no object owns; one that is closed already is ignored."""
     for descriptor in descriptors:
         with suppress(OSError):
             os.close(descriptor)
 
 
 def connect(address: str) -> socket.socket | None:
-    """A socket that is connected to the process that listens at the address; None where none does."""
+    """Connect to the process that listens at the address; None if there is none."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     sock.setblocking(False)
     try:
--- a/quota_gateway/net/hot_restart/messages.py
+++ b/quota_gateway/net/hot_restart/messages.py
@@ -1,9 +1,9 @@
-"""Messages between two processes of one gateway, and their bytes.
+"""Messages between two processes of one gateway, and how they are encoded.
 
-A message is one letter, then JSON or raw bytes. Processes of different versions hand over to each other, so
-the bytes never change. A later version adds optional fields only, which an earlier one ignores; what an
-earlier version does not send has a default here. Decoding is the one edge where bytes of the peer process
-are trusted: all that is wrong with them becomes a PeerProcessError.
+A message is a letter for its type, then a body of JSON or raw bytes. Processes of different versions hand
+over to each other, so the encoding never changes. A later version may only add optional fields, which an
+earlier one ignores; a field that an earlier version does not send has a default here. Bytes from the peer
+process are validated as they are decoded: anything wrong with them becomes a PeerProcessError.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from quota_gateway import api
 from quota_gateway.errors import PeerProcessError
 from quota_gateway.net.hot_restart.identity import GatewayIdentity
-from quota_gateway.net.hot_restart.operator_wishes import OperatorWishes
+from quota_gateway.net.hot_restart.operator_overrides import OperatorOverrides
 from quota_gateway.net.retained_connections import NOT_RETAINED
 
 TAKE_OVER_WITH_HEARTBEATS = b"+"
@@ -27,17 +27,17 @@
 
 
 class Hello(NamedTuple):
-    """Both ways, first: the sender's identity. The predecessor answers with its own."""
+    """Both ways, the first message: the sender's identity. The predecessor answers with its own."""
 
     identity: GatewayIdentity
 
     def body(self) -> bytes:
-        """The bytes behind the letter."""
+        """The bytes after the type letter."""
         return _json(self.identity.to_document())
 
     @classmethod
     def read(cls, body: bytes) -> Hello:
-        """The message of this body."""
+        """Decode the message from its body."""
         return cls(GatewayIdentity.from_document(json.loads(body)))
 
 
@@ -45,31 +45,31 @@
     """Successor to predecessor: stop accepting and hand over now."""
 
     heartbeats: (
-        bool  # it sends heartbeats, and reports the connections it closes; earlier versions do neither
+        bool  # the successor sends heartbeats and reports closed connections; earlier versions do neither
     )
 
     def body(self) -> bytes:
-        """The bytes behind the letter."""
+        """The bytes after the type letter."""
         return TAKE_OVER_WITH_HEARTBEATS if self.heartbeats else b""
 
     @classmethod
     def read(cls, body: bytes) -> TakeOver:
-        """The message of this body."""
+        """Decode the message from its body."""
         return cls(body == TAKE_OVER_WITH_HEARTBEATS)
 
 
 class StatePiece(NamedTuple):
-    """Predecessor to successor: the next bytes of the state."""
+    """Predecessor to successor: the next part of the encoded state."""
 
     data: bytes
 
     def body(self) -> bytes:
-        """The bytes behind the letter."""
+        """The bytes after the type letter."""
         return self.data
 
     @classmethod
     def read(cls, body: bytes) -> StatePiece:
-        """The message of this body."""
+        """Decode the message from its body."""
         return cls(body)
 
 
@@ -78,15 +78,15 @@
 
     size_bytes: int
     checksum: int  # CRC-32
-    heartbeats: bool  # the predecessor sends heartbeats, too; earlier versions do not
+    heartbeats: bool  # whether the predecessor sends heartbeats too; earlier versions do not
 
     def body(self) -> bytes:
-        """The bytes behind the letter."""
+        """The bytes after the type letter."""
         return _json({"bytes": self.size_bytes, "crc": self.checksum, "beats": self.heartbeats})
 
     @classmethod
     def read(cls, body: bytes) -> StateEnd:
-        """The message of this body."""
+        """Decode the message from its body."""
         fields = json.loads(body)
         return cls(fields["bytes"], fields["crc"], bool(fields.get("beats")))
 
@@ -94,17 +94,17 @@
 class ClientConnection(NamedTuple):
     """Predecessor to successor, with its descriptor: a client connection between two requests."""
 
-    has_requested: bool  # a request has come on it
-    waited_s: float  # since it was opened
-    retained_id: int  # of the predecessor's copy; NOT_RETAINED from earlier versions
+    has_requested: bool  # whether a request has come on it
+    waited_s: float  # time since it was opened
+    retained_id: int  # of the copy that the predecessor retains; NOT_RETAINED from earlier versions
 
     def body(self) -> bytes:
-        """The bytes behind the letter."""
+        """The bytes after the type letter."""
         return _json({"asked": self.has_requested, "waited": self.waited_s, "kept": self.retained_id})
 
     @classmethod
     def read(cls, body: bytes) -> ClientConnection:
-        """The message of this body."""
+        """Decode the message from its body."""
         fields = json.loads(body)
         return cls(bool(fields["asked"]), float(fields["waited"]), int(fields.get("kept", NOT_RETAINED)))
 
@@ -115,12 +115,12 @@
     server_id: str  # as in discovery's list
 
     def body(self) -> bytes:
-        """The bytes behind the letter."""
+        """The bytes after the type letter."""
         return self.server_id.encode()
 
     @classmethod
     def read(cls, body: bytes) -> ServerConnection:
-        """The message of this body."""
+        """Decode the message from its body."""
         return cls(body.decode())
 
 
@@ -131,30 +131,30 @@
     servers: int
 
     def body(self) -> bytes:
-        """The bytes behind the letter."""
+        """The bytes after the type letter."""
         return _json(self.to_document())
 
     def to_document(self) -> dict[str, int]:
-        """The counts by their keys, which stand in the state as well."""
+        """The counts as JSON fields, which the transferred state contains as well."""
         return {"clients": self.clients, "servers": self.servers}
 
     @classmethod
     def from_document(cls, fields: dict[str, Any]) -> RemainingConnections:
-        """The counts in a document, among other keys."""
+        """Read the counts from a JSON object that may have other keys."""
         return cls(int(fields["clients"]), int(fields["servers"]))
 
 
 class CustomerUsage(NamedTuple):
-    """Predecessor to successor: what a request that it still had did to its customer's quota."""
+    """Predecessor to successor: how a request that it still had has changed its customer's quota use."""
 
     plan: str
     customer: str
     occupied_places: int  # under the concurrency cap, by requests that the predecessor still has
     charged_units: float
-    metered_use_percent: float | None  # the meter's reading, if the answer had one
+    metered_use_percent: float | None  # of the rate, over all gateways, if the server's answer told it
 
     def body(self) -> bytes:
-        """The bytes behind the letter."""
+        """The bytes after the type letter."""
         return _json(
             {
                 "plan": self.plan,
@@ -167,7 +167,7 @@
 
     @classmethod
     def from_document(cls, fields: dict[str, Any]) -> CustomerUsage:
-        """The usage in a document."""
+        """Read the usage from a JSON object."""
         used = fields["used"]
         return cls(
             plan=fields["plan"],
@@ -179,7 +179,7 @@
 
     @classmethod
     def from_event(cls, event: api.PeerUsage) -> CustomerUsage:
-        """The message about a change that the predecessor's decisions report."""
+        """The message for a usage change that the predecessor's policy reports."""
         return cls(
             plan=event.plan,
             customer=event.customer,
@@ -189,7 +189,7 @@
         )
 
     def to_event(self) -> api.PeerUsage:
-        """The event for the successor's decisions."""
+        """The event for the successor's policy."""
         return api.PeerUsage(
             plan=self.plan,
             customer=self.customer,
@@ -200,57 +200,57 @@
 
 
 def _read_remaining_or_usage(body: bytes) -> RemainingConnections | CustomerUsage:
-    """Two messages have the letter F; only one of them names a plan."""
+    """Decode a message with the letter F, which two types share; only CustomerUsage has a plan."""
     fields = json.loads(body)
     if "plan" in fields:
         return CustomerUsage.from_document(fields)
     return RemainingConnections.from_document(fields)
 
 
-class WishesChanged(NamedTuple):
-    """Both ways: what operators wish has changed; the receiver applies it and answers."""
+class OverridesChanged(NamedTuple):
+    """Both ways: operators' overrides have changed; the receiver applies them and answers."""
 
-    number: int
-    wishes: OperatorWishes
+    number: int  # counted up by the sender
+    overrides: OperatorOverrides
 
     def body(self) -> bytes:
-        """The bytes behind the letter."""
-        return _json({"number": self.number, "operators": self.wishes.to_document()})
+        """The bytes after the type letter."""
+        return _json({"number": self.number, "operators": self.overrides.to_document()})
 
     @classmethod
-    def read(cls, body: bytes) -> WishesChanged:
-        """The message of this body."""
+    def read(cls, body: bytes) -> OverridesChanged:
+        """Decode the message from its body."""
         fields = json.loads(body)
-        return cls(fields["number"], OperatorWishes.from_document(fields["operators"]))
+        return cls(fields["number"], OperatorOverrides.from_document(fields["operators"]))
 
 
-class WishesApplied(NamedTuple):
-    """Both ways: the answer to ``WishesChanged``, by its number."""
+class OverridesApplied(NamedTuple):
+    """Both ways: the answer to the ``OverridesChanged`` with the same number."""
 
     number: int
 
     def body(self) -> bytes:
-        """The bytes behind the letter."""
+        """The bytes after the type letter."""
         return _json(self.number)
 
     @classmethod
-    def read(cls, body: bytes) -> WishesApplied:
-        """The message of this body."""
+    def read(cls, body: bytes) -> OverridesApplied:
+        """Decode the message from its body."""
         return cls(json.loads(body))
 
 
 class RetainedConnectionClosed(NamedTuple):
-    """Successor to predecessor: a connection of which it retains a copy is closed."""
+    """Successor to predecessor: a connection that the predecessor retains a copy of has been closed."""
 
     retained_id: int
 
     def body(self) -> bytes:
-        """The bytes behind the letter."""
+        """The bytes after the type letter."""
         return _json(self.retained_id)
 
     @classmethod
     def read(cls, body: bytes) -> RetainedConnectionClosed:
-        """The message of this body."""
+        """Decode the message from its body."""
         return cls(int(json.loads(body)))
 
 
@@ -259,12 +259,12 @@
     """Both ways: a heartbeat."""
 
     def body(self) -> bytes:
-        """The bytes behind the letter."""
+        """The bytes after the type letter."""
         return b""
 
     @classmethod
     def read(cls, _body: bytes) -> Alive:
-        """The message; a body has no meaning yet."""
+        """Decode the message; a body is ignored, as none is defined yet."""
         return cls()
 
 
@@ -277,8 +277,8 @@
     | ServerConnection
     | RemainingConnections
     | CustomerUsage
-    | WishesChanged
-    | WishesApplied
+    | OverridesChanged
+    | OverridesApplied
     | RetainedConnectionClosed
     | Alive
 )
@@ -291,8 +291,8 @@
     ServerConnection: b"V",
     RemainingConnections: b"F",
     CustomerUsage: b"F",
-    WishesChanged: b"O",
-    WishesApplied: b"A",
+    OverridesChanged: b"O",
+    OverridesApplied: b"A",
     RetainedConnectionClosed: b"D",
     Alive: b"B",
 }
@@ -304,25 +304,25 @@
     LETTERS[ClientConnection]: ClientConnection.read,
     LETTERS[ServerConnection]: ServerConnection.read,
     LETTERS[RemainingConnections]: _read_remaining_or_usage,
-    LETTERS[WishesChanged]: WishesChanged.read,
-    LETTERS[WishesApplied]: WishesApplied.read,
+    LETTERS[OverridesChanged]: OverridesChanged.read,
+    LETTERS[OverridesApplied]: OverridesApplied.read,
     LETTERS[RetainedConnectionClosed]: RetainedConnectionClosed.read,
     LETTERS[Alive]: Alive.read,
 }
 
 
 def encode(message: Message) -> bytes:
-    """The message as it goes over the link."""
+    """The bytes to send over the link."""
     return LETTERS[type(message)] + message.body()
 
 
 def decode(data: bytes) -> Message:
-    """The message of these bytes. Raises PeerProcessError if they are none."""
+    """Decode the bytes of a message. Raises PeerProcessError if they are not valid."""
     read = READERS.get(data[:1])
     if read is None:
-        raise PeerProcessError(f"no message has the letter {data[:1]!r}")
+        raise PeerProcessError(f"unknown message type {data[:1]!r}")
     try:
         return read(data[1:])
     except (ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
-        # not JSON, a field missing, a field of another type: each is a malformed message
-        raise PeerProcessError(f"{data[:1]!r} with a malformed body: {error!r}") from error
+        # raised if the body is not JSON, or a field is missing or of the wrong type
+        raise PeerProcessError(f"{data[:1]!r} message has a malformed body: {error!r}") from error
--- a/quota_gateway/net/hot_restart/operator_wishes.py
+++ b/quota_gateway/net/hot_restart/operator_overrides.py
@@ -1,4 +1,7 @@
-"""What operators wish of a gateway, across its processes: in force, in messages and in a file."""
+"""Operators' overrides of a gateway: servers taken out, the drain and the highest fencing token.
+
+They outlive a process: they are sent in messages to the peer process and saved in a file.
+"""
 
 from __future__ import annotations
 
@@ -21,23 +24,23 @@
 NO_TOKEN = 0
 
 
-class OperatorWishes(NamedTuple):
+class OperatorOverrides(NamedTuple):
     """Servers that are administratively down, whether the gateway is drained, the highest fencing token."""
 
-    servers_down: tuple[str, ...] = ()  # ids of discovery, sorted
+    servers_down: tuple[str, ...] = ()  # ids as in discovery's list, sorted
     drained: bool = False
     highest_token: int = NO_TOKEN  # seen so far; a call with a lower one is rejected
 
     def to_document(self) -> dict[str, Any]:
-        """The wishes by their keys; the token only where there was one, as in earlier versions."""
+        """The overrides as a JSON object; as in earlier versions the token is left out if none was seen."""
         document: dict[str, Any] = {"out": list(self.servers_down), "drained": self.drained}
         if self.highest_token != NO_TOKEN:
             document["token"] = self.highest_token
         return document
 
     @classmethod
-    def from_document(cls, document: Any) -> OperatorWishes:
-        """The wishes in a document; other keys are ignored.
+    def from_document(cls, document: Any) -> OperatorOverrides:
+        """Read the overrides from a JSON object; other keys are ignored.
 
         Raises ValueError, KeyError, TypeError or AttributeError.
         """
@@ -45,35 +48,35 @@
         return cls(servers_down, bool(document["drained"]), int(document.get("token", NO_TOKEN)))
 
 
-class WishesInForce:
-    """The wishes that this process goes by; servers and drain are the decisions' state."""
+class EffectiveOverrides:
+    """The overrides in effect in this process; the policy holds servers and drain, this object the token."""
 
     def __init__(self, driver: Driver, discovery: Discovery) -> None:
         self.highest_token = NO_TOKEN
         self._driver = driver
         self._discovery = discovery
 
-    def current(self) -> OperatorWishes:
-        """The wishes as they are now."""
+    def current(self) -> OperatorOverrides:
+        """The overrides in effect now."""
         gateway = self._driver.gateway
         numbers = self._discovery.registry.numbers
         down = [server_id for server_id, number in numbers.items() if number in gateway.endpoints.admin_down]
-        return OperatorWishes(tuple(sorted(down)), gateway.drain.is_draining, self.highest_token)
+        return OperatorOverrides(tuple(sorted(down)), gateway.drain.is_draining, self.highest_token)
 
     def any_server_down(self) -> bool:
-        """Whether an operator's call has taken a server out already."""
+        """Whether an operator has already taken a server out."""
         return bool(self._driver.gateway.endpoints.admin_down)
 
-    def apply(self, wishes: OperatorWishes) -> None:
-        """Go by these wishes from now on."""
-        self.raise_token(wishes.highest_token)
-        wanted = set(wishes.servers_down)
+    def apply(self, overrides: OperatorOverrides) -> None:
+        """Put these overrides into effect: take servers out or back in, set the drain, raise the token."""
+        self.raise_token(overrides.highest_token)
+        wanted = set(overrides.servers_down)
         current = set(self.current().servers_down)
         for server_id in sorted(wanted - current):
             self._set_down(server_id)
         for server_id in sorted(current - wanted):
             self._restore(server_id)
-        self._driver.post(api.DrainChanged(wishes.drained))
+        self._driver.post(api.DrainChanged(overrides.drained))
 
     def _set_down(self, server_id: str) -> None:
         registry = self._discovery.registry
@@ -87,61 +90,62 @@
         registry.unpin(server_id, number in self._driver.gateway.endpoints.servers)
 
     def raise_token(self, token: int) -> None:
-        """Note a caller's token; the highest one counts."""
+        """Record a fencing token; the highest one seen is kept."""
         self.highest_token = max(self.highest_token, token)
 
     def accept_token(self, token: int) -> bool:
-        """Note a caller's token, and whether it may act: no caller with a higher one is known."""
+        """Record a caller's fencing token; whether the caller may act: no higher token has been seen."""
         if token < self.highest_token:
             return False
         self.highest_token = token
         return True
 
 
-class OperatorWishesFile:
-    """The wishes on disk, for a process whose predecessor dies before it has handed over.
+class OperatorOverridesFile:
+    """The overrides on disk, for a process whose predecessor dies before it has handed over.
 
-    One JSON object: ``version``, ``name`` and ``listen`` of the gateway, and ``operators`` with the wishes.
+    The file is one JSON object: the gateway's ``version``, ``name`` and ``listen``, and the overrides as
+    ``operators``.
     """
 
     def __init__(self, folder: Path, identity: GatewayIdentity) -> None:
         self._path = folder / FILE_NAME
         self._identity = identity
 
-    def write(self, wishes: OperatorWishes) -> None:
-        """Replace the file; a crash leaves the old one or the new one, never a part. A failure is logged."""
-        document = {**self._identity.to_document(), "operators": wishes.to_document()}
+    def write(self, overrides: OperatorOverrides) -> None:
+        """Replace the file atomically, so that a crash leaves no partial file. A failure is logged."""
+        document = {**self._identity.to_document(), "operators": overrides.to_document()}
         new_path = self._path.with_name(f"{FILE_NAME}.{os.getpid()}")
         try:
             new_path.write_text(json.dumps(document))
             os.replace(new_path, self._path)
         except OSError as error:
-            log.error("operators' wishes can't be saved: %r", error)
+            log.error("operators' overrides can't be saved, the file is unchanged: %r", error)
 
-    def read(self) -> OperatorWishes | None:
-        """The wishes, or None where there is no file or it is not one of this gateway."""
+    def read(self) -> OperatorOverrides | None:
+        """The saved overrides, or None if there is no valid file of this gateway."""
         try:
             return self._parse(self._path.read_bytes())
         except (OSError, RestartError):
             return None
 
-    def _parse(self, raw: bytes) -> OperatorWishes:
-        """The wishes in a file's content. Raises RestartError."""
+    def _parse(self, raw: bytes) -> OperatorOverrides:
+        """Parse the file's content. Raises RestartError."""
         try:
             document = json.loads(raw)
-            wishes = document.pop("operators")
+            overrides = document.pop("operators")
             identity = GatewayIdentity.from_document(document)
-            if not isinstance(wishes["out"], list):
-                raise ValueError("out is no list")
-            parsed = OperatorWishes.from_document(wishes)
+            if not isinstance(overrides["out"], list):
+                raise ValueError("'out' is not a list")
+            parsed = OperatorOverrides.from_document(overrides)
         except (ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
-            # not JSON, a key missing, a value of another type: not written by a gateway
-            raise RestartError(f"{self._path}: not a file of operators' wishes: {error!r}") from error
+            # raised if the file is not JSON, or a key is missing or of the wrong type: no gateway wrote it
+            raise RestartError(f"{self._path}: not a file of operators' overrides: {error!r}") from error
         if identity != self._identity:
-            raise RestartError(f"{self._path}: written by {identity}")
+            raise RestartError(f"{self._path}: written by another gateway or version: {identity}")
         return parsed
 
     def remove(self) -> None:
-        """Remove the file, if there is one."""
+        """Remove the file, if it exists."""
         with suppress(OSError):
             self._path.unlink()
--- a/quota_gateway/net/hot_restart/predecessor.py
+++ b/quota_gateway/net/hot_restart/predecessor.py
@@ -1,4 +1,4 @@
-"""The end of a hot restart that hands over: the process that serves, for the next one."""
+"""The predecessor's side of a hot restart: the serving process hands over to the next one."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
     CustomerUsage,
     Hello,
     Message,
+    OverridesApplied,
+    OverridesChanged,
     RetainedConnectionClosed,
     TakeOver,
-    WishesApplied,
-    WishesChanged,
 )
+from quota_gateway.net.hot_restart.overrides_exchange import OverridesExchange
 from quota_gateway.net.hot_restart.session import PeerSession
-from quota_gateway.net.hot_restart.state_transfer import TransferredState, end_of, split
+from quota_gateway.net.hot_restart.state_transfer import TransferredState, split_state, state_end
 from quota_gateway.net.hot_restart.takeover_listener import TakeoverListener
-from quota_gateway.net.hot_restart.wishes_exchange import WishesExchange
 from quota_gateway.net.process_parts import ProcessParts
 from quota_gateway.state_machine import Transitions, transition
 
@@ -37,11 +37,11 @@
 class PredecessorState(Enum):
     """How far a process has handed over to the next one."""
 
-    SERVING = "serving"  # no next process is connected
-    CONNECTED = "connected"  # a next process is connected, and not identified yet
-    GREETED = "greeted"  # it is identified, and may ask to take over
+    SERVING = "serving"  # this process serves; no next process is connected
+    CONNECTED = "connected"  # the next process is connected, and has not sent its identity yet
+    GREETED = "greeted"  # the next process has the same identity, and may ask to take over
     HANDED_OVER = "handed over"  # the successor serves; this process finishes its requests
-    AWAITING_EXIT = "awaiting exit"  # the session has ended, the successor's process has not
+    AWAITING_EXIT = "awaiting exit"  # the session has ended, but the successor's process still runs
 
 
 TRANSITIONS: Transitions[PredecessorState] = {
@@ -56,10 +56,10 @@
 
 
 class Predecessor:
-    """Offers itself to the next process and hands over to it; takes back if that process ends.
+    """Offers a takeover to the next process and hands over to it; takes back if that process ends.
 
-    Two processes never serve side by side: once handed over, this one serves again only when the successor's
-    process has ended, however the session between them ended.
+    Two processes never serve at the same time: after the handover this one serves again only when the
+    successor's process has ended, however the session between them ended.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         folder: SocketFolder | None,
         identity: GatewayIdentity,
         parts: ProcessParts,
-        exchange: WishesExchange,
+        exchange: OverridesExchange,
         may_accept: Callable[[], bool],
     ) -> None:
         self.state = PredecessorState.SERVING
@@ -82,16 +82,16 @@
         self._reclaiming: asyncio.Task[None] | None = None
         parts.driver.on_peer_usage = self._report_usage
 
-    # ---- Offering
+    # ---- Offering a takeover
 
     def offer(self) -> None:
-        """Listen for the next process. A failure is logged: the next one then starts plainly."""
+        """Listen for the next process. A failure is logged; the next process then starts cold."""
         if self._listener is None:
             return
         try:
             self._listener.open()
         except OSError as error:
-            log.error("hot restart can't be offered: %r", error)
+            log.error("hot restart can't be offered, the next process will start cold: %r", error)
             return
         self._exchange.save()
 
@@ -102,7 +102,7 @@
 
     def _connected(self, sock: socket.socket) -> None:
         if self.state is not PredecessorState.SERVING or not self._may_accept():
-            sock.close()  # it starts plainly
+            sock.close()  # the process that has connected starts cold
             return
         self.session = PeerSession(sock, self._received, self._ended)
         self._enter(PredecessorState.CONNECTED)
@@ -110,9 +110,9 @@
         self._loop.call_later(timeout_s, self._end_unless_handed_over, self.session)
 
     def _end_unless_handed_over(self, session: PeerSession) -> None:
-        """End a session with a process that connects and hangs: it would keep the next one out."""
+        """End a session with a process that connects and then hangs: it would keep other processes out."""
         if session is self.session and not self.handed_over:
-            session.end("it did not take over in time")
+            session.end("the next process did not take over in time")
 
     # ---- Messages
 
@@ -124,16 +124,16 @@
                 self._hand_over(session, message)
             case RetainedConnectionClosed():
                 self.connections.retained.release(message.retained_id)
-            case WishesChanged():
+            case OverridesChanged():
                 self._exchange.apply_changed(session, message)
-            case WishesApplied():
+            case OverridesApplied():
                 self._exchange.note_applied(message)
             case _:
-                raise PeerProcessError(f"not a successor's message: {type(message).__name__}")
+                raise PeerProcessError(f"a successor does not send this message: {type(message).__name__}")
 
     def _greet(self, session: PeerSession, message: Hello) -> None:
         if message.identity != self._identity:
-            raise PeerProcessError(f"another gateway, or another version: {message.identity}")
+            raise PeerProcessError(f"the next process is of another gateway or version: {message.identity}")
         if self.state is PredecessorState.CONNECTED:
             self._enter(PredecessorState.GREETED)
             session.send(Hello(self._identity))
@@ -151,17 +151,17 @@
         return self.state in SUCCESSOR_SERVES
 
     def is_handover_complete(self) -> bool:
-        """Whether this process has handed over, and all messages have gone out."""
+        """Whether this process has handed over, and all messages have been sent."""
         return self.handed_over and self.session is not None and self.session.all_sent()
 
     def _hand_over(self, session: PeerSession, request: TakeOver) -> None:
         """Hand over in one step of the event loop, so that no request is decided by both processes.
 
-        Idle connections go at once. What is in flight stays and is reserved in the state; the successor is
-        notified of each end. Raises PeerProcessError out of turn.
+        Idle connections are sent at once. Requests in flight stay here, and what they may use is reserved in
+        the state; the successor is notified as each ends. Raises PeerProcessError if called out of turn.
         """
         if self.state is not PredecessorState.GREETED:
-            raise PeerProcessError(f"asked to hand over out of turn: {self.state.value}")
+            raise PeerProcessError(f"takeover requested out of turn, this process is: {self.state.value}")
         self._enter(PredecessorState.HANDED_OVER)
         clients = self._parts.clients
         clients.stop_accepting()
@@ -169,8 +169,8 @@
         self._send_state(session, request.heartbeats)
         if not session.open:
             return
-        # Half of the capacity that is left, as the successor opens new connections meanwhile. A successor
-        # without heartbeats does not report the connections that it closes.
+        # Retained copies get half of the unused capacity, as the successor opens new connections meanwhile.
+        # A successor without heartbeats does not report the connections that it closes: none are retained.
         unused = max(0, clients.most_connections - len(clients.connections))
         self.connections.begin(session, max_retained=unused // 2 if request.heartbeats else 0)
         if request.heartbeats and session.open:
@@ -180,24 +180,24 @@
         state = TransferredState(
             server_list=self._parts.discovery.registry.document(),
             decisions=state_document.save(self._parts.driver.gateway, self._parts.server_names()),
-            wishes=self._exchange.in_force.current(),
+            overrides=self._exchange.effective.current(),
             remaining=self.connections.remaining(),
         )
         raw = state.to_bytes()
-        for piece in split(raw):
+        for piece in split_state(raw):
             session.send(piece)
         listener = self._parts.clients.listener
-        session.send(end_of(raw, heartbeats), listener.fileno() if listener else NO_DESCRIPTOR)
+        session.send(state_end(raw, heartbeats), listener.fileno() if listener else NO_DESCRIPTOR)
 
     def _report_usage(self, usage: api.PeerUsage) -> None:
-        """Notify the successor of what a request that stayed here did to its customer's quota."""
+        """Notify the successor of how a request that stayed here has changed its customer's quota use."""
         if self.handed_over and self.session:
             self.session.send(CustomerUsage.from_event(usage))
 
     # ---- Taking back
 
     def _ended(self, session: PeerSession) -> None:
-        """The next process has ended, or broke off."""
+        """Handle the end of the session: the next process has ended, or the link to it has failed."""
         self.session = None
         self.connections.end()
         if self.handed_over:
@@ -209,7 +209,7 @@
         session.peer_process.close()
 
     def _take_back(self, session: PeerSession) -> None:
-        """The successor's process has ended: this one serves again.
+        """Serve again, as the successor's process has ended.
 
         What the successor charged to quotas, and a configuration that it loaded, are not known here.
         """
@@ -220,9 +220,10 @@
         self._reclaiming = self._loop.create_task(self.reclaim(), name="take back connections")
 
     async def reclaim(self) -> None:
-        """Go on with the connections that the successor had not touched, accept and offer again.
+        """Serve the retained connections that the successor has not read from, accept and offer again.
 
-        During a shutdown only what has come is served: this process offers no takeover any more.
+        During a shutdown only connections and requests that have already come are served: this process
+        neither accepts nor offers a takeover any more.
         """
         clients = self._parts.clients
         for connection in self.connections.retained.reclaim():
@@ -237,7 +238,7 @@
         self.state = transition("predecessor", TRANSITIONS, self.state, state)
 
     def close(self) -> None:
-        """Release all, as this process ends."""
+        """Close sockets and the session, as this process ends."""
         if self._listener:
             self._listener.close()
         self.connections.retained.close()
--- a/quota_gateway/net/hot_restart/session.py
+++ b/quota_gateway/net/hot_restart/session.py
@@ -1,4 +1,4 @@
-"""Session with the peer process: a link, its messages and the heartbeat."""
+"""Session with the peer process: a link that carries decoded messages, and a heartbeat."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class PeerSession:
-    """One link to the peer process, typed.
+    """One link to the peer process that sends and receives message objects.
 
-    ``on_message`` gets each message with its descriptors and takes those that it keeps out of the list. A
+    ``on_message`` gets each message with its descriptors, and removes those that it keeps from the list. A
     PeerProcessError that it raises ends the session. ``on_end`` is called once, unless ``close`` ended it.
     """
 
@@ -43,7 +43,7 @@
         return self.link.peer_process
 
     def all_sent(self) -> bool:
-        """Whether the socket has taken every message."""
+        """Whether every message has been written to the socket."""
         return not self.link.queue
 
     def send(self, message: Message, descriptor: int = NO_DESCRIPTOR) -> None:
@@ -76,7 +76,7 @@
             self._on_end(self)
 
     def _hung(self) -> None:
-        """End a process that has sent nothing for several heartbeats; it must not serve any more."""
+        """Kill a peer process that has missed several heartbeats, so that it does not serve any more."""
         log.error("the peer process hangs and is killed")
         self.peer_process.kill()
-        self.end("it hangs")
+        self.end("the peer process hangs")
--- a/quota_gateway/net/hot_restart/successor.py
+++ b/quota_gateway/net/hot_restart/successor.py
@@ -1,4 +1,4 @@
-"""The end of a hot restart that takes over: a new process that finds one that serves."""
+"""The successor's side of a hot restart: a new process takes over from the serving one."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
     CustomerUsage,
     Hello,
     Message,
+    OverridesApplied,
+    OverridesChanged,
     RemainingConnections,
     ServerConnection,
     StateEnd,
     StatePiece,
     TakeOver,
-    WishesApplied,
-    WishesChanged,
 )
+from quota_gateway.net.hot_restart.overrides_exchange import OverridesExchange
 from quota_gateway.net.hot_restart.session import PeerSession
 from quota_gateway.net.hot_restart.state_transfer import StateAssembly
-from quota_gateway.net.hot_restart.wishes_exchange import WishesExchange
 from quota_gateway.net.peer_process import peer_credentials
 from quota_gateway.net.process_parts import ProcessParts
 from quota_gateway.state_machine import Transitions, transition
@@ -42,11 +42,11 @@
 class SuccessorState(Enum):
     """How far a process has taken over from the one before it."""
 
-    NOT_CONNECTED = "not connected"  # no predecessor was looked for yet
-    GREETING = "greeting"  # connected; the predecessor has not answered
-    LOADING = "loading"  # it has answered; its state is requested, or comes
+    NOT_CONNECTED = "not connected"  # this process has not tried to connect yet
+    GREETING = "greeting"  # connected; the predecessor has not sent its identity
+    LOADING = "loading"  # identities agree; the predecessor's state is requested or being received
     TAKEN_OVER = "taken over"  # this process serves; the predecessor finishes its requests
-    ALONE = "alone"  # a plain start, or the predecessor has ended
+    ALONE = "alone"  # a cold start, or the predecessor has ended
 
 
 TRANSITIONS: Transitions[SuccessorState] = {
@@ -60,9 +60,9 @@
 
 
 class Successor:
-    """Takes over from a process that serves, and is its peer until it has ended."""
+    """Takes over from the serving process, and stays connected to it until it has ended."""
 
-    def __init__(self, identity: GatewayIdentity, parts: ProcessParts, exchange: WishesExchange) -> None:
+    def __init__(self, identity: GatewayIdentity, parts: ProcessParts, exchange: OverridesExchange) -> None:
         self.state = SuccessorState.NOT_CONNECTED
         self.session: PeerSession | None = None
         self._identity = identity
@@ -71,41 +71,41 @@
         self._connections = ConnectionReceiver(parts)
         self._assembly = StateAssembly()
         self._listener: socket.socket | None = None
-        # What ``take_over`` waits for: both end as well when the session does.
+        # ``take_over`` waits for these; both are also set when the session ends.
         self._greeted = asyncio.Event()
         self._loaded: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
 
     # ---- Taking over
 
     async def take_over(self, address: str) -> bool:
-        """Take over from the process that listens there; false for a plain start, whatever the reason."""
+        """Take over from the process at the address; false for a cold start, whatever the reason."""
         session = self._connect(address)
         if session is None:
             self._enter(SuccessorState.ALONE)
-            self._forget_wishes()
+            self._drop_saved_overrides()
             return False
-        saved_wishes = self._exchange.read_file()
+        saved_overrides = self._exchange.read_file()
         try:
             await self._load_from(session)
         except (RestartError, TimeoutError) as error:
-            log.error("nothing taken over: %r", error)
+            log.error("nothing taken over, starting cold: %r", error)
             await self._give_up(session, isinstance(error, TimeoutError))
-            # The predecessor lived: what operators wished of it holds here.
-            if saved_wishes and not self._exchange.in_force.any_server_down():
-                self._exchange.in_force.apply(saved_wishes)
+            # A predecessor was running, so the overrides that it saved still hold.
+            if saved_overrides and not self._exchange.effective.any_server_down():
+                self._exchange.effective.apply(saved_overrides)
             return False
         finally:
             self._assembly.clear()
-        wishes = self._exchange.in_force.current()
+        overrides = self._exchange.effective.current()
         log.info(
             "taken over from the predecessor; servers down: %s%s",
-            ", ".join(wishes.servers_down) or "none",
-            "; drained" if wishes.drained else "",
+            ", ".join(overrides.servers_down) or "none",
+            "; drained" if overrides.drained else "",
         )
         return True
 
     def _connect(self, address: str) -> PeerSession | None:
-        """A session with the process that listens there; None where none does, or it is another user's."""
+        """Open a session with the process at the address; None if there is none or another user runs it."""
         sock = connect(address)
         if sock is None:
             return None
@@ -116,34 +116,37 @@
         self._enter(SuccessorState.GREETING)
         return self.session
 
-    def _forget_wishes(self) -> None:
-        """Drop the wishes in the file: no process serves, so its writer is dead. Its token still holds."""
-        wishes = self._exchange.read_file()
-        if wishes:
-            self._exchange.in_force.raise_token(wishes.highest_token)
+    def _drop_saved_overrides(self) -> None:
+        """Remove the saved overrides: no process serves, so their writer is dead. Their token still holds."""
+        overrides = self._exchange.read_file()
+        if overrides:
+            self._exchange.effective.raise_token(overrides.highest_token)
         self._exchange.remove_file()
 
     async def _load_from(self, session: PeerSession) -> None:
-        """Greet, request the state, and return once it is in use. Raises RestartError or TimeoutError."""
+        """Send the identity, request the state, and wait until it is loaded.
+
+        Raises RestartError or TimeoutError.
+        """
         async with asyncio.timeout(limits.HELLO_TIMEOUT_S):
             session.send(Hello(self._identity))
             await self._greeted.wait()
         async with asyncio.timeout(limits.STATE_TIMEOUT_S):
             if not session.open:
-                raise RestartError("the predecessor broke off")
+                raise RestartError("the session with the predecessor ended before the handover")
             session.link.has_received = False
             session.send(TakeOver(heartbeats=True))
             if not await self._loaded:
-                raise RestartError("the predecessor broke off")
+                raise RestartError("the session with the predecessor ended before the handover")
 
     async def _give_up(self, session: PeerSession, timed_out: bool) -> None:
-        """End the session for a plain start.
+        """End the session, so that this process can start cold.
 
-        A predecessor that was silent all the time hangs. It is killed first: waking up later, it would serve
-        side by side with this process.
+        A predecessor that has sent nothing during the whole wait hangs. It is killed first: if it recovered
+        later, it would serve at the same time as this process.
         """
         if timed_out and self.state is SuccessorState.GREETING:
-            # HELLO_TIMEOUT_S alone is shorter than the silence that heartbeats allow.
+            # HELLO_TIMEOUT_S alone is shorter than the silence that heartbeats tolerate.
             for _ in range(MAX_MISSED_HEARTBEATS):
                 await asyncio.sleep(HEARTBEAT_INTERVAL_S)
         if timed_out and not session.link.has_received and session.peer_process.alive():
@@ -154,12 +157,12 @@
         session.end("nothing taken over")
 
     def take_listener(self) -> socket.socket | None:
-        """The clients' listener as the predecessor passed it on; the first caller owns it."""
+        """The clients' listener that the predecessor sent, or None; the first caller owns it."""
         listener = self._listener
         self._listener = None
         return listener
 
-    # ---- Beside the predecessor
+    # ---- While the predecessor still runs
 
     @property
     def greeted(self) -> bool:
@@ -167,7 +170,7 @@
         return self.state in GREETED
 
     def end_predecessor(self) -> bool:
-        """Send SIGTERM to the predecessor; false unless this process has taken over and it still lives."""
+        """Send SIGTERM to the predecessor; false if nothing was taken over, or it has ended."""
         if self.state is not SuccessorState.TAKEN_OVER or self.session is None:
             return False
         if not self.session.peer_process.alive():
@@ -191,24 +194,24 @@
                 self._connections.set_remaining(message)
             case CustomerUsage():
                 self._parts.driver.post(message.to_event())
-            case WishesChanged():
+            case OverridesChanged():
                 self._exchange.apply_changed(session, message)
-            case WishesApplied():
+            case OverridesApplied():
                 self._exchange.note_applied(message)
             case _:
-                raise PeerProcessError(f"not a predecessor's message: {type(message).__name__}")
+                raise PeerProcessError(f"a predecessor does not send this message: {type(message).__name__}")
 
     def _greet(self, message: Hello) -> None:
         if message.identity != self._identity:
-            raise PeerProcessError(f"another gateway, or another version: {message.identity}")
+            raise PeerProcessError(f"the predecessor is of another gateway or version: {message.identity}")
         if self.state is SuccessorState.GREETING:
             self._enter(SuccessorState.LOADING)
         self._greeted.set()
 
     def _load(self, session: PeerSession, end: StateEnd, descriptors: list[int]) -> None:
-        """Use the state at once: the connections that come behind it rely on it. Raises PeerProcessError."""
+        """Load the state at once: the connections that follow it rely on it. Raises PeerProcessError."""
         if self.state is not SuccessorState.LOADING:
-            raise PeerProcessError(f"a state out of turn: {self.state.value}")
+            raise PeerProcessError(f"state received out of turn, this process is: {self.state.value}")
         if descriptors:
             self._listener = socket.socket(fileno=descriptors.pop())
         state = self._assembly.complete(end)
@@ -216,9 +219,9 @@
         discovery.use_cached_list(state.server_list)
         try:
             state_document.load(self._parts.driver.gateway, state.decisions, discovery.registry.numbers)
-        except RestartError as error:  # the decisions are as they were
+        except RestartError as error:  # the policy's state is unchanged
             raise PeerProcessError(str(error)) from error
-        self._exchange.in_force.apply(state.wishes)
+        self._exchange.effective.apply(state.overrides)
         self._connections.set_remaining(state.remaining)
         self._enter(SuccessorState.TAKEN_OVER)
         self._finish_loading(True)
@@ -227,7 +230,7 @@
             session.heartbeat.start()
 
     def _ended(self, session: PeerSession) -> None:
-        """The predecessor has ended, or broke off: this process goes on alone."""
+        """Continue alone, as the predecessor has ended or the link to it has failed."""
         self.session = None
         self._enter(SuccessorState.ALONE)
         self._connections.end()
@@ -237,7 +240,7 @@
         session.peer_process.close()
 
     def _finish_loading(self, loaded: bool) -> None:
-        """Wake ``take_over``, unless it has been woken or has given up. The first outcome counts."""
+        """Wake up ``take_over``, unless it has been woken up or has given up. The first outcome counts."""
         if not self._loaded.done():
             self._loaded.set_result(loaded)
 
@@ -245,7 +248,7 @@
         self.state = transition("successor", TRANSITIONS, self.state, state)
 
     def close(self) -> None:
-        """Release all, as this process ends."""
+        """Close the session and the listener, as this process ends."""
         if self.session:
             self.session.close("this process ends")
             self.session = None
--- a/quota_gateway/net/hot_restart/takeover_listener.py
+++ b/quota_gateway/net/hot_restart/takeover_listener.py
@@ -1,4 +1,4 @@
-"""The Unix socket at which a serving process can be reached by the next one."""
+"""The Unix socket at which the serving process accepts a connection from the next one."""
 
 from __future__ import annotations
 
@@ -18,9 +18,10 @@
 
 
 class TakeoverListener:
-    """Listens under a name of this process first, then takes the common name from the process before.
+    """Listens at a socket named after this process, then renames it to the name that all processes use.
 
-    The name always leads to a process that listens, or to one that is dead.
+    The rename replaces the previous process's socket, so the common name always leads to a process that
+    listens, or to one that is dead.
     """
 
     def __init__(self, folder: SocketFolder, on_connection: Callable[[socket.socket], None]) -> None:
@@ -35,7 +36,7 @@
         return self._socket is not None
 
     def open(self) -> None:
-        """Listen; a socket that was open before is replaced. Raises OSError."""
+        """Start listening; a socket that is open is replaced. Raises OSError."""
         self.close()
         own_name = f"{SOCKET_NAME}.{os.getpid()}"
         own_path = self._folder.path / own_name
@@ -54,7 +55,7 @@
         self._loop.add_reader(listener.fileno(), self._accept, listener)
 
     def close(self) -> None:
-        """Listen no more. The common name stays, as it may be the successor's by now."""
+        """Stop listening. The socket file stays, as it may be the successor's by now."""
         if self._socket:
             self._loop.remove_reader(self._socket.fileno())
             self._socket.close()
@@ -63,6 +64,6 @@
     def _accept(self, listener: socket.socket) -> None:
         try:
             sock, _ = listener.accept()
-        except OSError:  # it has gone again
+        except OSError:  # the process that connected has closed the connection
             return
         self._on_connection(sock)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Hot restart: what the successor receives, what it makes of invalid state, who may hand over to whom."""
+"""Hot restart: what is transferred, how invalid state is handled, and which process may take over."""
 
 import asyncio
 import json
@@ -25,7 +25,7 @@
 from quota_gateway.net.discovery import Discovery
 from quota_gateway.net.hot_restart import GatewayIdentity, HotRestart, limits, predecessor, successor
 from quota_gateway.net.hot_restart.link import QueuedMessage
-from quota_gateway.net.hot_restart.operator_wishes import FILE_NAME, OperatorWishes
+from quota_gateway.net.hot_restart.operator_overrides import FILE_NAME, OperatorOverrides
 from quota_gateway.net.hot_restart.predecessor import Predecessor, PredecessorState
 from quota_gateway.net.hot_restart.session import PeerSession
 from quota_gateway.net.hot_restart.successor import SuccessorState
@@ -33,17 +33,17 @@
 from quota_gateway.net.process_parts import ProcessParts
 from quota_gateway.state_machine import transition
 
-WHO = GatewayIdentity("n0", "127.0.0.1:6379")
-NAMES = {1: "s-1", 2: "s-2"}
+IDENTITY = GatewayIdentity("n0", "127.0.0.1:6379")
+SERVER_IDS = {1: "s-1", 2: "s-2"}
 
 
-# ---- The decisions
+# ---- The policy's state
 
 
-def next_rig(old: Rig) -> Rig:
-    """The process that takes over: the same settings and list, other numbers for the servers."""
+def successor_rig(old: Rig) -> Rig:
+    """The successor's rig: the same settings and servers, but other numbers for the servers."""
     old.do(HotRestartBegun())
-    document = json.loads(json.dumps(state_document.save(old.gateway, NAMES)))
+    document = json.loads(json.dumps(state_document.save(old.gateway, SERVER_IDS)))
     new = Rig(old.settings, seed=2)
     new.now = old.now
     new.servers(entry(11), entry(12))
@@ -51,56 +51,57 @@
     return new
 
 
-def sent(rig: Rig, count: int, **more) -> int:
+def count_sent(rig: Rig, count: int, **more) -> int:
+    """Send this many requests; how many of them the rig forwards to a server."""
     return sum(rig.ask(**more) in rig.sent for _ in range(count))
 
 
-def test_quota_used_up_before_the_upgrade_is_used_up_after_it():
+def test_quota_used_up_before_the_hot_restart_is_used_up_after_it():
     fresh, old = rig_with(plans=PLANS), rig_with(plans=PLANS)
     for rig in (fresh, old):
         rig.servers(entry(1), entry(2))
-    whole = sent(fresh, 20, plan="metered")
-    first = sent(old, 2, plan="metered")
-    assert 0 < first < whole
-    assert first + sent(next_rig(old), 20, plan="metered") == whole
+    sent_without_restart = count_sent(fresh, 20, plan="metered")
+    sent_before_restart = count_sent(old, 2, plan="metered")
+    assert 0 < sent_before_restart < sent_without_restart
+    assert sent_before_restart + count_sent(successor_rig(old), 20, plan="metered") == sent_without_restart
 
 
-def test_ceiling_is_drawn_once_by_both_what_is_held_included():
+def test_both_processes_together_stay_within_the_rate_ceiling_including_held_requests():
     plans = (Plan("ceiling", rate=100.0, burst=1000.0, ceiling_rate=10.0, ceiling_burst=20.0),)
     old = rig_with(plans=plans)
     old.servers(entry(1), entry(2))
     old.run(10_000.0)
-    names = [old.ask("ceiling") for _ in range(14)]  # the slice is 10: four are held for the ceiling
-    assert sum(name in old.sent for name in names) == 10
-    new = next_rig(old)
-    assert sent(new, 1, plan="ceiling") == 0
+    request_ids = [old.ask("ceiling") for _ in range(14)]  # the share is 10: four are held for the ceiling
+    assert sum(request_id in old.sent for request_id in request_ids) == 10
+    new = successor_rig(old)
+    assert count_sent(new, 1, plan="ceiling") == 0
     old.run(850.0)
     new.run(850.0)
-    assert sum(name in old.sent for name in names) == 14
-    assert not any(name in new.sent for name in new.answers)
+    assert sum(request_id in old.sent for request_id in request_ids) == 14
+    assert not any(request_id in new.sent for request_id in new.answers)
 
 
-def test_places_under_the_cap_are_one_gateways_and_come_back_as_the_old_process_tells():
+def test_concurrency_cap_holds_for_both_processes_and_places_that_the_old_one_reports_free_are_reused():
     old = Rig()
     old.servers(entry(1), entry(2))
-    names = [old.ask("capped") for _ in range(2)]  # a slice of two
-    new = next_rig(old)
-    assert sent(new, 1, plan="capped") == 0
-    told = [a for a in old.finish(names[0]) if isinstance(a, PeerUsage)]
-    assert told[-1].occupied_places == 1
-    for news in told:
-        new.do(news)
+    request_ids = [old.ask("capped") for _ in range(2)]  # the gateway's share of the cap is two
+    new = successor_rig(old)
+    assert count_sent(new, 1, plan="capped") == 0
+    usage_reports = [a for a in old.finish(request_ids[0]) if isinstance(a, PeerUsage)]
+    assert usage_reports[-1].occupied_places == 1
+    for report in usage_reports:
+        new.do(report)
     assert len(new.sent) == 1
     new.do(PeerExited())
-    assert sent(new, 1, plan="capped") == 1
+    assert count_sent(new, 1, plan="capped") == 1
 
 
-def test_what_the_answers_in_the_old_process_tell_reaches_the_new_one():
+def test_metered_use_and_charges_of_answers_in_the_old_process_reach_the_new_one():
     old = Rig()
     old.servers(entry(1), entry(2))
-    name = old.ask("metered", units=1)
-    new = next_rig(old)
-    for action in old.finish(name, used=70.0, units=4):
+    request_id = old.ask("metered", units=1)
+    new = successor_rig(old)
+    for action in old.finish(request_id, used=70.0, units=4):
         if isinstance(action, PeerUsage):
             new.do(action)
     (customer,) = new.gateway.customers.rows.values()
@@ -108,23 +109,23 @@
     assert customer.excess_milliunits == old.gateway.customers.rows["metered", "c"].excess_milliunits > 1000.0
 
 
-def test_server_known_to_fail_before_is_suspected_after_and_one_put_back_is_still_warming_up():
+def test_failure_records_and_warm_up_of_servers_survive_the_hot_restart():
     old = Rig()
     old.servers(entry(1), entry(2))
     for _ in range(12):
-        name = old.ask()
-        bad = old.sent[name][0] == 1
-        old.finish(name, Status.ERROR if bad else Status.OK)
-        if bad and len(old.sent[name]) > 1:
-            old.finish(name)
+        request_id = old.ask()
+        bad = old.sent[request_id][0] == 1
+        old.finish(request_id, Status.ERROR if bad else Status.OK)
+        if bad and len(old.sent[request_id]) > 1:
+            old.finish(request_id)
     old.do(ServerAdminDown(2, True))
     old.run(100.0)
     old.do(ServerAdminDown(2, False))
-    new = next_rig(old)
-    one, two = new.gateway.endpoints.servers[11], new.gateway.endpoints.servers[12]
-    assert one.failure_records == old.gateway.endpoints.servers[1].failure_records
-    assert one.failure_records
-    assert two.started_ms == old.gateway.endpoints.servers[2].started_ms > 0.0
+    new = successor_rig(old)
+    failing, restored = new.gateway.endpoints.servers[11], new.gateway.endpoints.servers[12]
+    assert failing.failure_records == old.gateway.endpoints.servers[1].failure_records
+    assert failing.failure_records
+    assert restored.started_ms == old.gateway.endpoints.servers[2].started_ms > 0.0
 
 
 @pytest.mark.parametrize(
@@ -143,12 +144,12 @@
         (("customers",), [["metered", "c", *["x"] * len(state_document.CUSTOMER_COLUMNS)]]),
     ],
 )
-def test_document_that_is_none_is_an_error_and_changes_nothing(path, value):
+def test_malformed_state_document_raises_and_changes_nothing(path, value):
     old = Rig()
     old.servers(entry(1), entry(2))
-    sent(old, 3, plan="metered")
+    count_sent(old, 3, plan="metered")
     old.do(HotRestartBegun())
-    document = state_document.save(old.gateway, NAMES)
+    document = state_document.save(old.gateway, SERVER_IDS)
     document[path[0]] = value
     new = Rig()
     new.servers(entry(1), entry(2))
@@ -170,12 +171,12 @@
     )
 
 
-# ---- The states of both ends
+# ---- The states of predecessor and successor
 
 
 @pytest.mark.parametrize("table", [predecessor.TRANSITIONS, successor.TRANSITIONS])
-def test_every_state_has_its_transitions_and_is_reached_from_the_first(table):
-    """A state without a row would raise as the link ends, and the process would be left half way."""
+def test_every_state_has_transitions_and_is_reachable_from_the_first(table):
+    """A state without a row would raise when the link ends, and the process would stop half way."""
     (first, *_), states = table, set(type(next(iter(table))))
     assert set(table) == states
     reached, new = set(), {first}
@@ -186,6 +187,7 @@
 
 
 def test_a_process_takes_over_once_and_hands_over_only_to_one_that_has_greeted():
+    """Nor does it serve again straight after a handover: the successor's process has to end first."""
     for table, state, requested in (
         (successor.TRANSITIONS, SuccessorState.ALONE, SuccessorState.GREETING),
         (successor.TRANSITIONS, SuccessorState.GREETING, SuccessorState.TAKEN_OVER),
@@ -196,21 +198,21 @@
             transition("hot restart", table, state, requested)
 
 
-# ---- Two processes, as two gateways of one test
+# ---- Two processes of a gateway, simulated by two gateways in one test process
 
 
 @asynccontextmanager
-async def process(folder, *fakes: FakeServer, who=WHO, **more):
-    """A process of the gateway; it has not yet tried to take over."""
+async def process(folder, *fakes: FakeServer, identity=IDENTITY, **more):
+    """A process of the gateway that has not tried to take over yet."""
     async with node(**more) as gateway:
         driver, clients, servers = gateway.driver, gateway.clients, gateway.servers
         driver.on_set_serving = clients.set_serving
 
-        def news(listing, addresses):
+        def on_server_list(listing, addresses):
             servers.update(listing, addresses)
             driver.post(listing)
 
-        discovery = Discovery(("127.0.0.1", 1), news)
+        discovery = Discovery(("127.0.0.1", 1), on_server_list)
         discovery.use_cached_list(
             {
                 "generation": 3,
@@ -218,7 +220,7 @@
             }
         )
         parts = ProcessParts(driver, clients, servers, discovery)
-        gateway.hot_restart = HotRestart(folder and str(folder), who, parts)
+        gateway.hot_restart = HotRestart(folder and str(folder), identity, parts)
         gateway.discovery = discovery
         try:
             yield gateway
@@ -226,14 +228,15 @@
             gateway.hot_restart.close()
 
 
-async def silent_on_one() -> FakeServer:
+async def start_server_silent_on_request_1() -> FakeServer:
+    """Start a server that answers all requests but those whose id ends in 1."""
     return await FakeServer(lambda words: None if words[2].endswith(b"1") else array(words[2])).start()
 
 
 @pytest.mark.usefixtures("no_rest")
-def test_idle_connections_of_both_sides_are_the_next_processs_and_busy_ones_follow(tmp_path):
+def test_idle_client_and_server_connections_are_transferred_at_once_and_busy_ones_later(tmp_path):
     async def test():
-        server = await silent_on_one()
+        server = await start_server_silent_on_request_1()
         async with process(tmp_path, server) as old, process(tmp_path) as new:
             idle, busy = await old.peer(), await old.peer()
             busy.send(call(1))
@@ -245,7 +248,7 @@
             connections = len(server.writers)
             await until(lambda: any(host.idle for host in new.servers.hosts.values()))
             assert await idle.ask(call(4)) == b"0000000000000004"
-            assert len(server.writers) == connections  # nor was the server connected to anew
+            assert len(server.writers) == connections  # no new connection to the server was opened
             assert len(old.clients.connections) == 1
             assert len(new.clients.connections) == 1
             await until(lambda: new.clients.peer_connections == 1)
@@ -258,9 +261,9 @@
     run(test())
 
 
-def test_new_connections_wait_for_the_next_process_and_come_back_when_it_dies(tmp_path):
+def test_new_connections_wait_for_the_successor_and_the_predecessor_serves_them_if_it_dies(tmp_path):
     async def test():
-        server = await silent_on_one()
+        server = await start_server_silent_on_request_1()
         async with process(tmp_path, server) as old, process(tmp_path) as new:
             old.hot_restart.offer()
             assert await new.hot_restart.take_over()
@@ -268,7 +271,7 @@
             peer.send(call(2))
             for _ in range(20):
                 await asyncio.sleep(0.001)
-            # it waits in the queue that both have
+            # the connection waits in the backlog of the listener that both processes share
             assert not server.commands
             new.hot_restart.close()
             assert await peer.reply() == b"0000000000000002"
@@ -277,11 +280,11 @@
     run(test())
 
 
-def test_process_takes_back_and_hands_over_again_with_what_it_has_learnt_since(tmp_path):
-    """A next version that dies is started again: the gateway must not be stuck behind the first attempt."""
+def test_predecessor_takes_back_and_hands_over_again_with_its_current_state(tmp_path):
+    """After the next version has died, it can be started again: the gateway must offer a second takeover."""
 
     async def test():
-        server = await silent_on_one()
+        server = await start_server_silent_on_request_1()
         async with process(tmp_path, server) as old:
             predecessor, peer = old.hot_restart.predecessor, await old.peer()
             for number in (2, 4, 6):
@@ -292,9 +295,9 @@
                     assert predecessor.state is PredecessorState.HANDED_OVER
                     await until(lambda new=new: len(new.clients.connections) == 1)
                     assert len(predecessor.connections.retained) == 1
-                    started = [one.driver.gateway.context.decay.attempts_started for one in (new, old)]
+                    started = [proc.driver.gateway.context.decay.attempts_started for proc in (new, old)]
                     assert started[0] == started[1]
-                    new.hot_restart.close()  # it ends, and has read nothing of its client
+                    new.hot_restart.close()  # it ends without having read from its client
                     await until(lambda: predecessor.state is PredecessorState.SERVING)
                     await until(lambda: len(old.clients.connections) == 1)
                     for client in list(new.clients.connections):
@@ -304,9 +307,9 @@
     run(test())
 
 
-def test_servers_out_and_the_drain_go_along_and_are_shared_both_ways(tmp_path):
+def test_servers_down_and_the_drain_are_transferred_and_then_shared_in_both_directions(tmp_path):
     async def test():
-        server, other = await silent_on_one(), await silent_on_one()
+        server, other = await start_server_silent_on_request_1(), await start_server_silent_on_request_1()
         async with process(tmp_path, server, other) as old, process(tmp_path) as new:
             registry = old.discovery.registry
             registry.pin("s-2")
@@ -314,31 +317,31 @@
             old.driver.post(DrainChanged(True))
             old.hot_restart.offer()
             assert await new.hot_restart.take_over()
-            assert new.hot_restart.operator_wishes() == OperatorWishes(("s-2",), drained=True)
+            assert new.hot_restart.operator_overrides() == OperatorOverrides(("s-2",), drained=True)
             new.driver.post(DrainChanged(False))
-            await new.hot_restart.share_wishes()
+            await new.hot_restart.share_overrides()
             assert not old.driver.gateway.drain.is_draining
             old.driver.post(ServerAdminDown(registry.number("s-2"), False))
-            await old.hot_restart.share_wishes()
-            assert new.hot_restart.operator_wishes() == OperatorWishes((), drained=False)
-            kept = json.loads((tmp_path / FILE_NAME).read_text())
-            assert kept["operators"] == {"out": [], "drained": False}
+            await old.hot_restart.share_overrides()
+            assert new.hot_restart.operator_overrides() == OperatorOverrides((), drained=False)
+            saved = json.loads((tmp_path / FILE_NAME).read_text())
+            assert saved["operators"] == {"out": [], "drained": False}
 
     run(test())
 
 
-def test_no_process_or_a_dead_one_is_a_plain_start_and_what_it_wrote_is_forgotten(tmp_path):
+def test_start_without_a_running_predecessor_is_cold_and_drops_saved_overrides(tmp_path):
     async def test():
         async with process(tmp_path) as new:
             assert not await new.hot_restart.take_over()
         stale = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         stale.bind(str(tmp_path / SOCKET_NAME))
         stale.close()
-        wanted = {"out": ["s-2"], "drained": True}
-        (tmp_path / FILE_NAME).write_text(json.dumps({**WHO.to_document(), "operators": wanted}))
+        overrides = {"out": ["s-2"], "drained": True}
+        (tmp_path / FILE_NAME).write_text(json.dumps({**IDENTITY.to_document(), "operators": overrides}))
         async with process(tmp_path) as new:
             assert not await new.hot_restart.take_over()
-            assert new.hot_restart.operator_wishes() == OperatorWishes((), drained=False)
+            assert new.hot_restart.operator_overrides() == OperatorOverrides((), drained=False)
             assert not (tmp_path / FILE_NAME).exists()
             new.hot_restart.offer()
             async with process(tmp_path) as later:
@@ -347,7 +350,7 @@
     run(test())
 
 
-def test_gateway_without_a_folder_starts_plainly_and_one_with_a_long_path_hands_over(tmp_path):
+def test_gateway_without_a_folder_starts_cold_and_one_with_a_long_path_hands_over(tmp_path):
     async def test():
         deep = tmp_path / ("d" * 120)
         deep.mkdir()
@@ -362,12 +365,12 @@
     run(test())
 
 
-def test_other_gateway_takes_nothing_over_and_the_old_one_serves_on(tmp_path):
+def test_process_of_another_gateway_takes_nothing_over_and_the_old_one_keeps_serving(tmp_path):
     async def test():
-        server = await silent_on_one()
+        server = await start_server_silent_on_request_1()
         async with (
             process(tmp_path, server) as old,
-            process(tmp_path, who=GatewayIdentity("n1", WHO.listen)) as new,
+            process(tmp_path, identity=GatewayIdentity("n1", IDENTITY.listen)) as new,
         ):
             old.hot_restart.offer()
             assert not await new.hot_restart.take_over()
@@ -376,8 +379,8 @@
     run(test())
 
 
-class Impostor:
-    """A process that says what the test wants, then nothing, or hangs up."""
+class ScriptedPredecessor:
+    """A predecessor that sends the given messages, then hangs up, or stays silent until the peer does."""
 
     def __init__(self, folder, *messages: bytes, hang_up: bool = False) -> None:
         self.messages, self.hang_up = messages, hang_up
@@ -386,7 +389,7 @@
         self.listener.listen(1)
         self.listener.setblocking(False)
 
-    async def play(self) -> None:
+    async def run_script(self) -> None:
         loop = asyncio.get_running_loop()
         sock, _ = await loop.sock_accept(self.listener)
         for message in self.messages:
@@ -399,7 +402,7 @@
             sock.close()
 
 
-HELLO = b"H" + json.dumps(WHO.to_document()).encode()
+HELLO = b"H" + json.dumps(IDENTITY.to_document()).encode()
 
 
 @pytest.mark.parametrize(
@@ -420,25 +423,25 @@
         ((HELLO, b'F{"plan": 1}'), False),
     ],
 )
-def test_state_that_is_torn_foreign_or_missing_is_a_plain_start(tmp_path, monkeypatch, messages, hang_up):
+def test_truncated_malformed_or_missing_state_leads_to_a_cold_start(tmp_path, monkeypatch, messages, hang_up):
     monkeypatch.setattr(limits, "HELLO_TIMEOUT_S", 0.1)
     monkeypatch.setattr(limits, "STATE_TIMEOUT_S", 0.1)
 
     async def test():
-        server = await silent_on_one()
-        playing = asyncio.ensure_future(Impostor(tmp_path, *messages, hang_up=hang_up).play())
-        wanted = {"out": ["s-9"], "drained": False}
-        (tmp_path / FILE_NAME).write_text(json.dumps({**WHO.to_document(), "operators": wanted}))
+        server = await start_server_silent_on_request_1()
+        script = asyncio.ensure_future(ScriptedPredecessor(tmp_path, *messages, hang_up=hang_up).run_script())
+        overrides = {"out": ["s-9"], "drained": False}
+        (tmp_path / FILE_NAME).write_text(json.dumps({**IDENTITY.to_document(), "operators": overrides}))
         async with process(tmp_path, server) as new:
             assert not await new.hot_restart.take_over()
-            assert new.hot_restart.operator_wishes() == OperatorWishes(
+            assert new.hot_restart.operator_overrides() == OperatorOverrides(
                 ("s-9",), drained=False
-            )  # the old process lived: what it kept holds
+            )  # the old process was running: the overrides that it saved hold
             assert await (await new.peer()).ask(call(2)) == b"0000000000000002"
             new.hot_restart.offer()
             async with process(tmp_path) as later:
                 assert await later.hot_restart.take_over()
-        await playing
+        await script
 
     run(test())
 
@@ -446,7 +449,7 @@
 def test_descriptors_are_closed_with_the_link(tmp_path):
     async def test():
         before = set(os.listdir("/proc/self/fd"))
-        server = await silent_on_one()
+        server = await start_server_silent_on_request_1()
         async with process(tmp_path, server) as old, process(tmp_path) as new:
             old.hot_restart.offer()
             assert await new.hot_restart.take_over()
@@ -457,13 +460,13 @@
     run(test())
 
 
-def test_connections_that_come_along_are_counted_once(tmp_path, monkeypatch):
+def test_transferred_connections_are_counted_once(tmp_path, monkeypatch):
     monkeypatch.setattr(
         limits, "MAX_MESSAGES_PER_TURN", 2
-    )  # so that some are adopted before the others have come
+    )  # so that some are adopted before the others arrive
 
     async def test():
-        server = await silent_on_one()
+        server = await start_server_silent_on_request_1()
         async with process(tmp_path, server) as old, process(tmp_path, most_connections=12) as new:
             peers = [await old.peer() for _ in range(10)]
             for number, peer in enumerate(peers, 2):
@@ -480,7 +483,7 @@
 @pytest.mark.parametrize(
     "messages",
     [
-        (b"T+",),  # it did not say who it is
+        (b"T+",),  # it has not sent its identity
         (b"T+", HELLO),
         (HELLO, b"Sx"),  # a predecessor's message
         (HELLO, b'F{"clients": 9, "servers": 9}'),
@@ -489,11 +492,11 @@
         (HELLO.replace(b"n0", b"n1"), b"T+"),
     ],
 )
-def test_next_process_that_speaks_out_of_turn_is_broken_off_and_nothing_is_handed_over(tmp_path, messages):
-    """A process that can't be the successor would leave the gateway without one that accepts."""
+def test_next_process_that_sends_unexpected_messages_is_disconnected_without_a_handover(tmp_path, messages):
+    """After a handover to a process that can't take over, no process of the gateway would accept clients."""
 
     async def test():
-        server = await silent_on_one()
+        server = await start_server_silent_on_request_1()
         async with process(tmp_path, server) as old, process(tmp_path) as new:
             old.hot_restart.offer()
             with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as stranger:
@@ -510,8 +513,8 @@
     run(test())
 
 
-def test_state_of_a_process_that_dies_right_behind_it_is_used(tmp_path, monkeypatch):
-    """Its end comes in the same turn of the loop as the state: what it knew would be lost with it."""
+def test_state_is_used_although_the_predecessor_dies_right_after_sending_it(tmp_path, monkeypatch):
+    """The link's end is read in the same turn of the event loop as the state, which must not be lost."""
     send_state = Predecessor._send_state
 
     def send_state_and_die(self, session, heartbeats):
@@ -525,14 +528,14 @@
             old.driver.post(DrainChanged(True))
             old.hot_restart.offer()
             assert await new.hot_restart.take_over()
-            assert new.hot_restart.operator_wishes().drained
+            assert new.hot_restart.operator_overrides().drained
             assert new.hot_restart.successor.state is SuccessorState.ALONE
 
     run(test())
 
 
-def test_process_that_comes_while_a_successor_serves_starts_plainly(tmp_path):
-    """Two successors of one process would charge and accept side by side."""
+def test_process_that_connects_while_two_others_still_run_starts_cold(tmp_path):
+    """Two successors of one process would both accept clients and charge quotas."""
 
     async def test():
         async with process(tmp_path) as old, process(tmp_path) as new, process(tmp_path) as third:
@@ -542,7 +545,7 @@
             assert old.hot_restart.handed_over
             assert third.hot_restart.successor.state is SuccessorState.ALONE
             new.hot_restart.offer()
-            async with process(tmp_path) as fourth:  # while the one before the successor still lives
+            async with process(tmp_path) as fourth:  # while the predecessor of its predecessor still runs
                 assert not await fourth.hot_restart.take_over()
             old.hot_restart.close()
             await until(lambda: new.hot_restart.successor.state is SuccessorState.ALONE)
@@ -552,7 +555,7 @@
     run(test())
 
 
-def test_process_that_asks_and_hangs_does_not_keep_the_next_one_out(tmp_path, monkeypatch):
+def test_process_that_connects_and_hangs_does_not_keep_the_next_one_from_taking_over(tmp_path, monkeypatch):
     monkeypatch.setattr(limits, "HELLO_TIMEOUT_S", 0.1)
     monkeypatch.setattr(limits, "STATE_TIMEOUT_S", 0.1)
 
@@ -571,7 +574,7 @@
     run(test())
 
 
-def test_old_process_is_not_done_before_all_that_it_passes_on_is_taken(tmp_path):
+def test_handover_is_complete_only_when_all_messages_are_sent(tmp_path):
     async def test():
         async with process(tmp_path) as old, process(tmp_path) as new:
             old.hot_restart.offer()
@@ -590,8 +593,8 @@
     return b"$16\r\n%016x\r\n" % number
 
 
-async def resting(gateway) -> tuple[Raw, Client]:
-    """A client that has been served and rests."""
+async def served_idle_client(gateway) -> tuple[Raw, Client]:
+    """A client that has been served and is idle, and its connection at the gateway."""
     raw = Raw(gateway.clients.listener.getsockname()[1])
     raw.send(call(2))
     assert await raw.read(len(answer(2))) == answer(2)
@@ -599,39 +602,39 @@
     return raw, client
 
 
-@pytest.mark.parametrize("late", [False, True])
-def test_request_on_a_connection_that_is_taken_back_during_the_stop_is_served(tmp_path, late):
+@pytest.mark.parametrize("after_grace", [False, True])
+def test_request_on_a_connection_that_is_taken_back_during_shutdown_is_served(tmp_path, after_grace):
     async def test():
-        server = await silent_on_one()
+        server = await start_server_silent_on_request_1()
         async with process(tmp_path, server) as old:
-            raw, client = await resting(old)
+            raw, client = await served_idle_client(old)
             predecessor = old.hot_restart.predecessor
             descriptor = client.transport.get_extra_info("socket").fileno()
             assert predecessor.connections.retained.retain(descriptor, True, 1)
-            client.detach()  # the next process has it, reads nothing and ends
+            client.detach()  # as if the successor had it, read nothing and ended
             raw.send(call(3))
             old.clients.stop_listening()
-            if late:
+            if after_grace:
                 old.clients._end_grace()
             await predecessor.reclaim()
             assert await raw.rest() == (answer(3), "end")
-            assert not predecessor.offering  # nobody takes over from a process that stops
+            assert not predecessor.offering  # no process takes over from one that is shutting down
 
     run(test())
 
 
-def test_client_whose_passing_crosses_the_end_of_the_link_stays_and_is_served(tmp_path):
+def test_client_whose_transfer_coincides_with_the_end_of_the_link_stays_and_is_served(tmp_path):
     async def test():
-        server = await silent_on_one()
+        server = await start_server_silent_on_request_1()
         async with process(tmp_path, server) as old:
-            raw, client = await resting(old)
+            raw, client = await served_idle_client(old)
             near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
             connections = old.hot_restart.predecessor.connections
-            client.replies.slots.append(None)  # busy: it is not transferred at once
+            client.replies.slots.append(None)  # busy with a request: it is not transferred at once
             session = PeerSession(near, lambda *_: None, lambda _: connections.end())
             connections.begin(session, max_retained=1)
             client.replies.slots.clear()
-            far.close()  # its end is not read yet
+            far.close()  # the end of the link is not read yet
             raw.send(call(3))
             old.clients.try_to_transfer(client)
             assert not session.open
--- a/tests/test_hot_restart_messages.py
+++ b/tests/test_hot_restart_messages.py
@@ -1,4 +1,7 @@
-"""What two versions exchange at a hot restart: every message and operators.json, as 2b28dd0 wrote them."""
+"""Compatibility of two versions at a hot restart: each message and operators.json.
+
+The expected bytes were recorded from revision 2b28dd0, which is called the earlier version.
+"""
 
 import json
 from pathlib import Path
@@ -12,54 +15,63 @@
     ClientConnection,
     CustomerUsage,
     Hello,
+    OverridesApplied,
+    OverridesChanged,
     RemainingConnections,
     RetainedConnectionClosed,
     ServerConnection,
     StateEnd,
     StatePiece,
     TakeOver,
-    WishesApplied,
-    WishesChanged,
     decode,
     encode,
 )
-from quota_gateway.net.hot_restart.operator_wishes import FILE_NAME, OperatorWishes, OperatorWishesFile
-from quota_gateway.net.hot_restart.state_transfer import StateAssembly, TransferredState, end_of, split
+from quota_gateway.net.hot_restart.operator_overrides import (
+    FILE_NAME,
+    OperatorOverrides,
+    OperatorOverridesFile,
+)
+from quota_gateway.net.hot_restart.state_transfer import (
+    StateAssembly,
+    TransferredState,
+    split_state,
+    state_end,
+)
 
 DATA = Path(__file__).parent / "data" / "hot_restart"
-EARLIER = json.loads((DATA / "messages-2b28dd0.json").read_text())
+EARLIER_MESSAGES = json.loads((DATA / "messages-2b28dd0.json").read_text())
 IDENTITY = GatewayIdentity("n0", "127.0.0.1:6379")
-DRAINED = OperatorWishes(("s-2",), drained=True, highest_token=7)
-MEANINGS = {
+DRAINED = OperatorOverrides(("s-2",), drained=True, highest_token=7)
+DECODED_MESSAGES = {
     b"H": Hello(IDENTITY),
     b"T": TakeOver(heartbeats=True),
     b"E": StateEnd(1617, 758227527, heartbeats=True),
     b"V": ServerConnection("s-1"),
-    b"O": WishesChanged(1, DRAINED),
-    b"A": WishesApplied(1),
+    b"O": OverridesChanged(1, DRAINED),
+    b"A": OverridesApplied(1),
     b"D": RetainedConnectionClosed(2),
     b"B": Alive(),
 }
 
 
-def earlier(letter: str) -> list[bytes]:
-    """The messages of a letter, as 2b28dd0 sent them."""
-    return [row["bytes"].encode() for row in EARLIER if row["bytes"].startswith(letter)]
+def earlier_messages(letter: str) -> list[bytes]:
+    """The messages with this type letter, as the earlier version sent them."""
+    return [row["bytes"].encode() for row in EARLIER_MESSAGES if row["bytes"].startswith(letter)]
 
 
-@pytest.mark.parametrize("row", EARLIER, ids=lambda row: f"{row['from']}-{row['bytes'][:12]}")
-def test_message_of_the_earlier_version_is_read_and_written_to_the_same_bytes(row):
-    """A gateway is upgraded from 2b28dd0, or goes back to it: state or connections would be lost."""
+@pytest.mark.parametrize("row", EARLIER_MESSAGES, ids=lambda row: f"{row['from']}-{row['bytes'][:12]}")
+def test_message_of_the_earlier_version_is_decoded_and_encoded_to_the_same_bytes(row):
+    """Otherwise an upgrade from 2b28dd0, or a rollback to it, would lose state or connections."""
     data = row["bytes"].encode()
     message = decode(data)
     assert encode(message) == data
-    assert message == MEANINGS.get(data[:1], message)
+    assert message == DECODED_MESSAGES.get(data[:1], message)
 
 
-def test_every_message_there_is_was_seen_from_the_earlier_version():
-    kinds = {type(decode(row["bytes"].encode())) for row in EARLIER}
+def test_recorded_messages_cover_every_message_type():
+    kinds = {type(decode(row["bytes"].encode())) for row in EARLIER_MESSAGES}
     assert kinds == {
-        *map(type, MEANINGS.values()),
+        *map(type, DECODED_MESSAGES.values()),
         StatePiece,
         ClientConnection,
         RemainingConnections,
@@ -67,39 +79,39 @@
     }
 
 
-def test_messages_of_the_earlier_version_mean_what_they_meant():
-    fresh, used = map(decode, earlier("C"))
+def test_fields_of_messages_of_the_earlier_version_are_decoded():
+    fresh, used = map(decode, earlier_messages("C"))
     assert (fresh.has_requested, fresh.retained_id) == (False, 1)
     assert (used.has_requested, used.retained_id) == (True, 2)
     assert 0.0 < fresh.waited_s < 1.0
-    first, last, usage = map(decode, earlier("F"))
+    first, last, usage = map(decode, earlier_messages("F"))
     assert first == RemainingConnections(clients=1, servers=1)
     assert last == RemainingConnections(clients=0, servers=0)
     assert usage == CustomerUsage("free", "00000000b4d65521", 0, 0.0, None)
 
 
 def test_state_of_the_earlier_version_is_assembled_and_written_to_the_same_bytes():
-    (piece,) = map(decode, earlier("S"))
-    (end,) = map(decode, earlier("E"))
+    (piece,) = map(decode, earlier_messages("S"))
+    (end,) = map(decode, earlier_messages("E"))
     assembly = StateAssembly()
     assembly.add(piece)
     state = assembly.complete(end)
     assert [row["instanceId"] for row in state.server_list["instances"]] == ["s-1", "s-2"]
-    assert state.wishes == OperatorWishes(("s-2",), drained=False, highest_token=7)
+    assert state.overrides == OperatorOverrides(("s-2",), drained=False, highest_token=7)
     assert state.remaining == RemainingConnections(clients=3, servers=1)
     assert state.to_bytes() == piece.data
-    assert end_of(state.to_bytes(), heartbeats=True) == end
+    assert state_end(state.to_bytes(), heartbeats=True) == end
 
 
 def test_state_of_any_size_is_split_into_messages_and_assembled_again():
     state = TransferredState({"rows": ["x" * 50] * 2000}, {"a": 1}, DRAINED, RemainingConnections(4, 5))
     raw = state.to_bytes()
-    pieces = list(split(raw))
+    pieces = list(split_state(raw))
     assert len(pieces) > 2
     assembly = StateAssembly()
     for piece in pieces:
         assembly.add(decode(encode(piece)))
-    assert assembly.complete(end_of(raw, heartbeats=False)) == state
+    assert assembly.complete(state_end(raw, heartbeats=False)) == state
     with pytest.raises(PeerProcessError, match="truncated"):
         assembly.complete(StateEnd(len(raw), 0, heartbeats=False))
 
@@ -113,7 +125,7 @@
         (b'C{"asked": true, "waited": 0.5}', ClientConnection(True, 0.5, 0)),
         (
             b'O{"number": 1, "operators": {"out": [], "drained": true}}',
-            WishesChanged(1, OperatorWishes((), True)),
+            OverridesChanged(1, OperatorOverrides((), True)),
         ),
         # from a later version
         (b'E{"bytes": 2, "crc": 1, "beats": true, "season": [1]}', StateEnd(2, 1, heartbeats=True)),
@@ -125,7 +137,7 @@
         ),
     ],
 )
-def test_fields_that_are_missing_or_unknown_are_those_of_another_version(data, meaning):
+def test_missing_fields_get_defaults_and_unknown_fields_are_ignored(data, meaning):
     assert decode(data) == meaning
 
 
@@ -159,8 +171,8 @@
         b"D\xff",
     ],
 )
-def test_bytes_that_are_no_message_are_a_typed_error(data):
-    """A peer sends garbage: an error of another kind would pass the link, which would stay open."""
+def test_bytes_that_are_no_valid_message_raise_peer_process_error(data):
+    """The link would not catch an error of another type and would stay open."""
     with pytest.raises(PeerProcessError):
         decode(data)
 
@@ -169,30 +181,30 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "wishes"),
+    ("name", "overrides"),
     [
-        ("operators-2b28dd0.json", OperatorWishes()),
-        ("operators-server-out-2b28dd0.json", OperatorWishes(("s-2",), False, 7)),
+        ("operators-2b28dd0.json", OperatorOverrides()),
+        ("operators-server-out-2b28dd0.json", OperatorOverrides(("s-2",), False, 7)),
         ("operators-drained-2b28dd0.json", DRAINED),
     ],
 )
-def test_file_of_the_earlier_version_is_read_and_written_to_the_same_bytes(tmp_path, name, wishes):
-    """The process before dies at the upgrade: servers that are out would be used again without the file."""
+def test_file_of_the_earlier_version_is_read_and_written_to_the_same_bytes(tmp_path, name, overrides):
+    """If the predecessor dies during an upgrade, only the file tells which servers are out."""
     path = tmp_path / FILE_NAME
     path.write_bytes((DATA / name).read_bytes())
-    file = OperatorWishesFile(tmp_path, IDENTITY)
-    assert file.read() == wishes
-    file.write(wishes)
+    file = OperatorOverridesFile(tmp_path, IDENTITY)
+    assert file.read() == overrides
+    file.write(overrides)
     assert path.read_bytes() == (DATA / name).read_bytes()
     assert [entry.name for entry in tmp_path.iterdir()] == [FILE_NAME]
     file.remove()
     assert file.read() is None
 
 
-def test_file_that_is_cut_off_anywhere_or_of_another_gateway_is_not_read(tmp_path):
+def test_file_that_is_truncated_malformed_or_of_another_gateway_is_not_read(tmp_path):
     raw = (DATA / "operators-drained-2b28dd0.json").read_bytes()
     path = tmp_path / FILE_NAME
-    file = OperatorWishesFile(tmp_path, IDENTITY)
+    file = OperatorOverridesFile(tmp_path, IDENTITY)
     for size in range(len(raw)):
         path.write_bytes(raw[:size])
         assert file.read() is None
@@ -209,17 +221,17 @@
     ):
         path.write_text(json.dumps({**document, **change}))
         assert file.read() is None, change
-    for other in (b"[]", b"7", b"\xff\xfe", b"null"):
-        path.write_bytes(other)
+    for content in (b"[]", b"7", b"\xff\xfe", b"null"):
+        path.write_bytes(content)
         assert file.read() is None
     path.unlink()
     path.mkdir()
     assert file.read() is None
 
 
-def test_file_that_can_not_be_replaced_stays_as_it_was(tmp_path, monkeypatch, caplog):
-    """The disk is full, or the process dies while it writes: a part of a file would be read as no file."""
-    file = OperatorWishesFile(tmp_path, IDENTITY)
+def test_file_that_can_not_be_replaced_stays_unchanged(tmp_path, monkeypatch, caplog):
+    """The disk is full, or the process dies while it writes: a partial file would be read as no file."""
+    file = OperatorOverridesFile(tmp_path, IDENTITY)
     file.write(DRAINED)
 
     def fail(_path, text):
@@ -228,6 +240,6 @@
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(Path, "write_text", fail)
-    file.write(OperatorWishes())
+    file.write(OperatorOverrides())
     assert file.read() == DRAINED
-    assert "operators' wishes can't be saved" in caplog.text
+    assert "operators' overrides can't be saved" in caplog.text
