--- a/quota_gateway/net/clients/__init__.py
+++ b/quota_gateway/net/clients/__init__.py
@@ -1,4 +1,4 @@
-"""Towards clients: the listener, connections, the command parser and the order of replies."""
+"""The client side of the gateway: accepts connections, parses commands and writes replies in order."""
 
 from quota_gateway.net.clients.connection import Client
 from quota_gateway.net.clients.registry import MAX_LINGERING, ClientRegistry
--- a/quota_gateway/net/clients/budget.py
+++ b/quota_gateway/net/clients/budget.py
@@ -1,10 +1,10 @@
-"""Byte budgets over all clients' connections."""
+"""Limits on the bytes that all client connections together may hold."""
 
 from __future__ import annotations
 
 
 class ByteBudget:
-    """A bound on bytes of one kind over all connections, and how many there are now."""
+    """A limit on bytes of one kind over all connections, and the current total."""
 
     __slots__ = ("limit_bytes", "used_bytes")
 
@@ -13,13 +13,13 @@
         self.used_bytes = 0
 
     def add(self, added_bytes: int) -> None:
-        """Count bytes in, or out where negative."""
+        """Add bytes to the total; a negative number removes them."""
         self.used_bytes += added_bytes
 
     def is_exhausted(self) -> bool:
-        """Whether no more may be added."""
+        """Whether the limit has been reached."""
         return self.used_bytes >= self.limit_bytes
 
     def is_exceeded(self) -> bool:
-        """Whether there are more than there may be."""
+        """Whether the total is above the limit."""
         return self.used_bytes > self.limit_bytes
--- a/quota_gateway/net/clients/command_dispatcher.py
+++ b/quota_gateway/net/clients/command_dispatcher.py
@@ -1,4 +1,4 @@
-"""What each command of a client leads to: a request, or a reply at once."""
+"""Dispatches the commands of clients: starts a request, or replies immediately."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     from quota_gateway.net.clients.connection import Client
 
 PING = b"PING"
-MAX_BAD_COMMANDS = 16  # in a row: a peer that sends more is no client
+MAX_BAD_COMMANDS = 16  # consecutive ones that close the connection; no real client sends so many
 
 
 class CommandDispatcher:
-    """Takes the commands of all clients by the settings in force."""
+    """Handles the commands of all clients according to the current settings."""
 
     def __init__(self, driver: Driver, settings: api.Settings, ping_reply: Callable[[], bytes]) -> None:
         self._driver = driver
@@ -27,32 +27,32 @@
         self.parser = CommandParser(settings)
 
     def reconfigure(self, settings: api.Settings) -> None:
-        """Take further commands by these settings."""
+        """Apply new settings to all further commands."""
         self.parser = CommandParser(settings)
 
     def dispatch(self, client: Client, command: object) -> None:
-        """Take one command; what is no array of words ends the connection behind an error."""
+        """Handle one command; anything but an array of words gets an error and ends the connection."""
         if not isinstance(command, list) or not command or not all(isinstance(w, bytes) for w in command):
-            client.reject_protocol()
+            client.reject_protocol_error()
             return
         name = command[0].upper()
         if name in (GET, POST):
-            self._call(client, command)
+            self._accept_request(client, command)
         elif name == PING:
             client.reply(self._ping_reply())
         else:
             self._reject(client, b"-ERR unknown command\r\n")
 
-    def _call(self, client: Client, command: list[bytes]) -> None:
+    def _accept_request(self, client: Client, command: list[bytes]) -> None:
         driver = self._driver
         try:
-            # A command behind the most in flight has waited here, at least since the latest read, and its
-            # client's timeout has run meanwhile.
+            # A command that had to wait because the maximum was in flight has been here at least since the
+            # latest read, and its client's timeout has been running since then.
             call = self.parser.parse(command, driver.clock() - client.last_read_ms)
             request = call.request
             if request.request_id in driver.requests:
                 raise CommandError("a request of this id is in hand")
-        except ValueError as error:  # CommandError, or a value that api.Request does not take
+        except ValueError as error:  # CommandError, or a value that api.Request rejects
             self._reject(client, f"-ERR {error}\r\n".encode("ascii", "replace"))
             return
         client.has_requested = True
@@ -64,12 +64,12 @@
         driver.accept(pending, request, request.client_timeout_ms)
 
     def _reject(self, client: Client, reply: bytes) -> None:
-        """Answer a bad command; the connection stays open, but not for an endless row of them.
+        """Answer a bad command with an error; too many consecutive ones close the connection.
 
-        Each costs as much as a request, so megabytes of small commands that are no requests would cost more
-        than all others' requests.
+        Each costs as much as a request, so megabytes of small bad commands would cost more than the requests
+        of all other clients.
         """
         client.bad_commands += 1
         if client.bad_commands >= MAX_BAD_COMMANDS:
-            client.take_no_more_commands()
+            client.stop_taking_commands()
         client.reply(reply)
--- a/quota_gateway/net/clients/commands.py
+++ b/quota_gateway/net/clients/commands.py
@@ -1,4 +1,4 @@
-"""Commands of clients: from the words of a RESP array to a request. No sockets here."""
+"""Converts a client's command, an array of words, into a request. Does no I/O."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 GET = b"CALL.GET"
 POST = b"CALL.POST"
-WORDS = {GET: 4, POST: 5}  # of each command: its name, customer, request id, fields, and a body
+WORD_COUNTS = {GET: 4, POST: 5}  # name, customer, request id, fields and, for CALL.POST, the body
 
-# The decisions answer some ticks before what remains: FINAL_ANSWER_TICKS in policy/responses.py.
-CLIENT_MARGIN_MS = 10.0  # kept of a client's timeout: the network both ways, and a loop that is late
+# Subtracted from a client's timeout to allow for the network in both directions and a late event loop. The
+# final answer is due another FINAL_ANSWER_TICKS (policy/responses.py) before the time that remains.
+CLIENT_MARGIN_MS = 10.0
 MAX_CUSTOMER_NUMBER = (1 << 33) - 1
 CUSTOMER_DIGITS = 16
 MAX_REQUEST_ID_BYTES = 64
@@ -22,25 +23,25 @@
 MAX_FIELD_VALUE = 1e6
 MIN_UNITS = 1e-6
 
-# Names of the fields, as the protocol has them.
-CLASS_FIELD = b"c"
-PLAN_FIELD = b"t"
-KEY_FIELD = b"k"
-TIMEOUT_FIELD = b"d"
+# Field names of the protocol.
+CLASS_FIELD = b"c"  # name of the request's class
+PLAN_FIELD = b"t"  # name of the customer's plan
+KEY_FIELD = b"k"  # idempotency key
+TIMEOUT_FIELD = b"d"  # how long the client waits, in milliseconds
 UNITS_FIELD = b"units"
-SPAN_FIELD = b"spread"
-FIRST_FIELD = b"first"
-RETRY_FIELD = b"r"
+GATEWAYS_FIELD = b"spread"  # through how many gateways the customer's requests may come
+FIRST_GATEWAY_FIELD = b"first"  # the first of these gateways
+RETRY_FIELD = b"r"  # 1 if the client retries a request
 
 
 class CommandError(ProtocolError):
-    """A command that is answered with an error line; the connection stays open."""
+    """A command that is answered with an error; the connection stays open."""
 
 
 class CallCommand(NamedTuple):
     """A request as its client sent it.
 
-    ``encode`` yields the command for a server, with the milliseconds that are left to it.
+    ``encode`` gives the command for a server, from the milliseconds that are left for it.
     """
 
     request: api.Request
@@ -49,7 +50,7 @@
 
 
 class CommandParser:
-    """Reads CALL.GET and CALL.POST by the settings in force."""
+    """Parses CALL.GET and CALL.POST according to the current settings."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.gateways = settings.gateways
@@ -57,12 +58,15 @@
         self.plans = {item.name.encode(): item.name for item in settings.plans}
 
     def parse(self, command: list[bytes], waited_ms: float = 0.0) -> CallCommand:
-        """The request in a command that has waited here for so long. Raises ProtocolError or ValueError."""
+        """The request of a command that has waited in the gateway for ``waited_ms``.
+
+        Raises CommandError for a malformed command, or ValueError for a value that ``api.Request`` rejects.
+        """
         name = command[0].upper()
-        if len(command) != WORDS[name]:
+        if len(command) != WORD_COUNTS[name]:
             raise CommandError(f"wrong number of arguments for {name.decode()}")
-        _, customer, request_id, listed = command[:4]
-        fields = _fields(listed)
+        _, customer, request_id, field_list = command[:4]
+        fields = _fields(field_list)
         request_class = self.classes.get(fields.get(CLASS_FIELD, b""))
         plan = self.plans.get(fields.get(PLAN_FIELD, b""))
         if request_class is None or plan is None:
@@ -76,17 +80,17 @@
             customer=_customer(customer),
             client_timeout_ms=max(0.0, timeout_ms - CLIENT_MARGIN_MS - waited_ms),
             units=_number(fields, UNITS_FIELD, "1", MIN_UNITS, MAX_FIELD_VALUE),
-            requested_gateways=int(_number(fields, SPAN_FIELD, str(self.gateways), 1, MAX_FIELD_VALUE)),
-            first_gateway=int(_number(fields, FIRST_FIELD, "0", 0, MAX_FIELD_VALUE)),
+            requested_gateways=int(_number(fields, GATEWAYS_FIELD, str(self.gateways), 1, MAX_FIELD_VALUE)),
+            first_gateway=int(_number(fields, FIRST_GATEWAY_FIELD, "0", 0, MAX_FIELD_VALUE)),
             is_retry=fields.get(RETRY_FIELD) == b"1",
             is_write=name == POST,
         )
-        return CallCommand(request, _encoder(name, command, listed), request_class.latency_objective_ms)
+        return CallCommand(request, _encoder(name, command, field_list), request_class.latency_objective_ms)
 
     def _check_idempotency(
         self, name: bytes, request_class: api.RequestClass, fields: dict[bytes, bytes]
     ) -> None:
-        """CALL.GET is for idempotent classes only, CALL.POST for the others; a key is sent where needed."""
+        """CALL.GET requires an idempotent class, CALL.POST any other; a keyed class requires a key."""
         is_idempotent = request_class.idempotency is api.Idempotency.IDEMPOTENT
         if (name == POST) == is_idempotent:
             raise CommandError("the class does not go with the command")
@@ -94,9 +98,9 @@
             raise CommandError("a keyed class without a key")
 
 
-def _fields(listed: bytes) -> dict[bytes, bytes]:
+def _fields(field_list: bytes) -> dict[bytes, bytes]:
     fields = {}
-    for part in listed.split(b","):
+    for part in field_list.split(b","):
         name, equals, value = part.partition(b"=")
         if not equals or not name or name in fields:
             raise CommandError("bad list of names and values")
@@ -133,13 +137,13 @@
     return text.decode("ascii")
 
 
-def _encoder(name: bytes, command: list[bytes], listed: bytes) -> Callable[[float], bytes]:
-    """The command for a server: unchanged but for the timeout field, which says what is left."""
-    parts = listed.split(b",")
-    timeout_at = next(number for number, part in enumerate(parts) if part.startswith(TIMEOUT_FIELD + b"="))
+def _encoder(name: bytes, command: list[bytes], field_list: bytes) -> Callable[[float], bytes]:
+    """Return a builder of the command for a server, unchanged except for the timeout, the time left."""
+    parts = field_list.split(b",")
+    timeout_index = next(number for number, part in enumerate(parts) if part.startswith(TIMEOUT_FIELD + b"="))
 
     def encode(timeout_ms: float) -> bytes:
-        parts[timeout_at] = TIMEOUT_FIELD + b"=%d" % max(1, int(timeout_ms))
+        parts[timeout_index] = TIMEOUT_FIELD + b"=%d" % max(1, int(timeout_ms))
         words = [name, command[1], command[2], b",".join(parts), *command[4:]]
         return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(word), word) for word in words)
 
--- a/quota_gateway/net/clients/listener.py
+++ b/quota_gateway/net/clients/listener.py
@@ -6,16 +6,16 @@
 import errno
 import socket
 
-BACKLOG = 1024  # connections that wait to be accepted
-BIND_TIMEOUT_S = 10.0  # for the address to become free
-BIND_INTERVAL_S = 0.1
+BACKLOG = 1024  # connections that may wait to be accepted
+BIND_TIMEOUT_S = 10.0  # how long to wait for the address to become free
+BIND_INTERVAL_S = 0.1  # between two attempts
 
 
 async def bind(host: str, port: int) -> socket.socket:
-    """A listener of our own, as soon as the address is free. Raises OSError.
+    """Bind a new listening socket as soon as the address is free. Raises OSError.
 
-    A process before this one that could not hand over still listens there; it will be stopped, and this one
-    must be there then.
+    A previous process that could not hand over its socket may still listen on the address. It will be
+    stopped, and this process must start to listen then.
     """
     loop = asyncio.get_running_loop()
     end = loop.time() + BIND_TIMEOUT_S
--- a/quota_gateway/net/clients/read_throttle.py
+++ b/quota_gateway/net/clients/read_throttle.py
@@ -1,4 +1,4 @@
-"""Whether a client's connection is read, by what of it is held here already."""
+"""Pauses reading from a client while the gateway holds too many bytes of it."""
 
 from __future__ import annotations
 
@@ -7,43 +7,43 @@
 from quota_gateway.net.clients.budget import ByteBudget
 
 READ_BYTES = 64 * 1024
-MAX_DISCARDED_BYTES = 1024 * 1024  # read behind the last command: a peer that sends more is no client
+MAX_DISCARDED_BYTES = 1024 * 1024  # read after the last command; no real client sends more
 
 
 class ReadThrottle:
-    """Pauses and resumes the reading of one connection.
+    """Pauses and resumes reading from one connection.
 
-    A connection is read as long as there is capacity for what comes: the client's end is seen only behind
-    its data, and once it is seen, commands that are not forwarded yet are dropped.
+    A connection is read as long as there is capacity for more bytes: a disconnect is only detected after all
+    data before it has been read, and then commands that were not forwarded yet are dropped.
     """
 
     __slots__ = ("_waiting_budget", "_waiting_bytes", "discarded_bytes", "is_paused")
 
     def __init__(self, waiting_budget: ByteBudget) -> None:
-        self._waiting_budget = waiting_budget  # over all clients
-        self._waiting_bytes = 0  # of commands behind the most that may be in flight
-        self.discarded_bytes = 0  # that came behind the last command
+        self._waiting_budget = waiting_budget  # shared by all clients
+        self._waiting_bytes = 0  # of commands that wait because the maximum is in flight
+        self.discarded_bytes = 0  # received after the last command
         self.is_paused = False
 
     def set_waiting(self, waiting_bytes: int) -> None:
-        """Count the bytes of commands that are read and wait."""
+        """Set the number of bytes of commands that were read and wait."""
         self._waiting_budget.add(waiting_bytes - self._waiting_bytes)
         self._waiting_bytes = waiting_bytes
 
     def is_over_budget(self) -> bool:
-        """Whether too much waits over all clients, and a read's worth of it is from this one."""
+        """Whether the budget of all clients is used up and at least one full read of it is this client's."""
         return self._waiting_bytes >= READ_BYTES and self._waiting_budget.is_exhausted()
 
     def is_discard_exhausted(self) -> bool:
-        """Whether the client has sent more behind its last command than is read."""
+        """Whether more bytes were discarded after the last command than the limit allows."""
         return self.discarded_bytes > MAX_DISCARDED_BYTES
 
-    def apply(self, transport: asyncio.Transport, is_pause_due: bool) -> None:
-        """Pause or resume reading, where it changes."""
-        if is_pause_due == self.is_paused:
+    def apply(self, transport: asyncio.Transport, should_pause: bool) -> None:
+        """Pause or resume reading if the state changes."""
+        if should_pause == self.is_paused:
             return
-        self.is_paused = is_pause_due
-        if is_pause_due:
+        self.is_paused = should_pause
+        if should_pause:
             transport.pause_reading()
         else:
             transport.resume_reading()
--- a/quota_gateway/net/clients/registry.py
+++ b/quota_gateway/net/clients/registry.py
@@ -1,4 +1,4 @@
-"""All clients' connections: how they are accepted, limited, passed on and closed."""
+"""Accepts, limits, transfers and closes the connections of all clients."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from quota_gateway.net.close_reason import CloseReason
 from quota_gateway.net.driver import Driver
 
-MAX_WAITING_BYTES = 2 * 1024 * 1024  # read behind the most commands that may be in flight
-MAX_UNSENT_BYTES = 8 * 1024 * 1024  # of replies that clients have not taken
-MAX_LINGERING = 16  # connections that only discard what still comes, beyond those that may be open
-SHUTDOWN_GRACE_S = 0.25  # for half-read commands and new connections, once the shutdown closes the others
-SWEEP_INTERVAL_S = 0.1  # between two looks at idle connections while they are not wanted
+MAX_WAITING_BYTES = 2 * 1024 * 1024  # read, but waiting as the maximum of commands is in flight
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # of replies that wait to be written
+MAX_LINGERING = 16  # half-closed connections allowed in addition to the limit on open ones
+SHUTDOWN_GRACE_S = 0.25  # for partly read commands and new connections, once idle ones are closed
+SWEEP_INTERVAL_S = 0.1  # between two checks for connections that are idle for too long
 
 LOADING_REPLY = b"-LOADING the list of servers is not known yet\r\n"
 DRAINING_REPLY = b"-DRAINING clients are served elsewhere\r\n"
@@ -29,7 +29,7 @@
 
 
 class ClientRegistry:
-    """The listener for clients and every connection that it accepted or that was adopted."""
+    """The listener for clients and all their connections, accepted here or adopted from another process."""
 
     def __init__(self, driver: Driver, settings: api.Settings, most_connections: int) -> None:
         self.driver = driver
@@ -37,111 +37,114 @@
         self.most_connections = most_connections
         self.loop = asyncio.get_running_loop()
         self.buffer = memoryview(bytearray(READ_BYTES))
-        self.connections: OrderedDict[Client, None] = OrderedDict()  # the longest unused first
-        self.lingering: dict[Client, None] = {}  # closed, but for what still comes on them
-        self.adopting: set[asyncio.Task[None]] = set()  # of connections that are accepted, but not up yet
+        self.connections: OrderedDict[Client, None] = OrderedDict()  # least recently used first
+        self.lingering: dict[Client, None] = {}  # half-closed connections, whose input is discarded
+        self.adopting: set[asyncio.Task[None]] = set()  # of accepted sockets without a transport yet
         self.waiting = ByteBudget(MAX_WAITING_BYTES)
         self.unsent = ByteBudget(MAX_UNSENT_BYTES)
 
         # The listener
         self.listener: socket.socket | None = None
-        self.server: asyncio.Server | None = None  # accepts on a copy of the listener
+        self.server: asyncio.Server | None = None  # accepts on a duplicate of the listener
 
-        # Whether clients are wanted
-        self.ready = False  # the list of servers is known
+        # What the load balancer is told, and when connections are closed
+        self.ready = False  # the list of servers has been received
         self.serving = True  # the load balancer may send clients
-        self.idle_timeout_s = inf  # for which a connection is kept without a request
+        self.idle_timeout_s = inf  # how long a connection may stay open without a request
         self.sweep_timer: asyncio.TimerHandle | None = None
         self.is_shutting_down = False  # the shutdown has begun
-        self.grace_is_over = False  # the shutdown waits no longer for what is on its way
+        self.grace_is_over = False  # the shutdown no longer waits for commands to arrive
 
-        # Hot restart and failover: never both, so each callback has one owner (process/builder.py)
-        self.peer_connections = 0  # connections that the process before this one still holds
-        self.transfer: Callable[[Client, int], bool] | None = None  # passes a connection to the next process
+        # Hot restart and failover are never both in use, so each callback has one owner (process/builder.py)
+        self.peer_connections = 0  # connections that the predecessor still has
+        self.transfer: Callable[[Client, int], bool] | None = None  # to the successor; returns success
         self.on_opened: Callable[[Client], None] | None = None
         self.on_closed: Callable[[Client], None] | None = None
-        self.on_all_answered: Callable[[Client], None] | None = None  # nothing read on it is pending
+        self.on_all_answered: Callable[[Client], None] | None = None  # all commands read are answered
 
     # ---- Accepting
 
     async def listen(self, host: str, port: int, passed: socket.socket | None = None) -> None:
-        """Listen on this address only, or on the socket that was passed on and listens there."""
+        """Listen on this address only, or on a passed socket that already listens there."""
         self.listener = passed or await bind(host, port)
         await self.accept()
 
     async def accept(self) -> None:
-        """Accept, on a copy of the listener: when that is closed, the listener's queue goes on filling."""
+        """Accept on a duplicate of the listener, which keeps queueing connections when that is closed."""
         if self.listener and not self.server:
             self.server = await self.loop.create_server(
                 lambda: Client(self), sock=self.listener.dup(), backlog=BACKLOG
             )
 
     def stop_accepting(self) -> None:
-        """Leave connections in the listener's queue to another process, or to later."""
+        """Stop accepting; queued connections stay for another process, or until this one accepts again."""
         if self.server:
             self.server.close()
             self.server = None
 
     def adopt(
-        self, sock: socket.socket, asked: bool, waited_s: float, retained_id: int = 0
+        self, sock: socket.socket, had_request: bool, waited_s: float, retained_id: int = 0
     ) -> asyncio.Task[None]:
-        """Take over a connection that is accepted already.
+        """Take over a connection that is already accepted.
 
-        ``asked``: whether a request had come on it; ``waited_s``: for how long it has been open;
-        ``retained_id``: the number of the copy that the process before keeps, 0 for none.
+        ``had_request``: whether a request was received on it; ``waited_s``: for how long it has been open;
+        ``retained_id``: the id of the copy that the predecessor keeps, 0 for none.
         """
         client = Client(self, waited_s)
-        client.has_requested = asked
+        client.has_requested = had_request
         client.retained_id = retained_id
-        task = self.loop.create_task(self._bring_up(client, sock))
+        task = self.loop.create_task(self._attach_socket(client, sock))
         self.adopting.add(task)
         task.add_done_callback(self.adopting.discard)
         return task
 
-    async def _bring_up(self, client: Client, sock: socket.socket) -> None:
+    async def _attach_socket(self, client: Client, sock: socket.socket) -> None:
         try:
             await self.loop.connect_accepted_socket(lambda: client, sock)
         except OSError:
             sock.close()
 
     def try_to_transfer(self, client: Client) -> None:
-        """Pass a connection on to the next process, if it is between requests."""
+        """Transfer a connection to the successor if it is between requests."""
         if self.transfer and client.transport and client.is_transferable():
             sock = client.transport.get_extra_info("socket")
             if self.transfer(client, sock.fileno()):
                 client.detach()
 
-    # ---- Whether clients are wanted
+    # ---- Load balancer and idle connections
 
     def ping_reply(self) -> bytes:
-        """Reply to PING, by which the load balancer decides: PONG only once the servers are known."""
+        """Reply to PING, which tells the load balancer whether to send clients to this gateway.
+
+        The reply is PONG only once the list of servers is known.
+        """
         if not self.ready:
             return LOADING_REPLY
         return PONG_REPLY if self.serving else DRAINING_REPLY
 
     def set_serving(self, action: api.SetServing) -> None:
-        """Tell the load balancer whether to send clients; close connections that are idle for longer."""
+        """Set whether the load balancer sends clients; close connections that are idle for too long."""
         self.serving = action.serving
         self.idle_timeout_s = action.keep_idle_ms / 1000.0
         if self.sweep_timer is None and self.idle_timeout_s < inf:
             self._sweep()
 
     def _sweep(self) -> None:
-        """Close what has been idle for too long; within a command only at a drain's last step."""
+        """Close connections idle for too long; those within a command only at the last step of a drain."""
         self.sweep_timer = None
         if self.idle_timeout_s == inf:
             return
         latest = self.loop.time() - self.idle_timeout_s
         is_last_drain_step = self.idle_timeout_s == 0.0
-        for client in [one for one in self.connections if one.idle_since <= latest]:
+        for client in [candidate for candidate in self.connections if candidate.idle_since <= latest]:
             if is_last_drain_step or not client.stream.is_within_command():
                 client.close_idle()
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def reconfigure(self, settings: api.Settings, most_connections: int) -> None:
-        """Apply new settings; beyond the limit idle connections are closed, the longest unused first.
+        """Apply new settings; above the limit idle connections are closed, least recently used first.
 
-        A connection with requests in flight is closed once they have been answered.
+        If still too many are left, those with requests in flight are closed once these are answered.
         """
         self.dispatcher.reconfigure(settings)
         self.most_connections = most_connections
@@ -151,20 +154,21 @@
             if client.is_idle():
                 client.close()
 
-    def is_unwanted(self) -> bool:
-        """Whether connections are closed as soon as nothing is owed on them."""
+    def should_close_idle(self) -> bool:
+        """Whether connections are closed as soon as no reply is pending on them."""
         return self.idle_timeout_s < inf or self.is_over_limit()
 
     def is_over_limit(self) -> bool:
-        """Whether there are more connections than there may be."""
+        """Whether there are more connections than the limit allows."""
         return len(self.connections) + self.peer_connections > self.most_connections
 
     # ---- Limits
 
-    def opened(self, client: Client) -> None:
-        """Count a new connection; beyond the limit an idle one is closed, or else the new one.
+    def register(self, client: Client) -> None:
+        """Add a new connection; above the limit an idle one is closed, or else the new one.
 
-        Without a limit the process would run out of descriptors, which its connections to servers need too.
+        Without a limit the process would run out of file descriptors, which its connections to servers need
+        too.
         """
         self.connections[client] = None
         if self.on_opened:
@@ -174,11 +178,11 @@
         evicted = self._eviction_candidate(client)
         if evicted is client:
             client.reject_over_limit()
-        evicted.close()  # counted no more, so the next new connection finds another one
+        evicted.close()  # also unregisters it, so the next new connection evicts another one
         self._limit_lingering()
 
     def _eviction_candidate(self, newest: Client) -> Client:
-        """The longest unused connection that is idle, else one on which nothing is owed, else the newest."""
+        """The least recently used idle connection, else one without a pending reply, else the newest."""
         for client in self.connections:
             if client is not newest and client.is_idle():
                 return client
@@ -196,17 +200,17 @@
             oldest.end_lingering()
 
     def enforce_unsent_budget(self) -> None:
-        """Close the client that holds most, if more reply bytes wait to be written than may.
+        """If too many reply bytes wait to be written, abort the connection that holds most of them.
 
-        Clients that write many requests and read no replies hold little each, and together too much.
+        Many clients that send requests without reading the replies hold little each, but too much together.
         """
         if self.unsent.is_exceeded():
             most = max(self.connections, key=lambda client: client.replies.unsent_bytes, default=None)
             if most:
                 most.abort(CloseReason.UNSENT_BUDGET)
 
-    def uncount(self, client: Client) -> None:
-        """Remove a connection from the count: it has ended, or only discards what still comes."""
+    def unregister(self, client: Client) -> None:
+        """Remove a connection from the open ones: it has ended, was transferred or is lingering."""
         self.connections.pop(client, None)
         if self.on_closed:
             self.on_closed(client)
@@ -214,7 +218,7 @@
     # ---- Shutdown
 
     def stop_listening(self) -> None:
-        """Accept no more than has come, and close each connection once nothing is owed on it."""
+        """Accept the queued connections and no more, and close each connection once no reply is pending."""
         if self.listener:
             if self.server:
                 self._accept_queued(self.listener)
@@ -227,7 +231,7 @@
         self.loop.call_later(SHUTDOWN_GRACE_S, self._end_grace)
 
     def _accept_queued(self, listener: socket.socket) -> None:
-        """Accept all that wait in the listener's queue: closing it would reset them, requests and all."""
+        """Accept all queued connections: closing the listener would reset them and lose their requests."""
         listener.setblocking(False)
         while True:
             try:
@@ -238,7 +242,7 @@
             self.adopt(sock, False, 0.0)
 
     def _end_grace(self) -> None:
-        """Close each connection on which no complete command has come: its client retries elsewhere."""
+        """Close each connection that has no complete command; its client retries elsewhere."""
         self.grace_is_over = True
         for client in list(self.connections):
             client.flush()
@@ -248,6 +252,6 @@
         return not (self.connections or self.lingering or self.adopting)
 
     def abort(self) -> None:
-        """Close what is left, at the very end."""
+        """Abort all remaining connections when the process ends."""
         for client in [*self.connections, *self.lingering]:
             client.abort(CloseReason.PROCESS_END)
--- a/quota_gateway/net/clients/replies.py
+++ b/quota_gateway/net/clients/replies.py
@@ -1,4 +1,4 @@
-"""Replies to a client's commands, which go out in the order of the commands."""
+"""The reply to one command of a client: complete, or streamed from a server."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ReplySlot:
-    """Place of a command's reply in the order of its connection."""
+    """A command's position in the order of replies, and its reply once there is one."""
 
     __slots__ = ("connection", "answer", "request_id", "value")
 
@@ -22,13 +22,13 @@
         self.value: StreamedValue | None = None
 
     def fill(self, answer: bytes) -> None:
-        """Take the command's one reply. Not called once the client is gone: the driver drops the answer."""
+        """Set the command's reply. Not called after a disconnect, as the driver then drops the answer."""
         self.answer = answer
-        self.connection.owe(len(answer))
+        self.connection.add_unsent_bytes(len(answer))
         self.connection.flush()
 
     def begin(self, length: int, source: Source) -> StreamedValue | None:
-        """Begin the command's one reply as a streamed value; None if the client has gone."""
+        """Begin the command's reply as a streamed value; None if the client has disconnected."""
         if not self.connection.can_write_replies():
             return None
         self.value = StreamedValue(self.connection, length, source)
@@ -37,10 +37,10 @@
 
 
 class StreamedValue:
-    """A long value on its way to a client.
+    """A long value that is passed on to a client as it arrives from a server.
 
-    Its source is paused until the value's turn in the order of replies has come, and while the client takes
-    nothing: at most one read of the source is held here.
+    Its source is paused until all earlier replies are written, and while the client reads nothing, so at most
+    one read of the source is buffered here.
     """
 
     def __init__(self, connection: Client, length: int, source: Source) -> None:
@@ -51,7 +51,7 @@
         self.is_complete = False
 
     def write(self, data: bytes) -> None:
-        """Take the next piece; nothing is kept for a client that has gone."""
+        """Add the next piece; it is dropped if the client has disconnected."""
         if not self.connection.can_write_replies():
             return
         self.buffered += data
@@ -60,15 +60,15 @@
             self.source.pause()
 
     def end(self, whole: bool) -> None:
-        """Take note that no more comes."""
+        """End the value; ``whole``: it is complete."""
         self.has_ended = True
         self.is_complete = whole
         if whole:
             self.buffered += b"\r\n"
         self.connection.flush()
 
-    def take(self) -> bytes:
-        """Everything that may be written now; nothing of it is held any more."""
-        held = self.buffered
+    def take_buffered(self) -> bytes:
+        """Return the buffered bytes and clear the buffer."""
+        pending = self.buffered
         self.buffered = b""
-        return held
+        return pending
--- a/quota_gateway/net/clients/reply_queue.py
+++ b/quota_gateway/net/clients/reply_queue.py
@@ -1,4 +1,4 @@
-"""The replies that one client is owed, and how they are written."""
+"""Queues the pending replies of one client and writes them in order."""
 
 from __future__ import annotations
 
@@ -9,42 +9,42 @@
 from quota_gateway.net.clients.budget import ByteBudget
 from quota_gateway.net.clients.replies import ReplySlot, StreamedValue
 
-MAX_PIPELINED = 64  # commands of one connection in flight; more are read up to a bound, and wait
+MAX_PIPELINED = 64  # commands of one connection in flight; more are read up to a limit, and wait
 
 
 class WriteOutcome(Enum):
-    """How writing what is due has ended."""
+    """Result of writing the replies that are due."""
 
-    DONE = "done"  # nothing more is due, or the client takes no more for now
-    VALUE_BROKE_OFF = "value broke off"  # the connection has to end: nothing else tells the client
+    DONE = "done"  # nothing more is due, or the write buffer is full
+    VALUE_BROKE_OFF = "value broke off"  # incomplete; only closing tells the client
     CONNECTION_CLOSING = "connection closing"
 
 
 class ReplyQueue:
-    """Replies in the order of their commands, and the bytes of those that are not written yet."""
+    """Replies in the order of their commands, and the number of bytes that are not written yet."""
 
     __slots__ = ("_unsent_budget", "slots", "is_stuck", "unsent_bytes", "total_written_bytes")
 
     def __init__(self, unsent_budget: ByteBudget) -> None:
-        self._unsent_budget = unsent_budget  # over all clients
+        self._unsent_budget = unsent_budget  # shared by all clients
         self.slots: deque[ReplySlot] = deque()
-        # The client does not take its replies: the transport holds more than its high-water mark, 64 KiB or,
-        # behind a streamed value, nothing.
+        # The client does not read its replies: the transport buffers more than its high-water mark, which is
+        # 64 KiB, or 0 from the first streamed value on.
         self.is_stuck = False
-        self.unsent_bytes = 0  # of replies that wait for their turn; not of streamed values
-        self.total_written_bytes = 0  # in all
+        self.unsent_bytes = 0  # of replies that wait for earlier ones; without streamed values
+        self.total_written_bytes = 0
 
     def is_full(self) -> bool:
-        """Whether as many commands are in flight as may be."""
+        """Whether the maximum of commands is in flight."""
         return len(self.slots) >= MAX_PIPELINED
 
     def count_unsent(self, added_bytes: int) -> None:
-        """Count bytes of replies that wait for their turn; negative as they go to the transport."""
+        """Add to the bytes that wait to be written; negative when they are written or dropped."""
         self.unsent_bytes += added_bytes
         self._unsent_budget.add(added_bytes)
 
     def drop_all(self) -> deque[ReplySlot]:
-        """Forget all replies, as nobody waits for them any more; returns their places."""
+        """Drop all replies of a client that no longer waits for them; returns their slots."""
         slots = self.slots
         self.slots = deque()
         self.count_unsent(-self.unsent_bytes)
@@ -71,12 +71,12 @@
         return WriteOutcome.DONE
 
     def _stream(self, value: StreamedValue, transport: asyncio.Transport) -> None:
-        """Write what there is of a streamed value; its source goes on while the client takes everything."""
-        # From now on, a write that leaves anything over calls ``pause_writing`` at once.
+        """Write the buffered part of a streamed value; resume its source unless the write buffer is full."""
+        # From now on, a write that leaves bytes in the buffer calls ``pause_writing`` immediately.
         transport.set_write_buffer_limits(0)
-        held = value.take()
-        if held:
-            self._write(held, transport)
+        pending = value.take_buffered()
+        if pending:
+            self._write(pending, transport)
         if not value.has_ended and not self.is_stuck:
             value.source.resume()
 
--- a/quota_gateway/net/clients/stall_timer.py
+++ b/quota_gateway/net/clients/stall_timer.py
@@ -1,17 +1,18 @@
-"""Gives up a client that takes none of its replies."""
+"""Detects a client that reads none of its replies."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 
-STALL_TIMEOUT_S = 15.0  # a client that takes no byte of its replies for so long is gone
+STALL_TIMEOUT_S = 15.0  # a client that reads no byte of its replies for this long counts as gone
 
 
 class StallTimer:
-    """Calls back when a peer took nothing from its transport for the timeout; a slow client takes some.
+    """Calls back when a peer has read nothing from its connection for the timeout; not if it reads slowly.
 
-    It looks once a timeout, so a stall is seen after one to two of them. Nothing may be written meanwhile.
+    Progress is checked once per timeout, so a stall is detected after one to two timeouts. It is measured by
+    the size of the write buffer, so nothing may be written while the timer runs.
     """
 
     __slots__ = ("_timer", "_buffered_bytes")
@@ -21,14 +22,14 @@
         self._buffered_bytes = 0
 
     def start(self, transport: asyncio.Transport, on_stalled: Callable[[], None]) -> None:
-        """Watch from now on."""
+        """Start watching the write buffer, from its current size."""
         self.cancel()
         self._buffered_bytes = transport.get_write_buffer_size()
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(STALL_TIMEOUT_S, self._on_timeout, transport, on_stalled)
 
     def cancel(self) -> None:
-        """Watch no more."""
+        """Stop watching."""
         if self._timer:
             self._timer.cancel()
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,5 +1,8 @@
-"""Two events that cross on a client's connection. Each crossing is forced by its order: bytes are in the
-gateway's kernel, unread, as the other event comes, which is a call between two turns of the loop."""
+"""Races between two events on a client's connection, such as a request that arrives during a close.
+
+Each race is forced by its order: bytes are in the gateway's kernel, unread, when the other event happens.
+That event is a call between two iterations of the event loop.
+"""
 
 import asyncio
 import socket
@@ -14,7 +17,7 @@
 from quota_gateway.net.clients import registry as registry_module
 from quota_gateway.net.clients.reply_queue import MAX_PIPELINED
 
-BUSY = b"-ERR max number of clients reached\r\n"
+TOO_MANY_CONNECTIONS = b"-ERR max number of clients reached\r\n"
 
 
 def bulk(value: bytes) -> bytes:
@@ -25,8 +28,8 @@
     return gateway.clients.listener.getsockname()[1]
 
 
-async def used(gateway, command: bytes = b"") -> Raw:
-    """A client that has been served and rests."""
+async def connect_and_request(gateway, command: bytes = b"") -> Raw:
+    """Connect a client that sends one request and reads its reply; it is idle afterwards."""
     raw = Raw(port(gateway))
     raw.send(command or call(900 + len(gateway.clients.connections)))
     assert await raw.read(len(bulk(b"v"))) == bulk(b"v")
@@ -44,44 +47,44 @@
 }
 
 
-@pytest.mark.parametrize("why", CLOSES)
+@pytest.mark.parametrize("close_event", CLOSES)
 @pytest.mark.parametrize("kind", ["read", "post", "buy"])
-def test_request_written_in_the_instant_of_a_close_is_served_and_the_end_comes_behind_its_answer(why, kind):
+def test_request_sent_just_before_a_close_is_served_and_the_close_follows_its_reply(close_event, kind):
     async def test():
         async with node(server()) as gateway:
-            raw, _ = await used(gateway), await used(gateway)
+            raw, _ = await connect_and_request(gateway), await connect_and_request(gateway)
             raw.send(call(1, kind))
-            CLOSES[why](gateway.clients)
+            CLOSES[close_event](gateway.clients)
             answer = bulk(b"v")
             assert await raw.read(len(answer)) == answer
-            if why != "fewer connections":
+            if close_event != "fewer connections":
                 assert await raw.rest() == (b"", "end")
 
     run(test())
 
 
-def test_connection_in_the_listeners_queue_at_the_stop_is_served():
+def test_connection_in_the_listener_queue_at_shutdown_is_served():
     async def test():
         async with node(server()) as gateway:
             raws = [Raw(port(gateway)) for _ in range(5)]
             for number, raw in enumerate(raws):
                 raw.send(call(number))
-            gateway.clients.stop_listening()  # before the loop could accept any of them
+            gateway.clients.stop_listening()  # before the event loop could accept any of them
             for raw in raws:
                 assert await raw.rest() == (bulk(b"v"), "end")
 
     run(test())
 
 
-@pytest.mark.parametrize("wrote", [True, False])
-def test_connection_that_was_reset_in_the_queue_does_not_hide_those_behind_it_at_the_stop(wrote):
+@pytest.mark.parametrize("request_sent", [True, False])
+def test_connection_reset_in_the_listener_queue_does_not_hide_later_ones_at_shutdown(request_sent):
     async def test():
         async with node(server()) as gateway:
             gone, behind = Raw(port(gateway)), Raw(port(gateway))
-            if wrote:
+            if request_sent:
                 gone.send(call(1))
             gone.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            gone.sock.close()  # by a reset
+            gone.sock.close()  # sends a reset
             behind.send(call(2))
             gateway.clients.stop_listening()
             assert await behind.rest() == (bulk(b"v"), "end")
@@ -90,7 +93,7 @@
     run(test())
 
 
-def test_new_connection_without_a_request_at_the_stop_may_still_send_it_for_a_moment(monkeypatch):
+def test_new_connection_may_send_its_first_request_in_the_grace_period_of_the_shutdown(monkeypatch):
     monkeypatch.setattr(registry_module, "SHUTDOWN_GRACE_S", 3600.0)
 
     async def test():
@@ -104,12 +107,12 @@
     run(test())
 
 
-def test_half_a_command_at_the_stop_is_served_if_its_rest_comes_soon(monkeypatch):
+def test_partial_command_at_shutdown_is_served_if_completed_in_the_grace_period(monkeypatch):
     monkeypatch.setattr(registry_module, "SHUTDOWN_GRACE_S", 3600.0)
 
     async def test():
         async with node(server()) as gateway:
-            raw, command = await used(gateway), call(1)
+            raw, command = await connect_and_request(gateway), call(1)
             raw.send(command[:20])
             await until(
                 lambda: any(client.stream.is_within_command() for client in gateway.clients.connections)
@@ -121,12 +124,12 @@
     run(test())
 
 
-def test_request_that_is_here_unread_at_the_last_moment_of_the_stop_is_served(monkeypatch):
+def test_unread_request_at_the_end_of_the_grace_period_is_served(monkeypatch):
     monkeypatch.setattr(registry_module, "SHUTDOWN_GRACE_S", 3600.0)
 
     async def test():
         async with node(server()) as gateway:
-            raws = [Raw(port(gateway)), await used(gateway)]
+            raws = [Raw(port(gateway)), await connect_and_request(gateway)]
             raws[1].send(call(1)[:20])
             await until(
                 lambda: any(client.stream.is_within_command() for client in gateway.clients.connections)
@@ -135,16 +138,16 @@
             await until(lambda: len(gateway.clients.connections) == 2)
             raws[0].send(call(2))
             raws[1].send(call(1)[20:])
-            gateway.clients._end_grace()  # before the loop could read any of them
+            gateway.clients._end_grace()  # before the event loop could read any of them
             for raw in raws:
                 assert await raw.rest() == (bulk(b"v"), "end")
 
     run(test())
 
 
-@pytest.mark.parametrize("asked", [True, False])
+@pytest.mark.parametrize("had_request", [True, False])
 @pytest.mark.parametrize("late", [False, True])
-def test_connection_that_is_taken_over_at_the_stop_is_served_and_ends(monkeypatch, asked, late):
+def test_connection_adopted_during_shutdown_is_served_and_closed(monkeypatch, had_request, late):
     monkeypatch.setattr(registry_module, "SHUTDOWN_GRACE_S", 3600.0)
 
     async def test():
@@ -157,7 +160,7 @@
                 sock, _ = listener.accept()
             sock.setblocking(False)
             raw.send(call(1))
-            gateway.clients.adopt(sock, asked, 0.0)
+            gateway.clients.adopt(sock, had_request, 0.0)
             assert not gateway.clients.has_ended()
             assert await raw.rest() == (bulk(b"v"), "end")
             await until(gateway.clients.has_ended)
@@ -166,21 +169,21 @@
 
 
 @pytest.mark.parametrize("parts", [1, 0])
-def test_command_whose_rest_comes_after_the_last_moment_of_the_stop_is_never_forwarded(monkeypatch, parts):
+def test_command_completed_after_the_grace_period_is_never_forwarded(monkeypatch, parts):
     monkeypatch.setattr(registry_module, "SHUTDOWN_GRACE_S", 0.0)
     monkeypatch.setattr(connection_module, "LINGER_S", 3600.0)
 
     async def test():
         fake = server()
         async with node(fake) as gateway:
-            raw, command = await used(gateway), call(1)
+            raw, command = await connect_and_request(gateway), call(1)
             served = len(fake.commands)
             raw.send(command[: 20 * parts])
             (client,) = gateway.clients.connections
             await until(lambda: client.stream.is_within_command() == bool(parts))
             gateway.clients.stop_listening()
             assert await raw.rest() == (b"", "end")
-            raw.send(command[20 * parts :], call(2))  # it crosses the end that the gateway has sent
+            raw.send(command[20 * parts :], call(2))  # arrives after the gateway has half-closed
             await until(lambda: client.throttle.discarded_bytes >= len(command) - 20 * parts)
             raw.sock.close()
             await until(lambda: not gateway.clients.lingering)
@@ -191,7 +194,7 @@
 
 
 @pytest.mark.parametrize("behind", [b"*4\r\n$8\r\nCALL", b"junk\r\n" * 20])
-def test_answer_that_the_client_has_not_taken_survives_bytes_that_cross_the_close(behind):
+def test_unread_reply_survives_bytes_that_arrive_during_the_close(behind):
     value = bytes(60_000)
 
     async def test():
@@ -208,7 +211,7 @@
     run(test())
 
 
-def test_new_connection_beyond_the_limit_gets_its_error_although_its_request_is_there():
+def test_new_connection_beyond_the_limit_gets_an_error_although_its_request_has_arrived():
     async def test():
         async with node(FakeServer(lambda words: None), most_connections=1) as gateway:
             busy = Raw(port(gateway))
@@ -216,27 +219,27 @@
             await until(lambda: len(gateway.driver.requests) == 1)
             raw = Raw(port(gateway))
             raw.send(call(2))
-            assert await raw.rest() == (BUSY, "end")
+            assert await raw.rest() == (TOO_MANY_CONNECTIONS, "end")
             assert list(gateway.driver.requests) == [f"{1:016x}"]
 
     run(test())
 
 
-def test_connection_with_a_request_unread_is_not_pushed_out_by_a_new_one():
+def test_connection_with_an_unread_request_is_not_evicted_for_a_new_one():
     async def test():
         async with node(server()) as gateway:
-            raw, newest = await used(gateway), await used(gateway)
+            raw, newest = await connect_and_request(gateway), await connect_and_request(gateway)
             gateway.clients.most_connections = 1
             raw.send(call(1))
-            gateway.clients.opened(list(gateway.clients.connections)[-1])
+            gateway.clients.register(list(gateway.clients.connections)[-1])
             answer = bulk(b"v")
             assert await raw.read(len(answer)) == answer
-            assert await newest.rest() == (BUSY, "end")
+            assert await newest.rest() == (TOO_MANY_CONNECTIONS, "end")
 
     run(test())
 
 
-def test_connections_that_linger_are_bounded(monkeypatch):
+def test_number_of_lingering_connections_is_limited(monkeypatch):
     monkeypatch.setattr(connection_module, "LINGER_S", 3600.0)
     monkeypatch.setattr(registry_module, "MAX_LINGERING", 2)
 
@@ -248,14 +251,14 @@
             raws = []
             for _ in range(6):
                 raws.append(Raw(port(gateway)))
-                assert await raws[-1].read(len(BUSY)) == BUSY
+                assert await raws[-1].read(len(TOO_MANY_CONNECTIONS)) == TOO_MANY_CONNECTIONS
             await until(lambda: len(gateway.clients.lingering) == 2)
             assert len(gateway.clients.connections) == 1
 
     run(test())
 
 
-def test_what_is_thrown_away_behind_a_close_is_bounded(monkeypatch):
+def test_input_discarded_after_a_close_is_limited(monkeypatch):
     monkeypatch.setattr(connection_module, "LINGER_S", 3600.0)
 
     async def test():
@@ -263,7 +266,7 @@
             raw = Raw(port(gateway))
             raw.send(b"junk\r\n")
             await until(lambda: bool(gateway.clients.lingering))
-            with pytest.raises(OSError):  # noqa: PT011, PT012  reset or broken pipe, by whichever write meets it
+            with pytest.raises(OSError):  # noqa: PT011, PT012  reset or broken pipe, depending on the write
                 while True:
                     raw.send(bytes(65536))
                     await asyncio.sleep(0)
@@ -280,7 +283,7 @@
     ],
     ids=["many", "long"],
 )
-def test_client_that_leaves_with_as_many_in_flight_as_may_be_is_noticed(more):
+def test_disconnect_of_a_client_with_the_maximum_in_flight_is_detected(more):
     async def test():
         fake = FakeServer(lambda words: None)
         async with node(fake) as gateway:
@@ -296,7 +299,7 @@
     run(test())
 
 
-def test_broken_peer_gets_its_error_whatever_it_sends_behind_it():
+def test_peer_gets_its_protocol_error_whatever_it_sends_afterwards():
     async def test():
         async with node(server()) as gateway:
             raw = Raw(port(gateway))
@@ -308,7 +311,7 @@
     run(test())
 
 
-def test_client_of_a_broken_command_that_leaves_while_the_one_before_it_is_in_flight_is_noticed():
+def test_disconnect_after_a_malformed_command_is_detected_while_an_earlier_request_is_in_flight():
     async def test():
         fake = FakeServer(lambda words: None)
         async with node(fake) as gateway:
@@ -324,10 +327,10 @@
 
 
 @pytest.mark.parametrize("kind", ["read", "post", "buy"])
-def test_time_that_a_command_waited_behind_as_many_as_may_be_in_flight_is_not_given_again(kind):
+def test_time_that_a_command_waited_for_the_maximum_in_flight_counts_towards_its_timeout(kind):
     first = range(MAX_PIPELINED)
     classes = tuple(
-        replace(one, latency_objective_ms=60_000.0, deadline_ms=60_000.0) for one in SETTINGS.classes
+        replace(item, latency_objective_ms=60_000.0, deadline_ms=60_000.0) for item in SETTINGS.classes
     )
 
     async def test():
@@ -341,31 +344,31 @@
             )
             await fake.until(lambda: len(fake.commands) == MAX_PIPELINED)
             (client,) = gateway.clients.connections
-            assert client.is_parsing_blocked  # both are read, and wait
+            assert client.is_parsing_blocked  # both were read and wait
             clock = gateway.driver.clock
             gateway.driver.clock = lambda: clock() + 2000.0
             for number in (0, 1):
-                at = [int(words[2], 16) for words in fake.commands].index(number)
-                fake.writers[fake.by[at]].write(array(b"v"))
+                position = [int(words[2], 16) for words in fake.commands].index(number)
+                fake.writers[fake.by[position]].write(array(b"v"))
             await until(lambda: gateway.driver.metrics.requests_total == MAX_PIPELINED + 2)
             await until(lambda: len(gateway.driver.requests) == MAX_PIPELINED - 2)
             behind = [words for words in fake.commands if int(words[2], 16) not in first]
-            assert [int(words[2], 16) for words in behind] == [1000]  # the other one's time is up
-            assert told(behind[0]) <= 4000
+            assert [int(words[2], 16) for words in behind] == [1000]  # the other one has timed out
+            assert sent_timeout_ms(behind[0]) <= 4000
 
     run(test())
 
 
-def told(words: list[bytes]) -> int:
-    """The time that a server was told, ms."""
+def sent_timeout_ms(words: list[bytes]) -> int:
+    """The timeout in a command that was sent to a server, in ms."""
     return int(dict(part.split(b"=") for part in words[3].split(b","))[b"d"])
 
 
 @pytest.mark.parametrize("can_cancel", [True, False])
-@pytest.mark.parametrize("leaves", [True, False])
+@pytest.mark.parametrize("disconnects", [True, False])
 @pytest.mark.parametrize("kind", ["read", "post", "buy"])
-@pytest.mark.parametrize("waits", ["held", "queued", "under a cap"])
-def test_request_whose_client_left_while_it_waited_is_never_forwarded(waits, kind, leaves, can_cancel):
+@pytest.mark.parametrize("waits_for", ["held", "queued", "under a cap"])
+def test_waiting_request_of_disconnected_client_is_never_forwarded(waits_for, kind, disconnects, can_cancel):
     plans = (Plan("free"), Plan("held", rate=4.0, burst=1.0), Plan("under a cap", max_in_flight=1))
     limits = replace(SETTINGS.limits, can_cancel=can_cancel)
 
@@ -373,8 +376,8 @@
         fake = FakeServer(lambda words: None if words[2].endswith(b"9") else array(b"v"))
         async with node(fake, plans=plans, limits=limits, gateways=1) as gateway:
             first, raw = Raw(port(gateway)), Raw(port(gateway))
-            plan = "free" if waits == "queued" else waits
-            if waits == "queued":
+            plan = "free" if waits_for == "queued" else waits_for
+            if waits_for == "queued":
                 gateway.told()  # no server is ready
             else:
                 first.send(call(9, "read", plan))
@@ -382,10 +385,10 @@
             raw.send(call(1, kind, plan))
             await until(lambda: f"{1:016x}" in gateway.driver.requests)
             before = len(fake.commands)
-            if leaves:
+            if disconnects:
                 raw.sock.close()
                 await until(lambda: gateway.driver.metrics.disconnected_total == 1)
-            match waits:  # what it waited for comes
+            match waits_for:  # whatever the request waits for happens
                 case "held":
                     clock = gateway.driver.clock
                     gateway.driver.clock = lambda: clock() + 1000.0
@@ -395,8 +398,8 @@
                 case "under a cap":
                     fake.writers[0].write(array(b"v"))
                     await until(lambda: f"{9:016x}" not in gateway.driver.requests)
-            if leaves:
-                await used(gateway, call(2, "read", "free"))  # a request behind it is served
+            if disconnects:
+                await connect_and_request(gateway, call(2, "read", "free"))  # a later request is served
                 assert [words[2] for words in fake.commands[before:]] == [b"%016x" % 2]
             else:
                 assert await raw.read(len(bulk(b"v"))) == bulk(b"v")
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -1,4 +1,4 @@
-"""What clients see: replies in order, invalid input, clients that leave or do not read."""
+"""Client connections: order of replies, invalid input, clients that disconnect or do not read."""
 
 import asyncio
 
@@ -12,11 +12,11 @@
 from quota_gateway.net.clients.reply_queue import MAX_PIPELINED
 from quota_gateway.net.declared_lengths import DeclaredLengths
 
-GOOD = "c=read,t=free,d=4000,units=1,spread=2,first=0"
-WHO, ID = "00000000b4d65521", "00000000000000aa"
+FIELDS = "c=read,t=free,d=4000,units=1,spread=2,first=0"
+CUSTOMER, REQUEST_ID = "00000000b4d65521", "00000000000000aa"
 
 
-def test_request_goes_on_unchanged_but_for_the_wait():
+def test_request_is_forwarded_unchanged_except_for_its_timeout():
     async def test():
         server = FakeServer(lambda words: array(b"val\r\nue"))
         async with node(server) as gateway:
@@ -25,7 +25,7 @@
             name, customer, request_id, fields, body = server.commands[0]
             assert (name, customer, request_id, body) == (
                 b"CALL.POST",
-                WHO.encode(),
+                CUSTOMER.encode(),
                 b"0000000000000001",
                 b"\x00\r\nx",
             )
@@ -43,7 +43,7 @@
     run(test())
 
 
-def test_command_in_single_bytes_and_a_body_of_64_kib():
+def test_command_sent_byte_by_byte_and_a_64_kib_body_are_served():
     async def test():
         server = FakeServer(lambda words: array(words[4]))
         async with node(server) as gateway:
@@ -68,7 +68,7 @@
             first = next(
                 n for n, words in zip(server.by, server.commands, strict=True) if words[2].endswith(b"1")
             )
-            # The second is answered first: it waits for its turn.
+            # The second request is answered first; its reply waits for that of the first.
             await until(lambda: len(gateway.driver.requests) == 1)
             server.writers[first].write(array(b"late"))
             assert await peer.reply() == b"late"
@@ -84,32 +84,32 @@
         ["NONSENSE"],
         ["HELLO", "3"],
         ["CALL.GET"],
-        ["CALL.GET", WHO, ID],
-        ["CALL.GET", WHO, ID, GOOD, "body"],
-        ["CALL.POST", WHO, ID, GOOD.replace("read", "buy")],
-        ["CALL.GET", "zz", ID, GOOD],
-        ["CALL.GET", "00000003b4d65521", ID, GOOD],
-        ["CALL.GET", WHO, "", GOOD],
-        ["CALL.GET", WHO, "a" * 65, GOOD],
-        ["CALL.GET", WHO, b"\xff\x00", GOOD],
-        ["CALL.GET", WHO, ID, ""],
-        ["CALL.GET", WHO, ID, "c"],
-        ["CALL.GET", WHO, ID, GOOD + ",c=read"],
-        ["CALL.GET", WHO, ID, GOOD.replace("read", "none")],
-        ["CALL.GET", WHO, ID, GOOD.replace("free", "none")],
-        ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=x")],
-        ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=nan")],
-        ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=-1")],
-        ["CALL.GET", WHO, ID, GOOD.replace("d=4000,", "")],
-        ["CALL.GET", WHO, ID, GOOD.replace("units=1", "units=inf")],
-        ["CALL.GET", WHO, ID, GOOD.replace("spread=2", "spread=0")],
-        ["CALL.GET", WHO, ID, GOOD.replace("read", "buy")],
-        ["CALL.POST", WHO, ID, GOOD, "body"],
-        ["CALL.POST", WHO, ID, GOOD.replace("read", "post"), "body"],
-        ["CALL.GET", WHO, ID, b"\xff" + GOOD.encode() + b"\xff=\xff"],
+        ["CALL.GET", CUSTOMER, REQUEST_ID],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, FIELDS, "body"],
+        ["CALL.POST", CUSTOMER, REQUEST_ID, FIELDS.replace("read", "buy")],
+        ["CALL.GET", "zz", REQUEST_ID, FIELDS],
+        ["CALL.GET", "00000003b4d65521", REQUEST_ID, FIELDS],
+        ["CALL.GET", CUSTOMER, "", FIELDS],
+        ["CALL.GET", CUSTOMER, "a" * 65, FIELDS],
+        ["CALL.GET", CUSTOMER, b"\xff\x00", FIELDS],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, ""],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, "c"],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, FIELDS + ",c=read"],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, FIELDS.replace("read", "none")],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, FIELDS.replace("free", "none")],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, FIELDS.replace("d=4000", "d=x")],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, FIELDS.replace("d=4000", "d=nan")],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, FIELDS.replace("d=4000", "d=-1")],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, FIELDS.replace("d=4000,", "")],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, FIELDS.replace("units=1", "units=inf")],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, FIELDS.replace("spread=2", "spread=0")],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, FIELDS.replace("read", "buy")],
+        ["CALL.POST", CUSTOMER, REQUEST_ID, FIELDS, "body"],
+        ["CALL.POST", CUSTOMER, REQUEST_ID, FIELDS.replace("read", "post"), "body"],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, b"\xff" + FIELDS.encode() + b"\xff=\xff"],
     ],
 )
-def test_bad_command_gets_an_error_and_the_connection_lives(words):
+def test_bad_command_gets_an_error_and_the_connection_stays_open(words):
     async def test():
         server = FakeServer()
         async with node(server) as gateway:
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize(
-    "junk",
+    "malformed",
     [
         b"GET / HTTP/1.1\r\n\r\n",
         b"*1\r\n$x\r\n",
@@ -137,12 +137,12 @@
         b"*1\r\n*1\r\n$4\r\nPING\r\n",
     ],
 )
-def test_broken_resp_gets_an_error_and_a_close_after_what_was_taken(junk):
+def test_malformed_resp_gets_an_error_and_a_close_after_the_earlier_replies(malformed):
     async def test():
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
             peer, other = await gateway.peer(), await gateway.peer()
-            peer.send(call(1), junk)
+            peer.send(call(1), malformed)
             await server.until(lambda: len(server.commands) == 1)
             server.writers[0].write(array(b"value"))
             assert await peer.reply() == b"value"
@@ -154,8 +154,8 @@
 
 
 @pytest.mark.parametrize(
-    "junk",
-    [  # each ends with the first byte that shows what it is
+    "malformed",
+    [  # each ends with the first byte that makes it invalid
         b"*100000000\r\n",
         b"*65\r\n",
         b"*2\r\n$4\r\nPING\r\n*",
@@ -164,50 +164,50 @@
         b"*000000000000000",
     ],
 )
-@pytest.mark.parametrize("cut", [1, 7, 100])
-def test_lengths_out_of_bounds_never_reach_the_parser(junk, cut):
+@pytest.mark.parametrize("chunk_size", [1, 7, 100])
+def test_lengths_out_of_bounds_never_reach_the_parser(malformed, chunk_size):
     async def test():
         async with node(FakeServer()) as gateway:
             peer = await gateway.peer()
-            sent = resp("PING") + junk
-            for at in range(0, len(sent), cut):
-                peer.send(sent[at : at + cut])
+            sent = resp("PING") + malformed
+            for start in range(0, len(sent), chunk_size):
+                peer.send(sent[start : start + chunk_size])
                 await asyncio.sleep(0)
             assert await peer.reply() == b"PONG"
-            assert (await peer.reply()).startswith("-ERR ")  # though the command is not whole
+            assert (await peer.reply()).startswith("-ERR ")  # although the command is incomplete
             assert await peer.reply() is None
 
     run(test())
 
 
-@pytest.mark.parametrize("cut", [1, 2, 3, 5, 17, 1000])
-def test_lengths_within_bounds_all_reach_the_parser(cut):
+@pytest.mark.parametrize("chunk_size", [1, 2, 3, 5, 17, 1000])
+def test_lengths_within_bounds_all_reach_the_parser(chunk_size):
     lengths = DeclaredLengths(MAX_WORD_BYTES)
     stream = call(1, "post", body=b"*9\r\n$9\r\n" * 9) + resp("PING") + resp("A", "", "c")
-    pieces = [stream[at : at + cut] for at in range(0, len(stream), cut)]
+    pieces = [stream[start : start + chunk_size] for start in range(0, len(stream), chunk_size)]
     assert [lengths.count_valid(piece) for piece in pieces] == [len(piece) for piece in pieces]
     assert not lengths.is_incomplete()
 
 
-@pytest.mark.parametrize("answers", [False, True])
-@pytest.mark.parametrize("cut", [1, 2, 3, 4, 5, 17, 1000])
+@pytest.mark.parametrize("is_replies", [False, True])
+@pytest.mark.parametrize("chunk_size", [1, 2, 3, 4, 5, 17, 1000])
 @pytest.mark.parametrize("end", [b"xy", b"\rx", b"x\n", b"\n\r", b"*1"])
-def test_word_without_a_lines_end_behind_it_never_reaches_the_parser_whole(answers, cut, end):
-    lengths, passed = DeclaredLengths(MAX_WORD_BYTES, answers), b""
+def test_word_without_its_line_end_is_never_completed_by_the_parser(is_replies, chunk_size, end):
+    lengths, accepted = DeclaredLengths(MAX_WORD_BYTES, is_replies), b""
     stream = b"*2\r\n$4\r\nPING\r\n$3\r\nabc" + end + b"*1\r\n$4\r\nPING\r\n"
-    for at in range(0, len(stream), cut):
-        piece = stream[at : at + cut]
-        good = lengths.count_valid(piece)
-        passed += piece[:good]
-        if good < len(piece):
+    for start in range(0, len(stream), chunk_size):
+        piece = stream[start : start + chunk_size]
+        valid = lengths.count_valid(piece)
+        accepted += piece[:valid]
+        if valid < len(piece):
             break
     parser = hiredis.Reader()
-    parser.feed(passed)
-    assert len(passed) < len(stream)
+    parser.feed(accepted)
+    assert len(accepted) < len(stream)
     assert parser.gets() is False
 
 
-def test_command_that_runs_on_beyond_its_declared_length_is_an_error_and_is_not_forwarded():
+def test_command_longer_than_declared_gets_an_error_and_is_not_forwarded():
     async def test():
         server = FakeServer()
         async with node(server) as gateway:
@@ -220,16 +220,16 @@
     run(test())
 
 
-def test_endless_row_of_bad_commands_is_cut_short_and_a_request_between_begins_it_anew():
+def test_consecutive_bad_commands_close_the_connection_and_a_request_resets_their_count():
     async def test():
         async with node(FakeServer()) as gateway:
-            peer, few = await gateway.peer(), (MAX_BAD_COMMANDS - 1) * [resp("JUNK")]
+            peer, bad_commands = await gateway.peer(), (MAX_BAD_COMMANDS - 1) * [resp("JUNK")]
             for number in range(3):
-                peer.send(*few, call(number))
-                for _ in few:
+                peer.send(*bad_commands, call(number))
+                for _ in bad_commands:
                     assert await peer.reply() == "-ERR unknown command"
                 assert await peer.reply() == b"%016x" % number
-            peer.send(*few, resp("CALL.GET"))
+            peer.send(*bad_commands, resp("CALL.GET"))
             for _ in range(MAX_BAD_COMMANDS):
                 assert (await peer.reply()).startswith("-ERR ")
             assert await peer.reply() is None
@@ -237,7 +237,7 @@
     run(test())
 
 
-def test_second_request_of_an_id_in_flight_is_an_error_and_the_first_is_served():
+def test_second_request_with_an_id_in_flight_gets_an_error_and_the_first_is_served():
     async def test():
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
@@ -251,7 +251,7 @@
     run(test())
 
 
-def test_client_that_leaves_ends_its_attempts_and_leaves_nothing_behind():
+def test_client_disconnect_ends_its_attempts_and_removes_all_its_state():
     async def test():
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
@@ -267,7 +267,7 @@
     run(test())
 
 
-def test_slow_reader_is_read_no_further_and_loses_nothing():
+def test_reading_pauses_while_a_client_is_slow_and_no_reply_is_lost():
     async def test():
         value = b"v" * 65536
         server = FakeServer(lambda words: array(words[2] + value))
@@ -286,7 +286,7 @@
     run(test())
 
 
-def test_beyond_the_quota_is_refused_at_once_and_not_sent():
+def test_request_beyond_the_quota_is_rejected_immediately_and_not_sent():
     async def test():
         server = FakeServer()
         async with node(server) as gateway:
@@ -299,7 +299,7 @@
     run(test())
 
 
-def test_connections_beyond_the_limit_push_out_idle_ones_and_then_get_an_error():
+def test_connection_beyond_the_limit_evicts_an_idle_one_or_else_gets_an_error():
     async def test():
         server = FakeServer(lambda words: None)
         async with node(server, most_connections=2) as gateway:
@@ -319,7 +319,7 @@
     run(test())
 
 
-def test_no_pong_before_the_list_is_known():
+def test_ping_gets_no_pong_before_the_server_list_is_known():
     async def test():
         async with node() as gateway:
             gateway.clients.ready = False
@@ -331,7 +331,7 @@
     run(test())
 
 
-def test_command_without_end_is_broken():
+def test_oversized_command_gets_an_error_and_other_clients_are_served():
     async def test():
         async with node(FakeServer()) as gateway:
             peer = await gateway.peer()
@@ -352,7 +352,7 @@
         resp("PING") + b"*4\r\n$8\r\nCALL.GET\r\n$",
     ],
 )
-def test_peer_without_a_whole_request_gets_a_close_and_for_half_a_command_an_error(monkeypatch, sent):
+def test_peer_without_a_complete_request_is_closed_with_an_error_for_a_partial_command(monkeypatch, sent):
     monkeypatch.setattr(command_timer_module, "COMMAND_TIMEOUT_S", 0.5)
 
     async def test():
@@ -369,27 +369,27 @@
     run(test())
 
 
-def test_client_that_has_asked_may_be_idle_or_wait_for_its_answer(monkeypatch):
+def test_client_that_sent_a_request_may_be_idle_or_wait_for_its_reply(monkeypatch):
     monkeypatch.setattr(command_timer_module, "COMMAND_TIMEOUT_S", 0.5)
 
     async def test():
         server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(b"value"))
         async with node(server) as gateway:
-            idle, waits = await gateway.peer(), await gateway.peer()
+            idle, waiting = await gateway.peer(), await gateway.peer()
             assert await idle.ask(call(2)) == b"value"
-            waits.send(call(1))
+            waiting.send(call(1))
             await server.until(lambda: len(server.commands) == 2)
-            late = await gateway.peer()  # times out after all that the others could be held to
+            late = await gateway.peer()  # times out later than the others would
             assert await late.reply() is None
             assert await idle.ask(call(3)) == b"value"
             for writer in server.writers:
                 writer.write(array(b"value"))
-            assert await waits.reply() == b"value"
+            assert await waiting.reply() == b"value"
 
     run(test())
 
 
-def test_commands_read_but_not_taken_yet_are_served_when_the_gateway_leaves():
+def test_commands_read_but_not_parsed_yet_are_served_at_shutdown():
     async def test():
         held = []
         server = FakeServer(lambda words: held.append(words) if len(held) < MAX_PIPELINED else array(b"v"))
@@ -405,7 +405,7 @@
                 if number != first:
                     writer.write(array(b"v"))
             await until(lambda: len(gateway.driver.requests) == 1)
-            server.writers[first].write(array(b"v"))  # all that are in hand are written at once
+            server.writers[first].write(array(b"v"))  # all replies that are due are written in one go
             for _ in range(MAX_PIPELINED + more):
                 assert await peer.reply() == b"v"
             assert await peer.reply() is None
@@ -413,7 +413,7 @@
     run(test())
 
 
-def test_several_new_connections_at_once_do_not_count_on_the_same_idle_one():
+def test_new_connections_at_once_do_not_evict_the_same_idle_one():
     async def test():
         async with node(FakeServer()) as gateway:
             peers = []
@@ -422,8 +422,8 @@
                 assert await peers[-1].ask(resp("PING")) == b"PONG"
             gateway.clients.most_connections = 1
             newest = list(gateway.clients.connections)[-1]
-            gateway.clients.opened(newest)
-            gateway.clients.opened(newest)  # before the loop could see the first one's end
+            gateway.clients.register(newest)
+            gateway.clients.register(newest)  # before the event loop has seen the first eviction
             assert await peers[0].reply() is None
             assert await peers[1].reply() is None
             assert await peers[2].ask(resp("PING")) == b"PONG"
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -1,4 +1,4 @@
-"""What became of each request that was read: one end for each, and a reason where the gateway ended it."""
+"""Each request that was read has exactly one outcome, with a reason if the gateway closed its connection."""
 
 import asyncio
 import random
@@ -12,10 +12,10 @@
 from quota_gateway.net.clients import stall_timer as stall_timer_module
 from quota_gateway.net.close_reason import CloseReason
 
-ROOM = 4096  # of a client's socket, and of the gateway's towards it
+SOCKET_BUFFER_BYTES = 4096  # of a client's receive buffer and the gateway's send buffer
 PONG = b"+PONG\r\n"
-LONG = 200_000  # more than the sockets of both ends hold
-LONG_VALUE = b"$%d\r\n" % LONG + bytes(LONG) + b"\r\n"
+LONG_VALUE_BYTES = 200_000  # more than the socket buffers of both ends hold
+LONG_VALUE = b"$%d\r\n" % LONG_VALUE_BYTES + bytes(LONG_VALUE_BYTES) + b"\r\n"
 ANSWERS = {
     "value": array(b"v"),
     "long value": b"*3\r\n" + LONG_VALUE + b"$-1\r\n$-1\r\n",
@@ -30,38 +30,38 @@
     return gateway.clients.listener.getsockname()[1]
 
 
-def silent() -> FakeServer:
+def silent_server() -> FakeServer:
     return FakeServer(lambda _words: None)
 
 
 @asynccontextmanager
-async def narrow_node(server: FakeServer):
-    """A gateway whose sockets hold little of what a client does not read."""
+async def node_with_small_buffers(server: FakeServer):
+    """A gateway with small send buffers, so that it notices early when a client does not read."""
     async with node(server) as gateway:
-        gateway.clients.listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, ROOM)
+        gateway.clients.listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SOCKET_BUFFER_BYTES)
         yield gateway
 
 
 class RandomClients:
-    """Clients that send, read, rest and leave in a random order."""
+    """Clients that connect, send, read and disconnect in a random order."""
 
-    def __init__(self, gateway, draw: random.Random) -> None:
+    def __init__(self, gateway, rng: random.Random) -> None:
         self.gateway = gateway
-        self.draw = draw
+        self.rng = rng
         self.clients: list[Raw] = []
         self.requests = 0
 
-    def act(self) -> None:
-        """One step of one client."""
-        choice = self.draw.random()
+    def step(self) -> None:
+        """Perform one random action of one client."""
+        choice = self.rng.random()
         if choice < 0.2 or not self.clients:
-            self.clients.append(Raw(port(self.gateway), ROOM))
+            self.clients.append(Raw(port(self.gateway), SOCKET_BUFFER_BYTES))
             return
-        client = self.draw.choice(self.clients)
+        client = self.rng.choice(self.clients)
         if choice < 0.6:
-            for _ in range(self.draw.randint(1, 4)):
+            for _ in range(self.rng.randint(1, 4)):
                 self.requests += 1
-                client.send(call(self.requests, self.draw.choice(["read", "post", "buy"]), wait=300))
+                client.send(call(self.requests, self.rng.choice(["read", "post", "buy"]), wait=300))
         elif choice < 0.9:
             self.read_some(client)
         else:
@@ -69,7 +69,7 @@
             client.sock.close()
 
     def read_some(self, client: Raw) -> None:
-        """Take what is there, once."""
+        """Read once, without waiting."""
         client.sock.setblocking(False)
         try:
             client.sock.recv(1 << 20)
@@ -78,7 +78,7 @@
 
 
 def is_accounted_for(gateway) -> bool:
-    """Whether each request that was read has one end, or is unanswered."""
+    """Whether each request that was read has exactly one outcome or is still unanswered."""
     metrics = gateway.driver.metrics
     return metrics.requests_total == metrics.ended_total() + gateway.driver.unanswered_count()
 
@@ -95,28 +95,28 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_each_request_has_one_end_and_each_client_is_read_to_the_last(seed, monkeypatch):
-    """Clients send, read slowly, rest and leave while servers answer, break off, hang up or keep silent.
+def test_each_request_has_exactly_one_outcome_and_reading_from_each_client_goes_on(seed, monkeypatch):
+    """Clients send, read slowly, pause and disconnect while servers reply, fail, disconnect or stay silent.
 
-    A request that ends in no way, or in two, is one that a client waits for in vain or that is counted as
-    something it was not. A client that caught up and is not read any more loses its next request unseen.
+    A request without an outcome leaves its client waiting; one with two is counted wrongly. If reading does
+    not resume for a client that has caught up with its replies, its next request is never seen.
     """
-    monkeypatch.setattr(command_timer_module, "COMMAND_TIMEOUT_S", 60.0)  # a client may rest from its start
-    draw = random.Random(seed)
+    monkeypatch.setattr(command_timer_module, "COMMAND_TIMEOUT_S", 60.0)  # a client may start idle
+    rng = random.Random(seed)
 
     async def test():
-        server = FakeServer(lambda _words: ANSWERS[draw.choice(list(ANSWERS))])
-        async with narrow_node(server) as gateway:
-            clients = RandomClients(gateway, draw)
+        server = FakeServer(lambda _words: ANSWERS[rng.choice(list(ANSWERS))])
+        async with node_with_small_buffers(server) as gateway:
+            clients = RandomClients(gateway, rng)
             for _ in range(80):
-                clients.act()
-                for _ in range(draw.randint(0, 30)):
+                clients.step()
+                for _ in range(rng.randint(0, 30)):
                     await until(lambda: True)
                     assert is_accounted_for(gateway)
             clock = gateway.driver.clock
-            gateway.driver.clock = lambda: clock() + 60_000.0  # past all deadlines
+            gateway.driver.clock = lambda: clock() + 60_000.0  # after all deadlines
             gateway.driver.timers.fire()
-            for _ in range(2):  # the second time each has caught up with all that it was owed
+            for _ in range(2):  # the second time, each has read all pending replies
                 for client in clients.clients:
                     client.send(resp("PING"))
                 for client in clients.clients:
@@ -128,12 +128,12 @@
     run(test())
 
 
-# ---- Connections that this gateway ends with answers owed
+# ---- Connections that this gateway closes with replies pending
 
 
-async def begin_value(gateway, server: FakeServer, answer: bytes) -> tuple[Raw, asyncio.StreamWriter]:
-    """A client with two requests at the server, which has sent this much for the first one."""
-    raw = Raw(port(gateway), ROOM)
+async def begin_reply(gateway, server: FakeServer, answer: bytes) -> tuple[Raw, asyncio.StreamWriter]:
+    """A client with two requests at the server, which has sent ``answer`` in reply to the first one."""
+    raw = Raw(port(gateway), SOCKET_BUFFER_BYTES)
     raw.send(call(1), call(2))
     await server.until(lambda: len(server.commands) == 2)
     first = next(n for n, words in enumerate(server.commands) if words[2] == b"%016x" % 1)
@@ -142,54 +142,55 @@
     return raw, writer
 
 
-async def break_off(gateway, server: FakeServer) -> Raw:
-    raw, writer = await begin_value(gateway, server, b"*3\r\n" + LONG_VALUE[:100_000])
+async def break_off_value(gateway, server: FakeServer) -> Raw:
+    raw, writer = await begin_reply(gateway, server, b"*3\r\n" + LONG_VALUE[:100_000])
     await raw.read(100_000)
     writer.close()
     return raw
 
 
-async def stall(gateway, server: FakeServer) -> Raw:
-    raw, _ = await begin_value(gateway, server, ANSWERS["long value"])
+async def stall_client(gateway, server: FakeServer) -> Raw:
+    raw, _ = await begin_reply(gateway, server, ANSWERS["long value"])
     (client,) = gateway.clients.connections
     await until(lambda: client.replies.is_stuck)
     return raw
 
 
-async def fill_budget(gateway, server: FakeServer) -> Raw:
-    raw = await stall(gateway, server)
+async def exceed_unsent_budget(gateway, server: FakeServer) -> Raw:
+    raw = await stall_client(gateway, server)
     gateway.clients.unsent.limit_bytes = 0
     gateway.clients.unsent.add(1)
     gateway.clients.enforce_unsent_budget()
     return raw
 
 
-async def end_process(gateway, server: FakeServer) -> Raw:
-    raw = await stall(gateway, server)
+async def abort_clients(gateway, server: FakeServer) -> Raw:
+    raw = await stall_client(gateway, server)
     gateway.clients.abort()
     return raw
 
 
 @pytest.mark.parametrize(
-    ("reason", "end"),
+    ("reason", "trigger"),
     [
-        (CloseReason.VALUE_BROKE_OFF, break_off),
-        (CloseReason.STALLED, stall),
-        (CloseReason.UNSENT_BUDGET, fill_budget),
-        (CloseReason.PROCESS_END, end_process),
+        (CloseReason.VALUE_BROKE_OFF, break_off_value),
+        (CloseReason.STALLED, stall_client),
+        (CloseReason.UNSENT_BUDGET, exceed_unsent_budget),
+        (CloseReason.PROCESS_END, abort_clients),
     ],
 )
-def test_request_whose_connection_the_gateway_ends_is_counted_and_logged(reason, end, monkeypatch, caplog):
-    """The gateway ends a connection while a request on it waits for its answer.
+def test_request_on_connection_closed_by_gateway_is_counted_and_logged(reason, trigger, monkeypatch, caplog):
+    """The gateway closes a connection while a request on it waits for its reply.
 
-    Counted as a client that left, and with no line in the log, nobody on call would find that it was us.
+    If it were counted as a disconnect by the client and not logged, operators could not see that the gateway
+    caused it.
     """
-    monkeypatch.setattr(stall_timer_module, "STALL_TIMEOUT_S", 0.05 if end is stall else 15.0)
+    monkeypatch.setattr(stall_timer_module, "STALL_TIMEOUT_S", 0.05 if trigger is stall_client else 15.0)
 
     async def test():
-        server = silent()
-        async with narrow_node(server) as gateway:
-            raw = await end(gateway, server)
+        server = silent_server()
+        async with node_with_small_buffers(server) as gateway:
+            raw = await trigger(gateway, server)
             await until(lambda: not gateway.clients.connections)
             raw.sock.close()
             metrics = gateway.driver.metrics
@@ -201,9 +202,9 @@
     run(test())
 
 
-def test_request_whose_client_left_is_not_counted_as_ours(caplog):
+def test_request_whose_client_disconnected_is_not_counted_as_dropped_by_the_gateway(caplog):
     async def test():
-        server = silent()
+        server = silent_server()
         async with node(server) as gateway:
             raw = Raw(port(gateway))
             raw.send(call(1))
