--- a/quota_gateway/__init__.py
+++ b/quota_gateway/__init__.py
@@ -1,7 +1,7 @@
-"""quota_gateway: the decisions of a quota-keeping gateway for a shared API."""
+"""Public interface: the decision logic of a gateway that enforces customers' quotas for a shared API."""
 
 from quota_gateway import api
-from quota_gateway.api import *  # noqa: F403  its __all__ is the list
+from quota_gateway.api import *  # noqa: F403  api.__all__ lists the names
 from quota_gateway.policy.gateway import Gateway
 
 __all__ = ["Gateway"]
--- a/quota_gateway/api/__init__.py
+++ b/quota_gateway/api/__init__.py
@@ -1,8 +1,9 @@
-"""The types that go in and out of the decisions: enums, settings, events and actions.
+"""Types of the decision logic's interface: settings, events (input), actions (output) and their enums.
 
-All times are milliseconds. A driver passes events to a gateway and carries out the actions that it returns,
-in order. It must pass one ``AttemptEnded`` for each ``Send`` and one ``TimerFired`` for each ``SetTimer``.
-The gateway gives each ``Request`` exactly one final answer: a response of a server, ``Reject`` or ``Fail``.
+All times are in milliseconds. The decision logic does no input or output itself: a driver passes events to
+``Gateway.handle`` and carries out the actions that it returns, in order. The driver must pass one
+``AttemptEnded`` for each ``Send`` and one ``TimerFired`` for each ``SetTimer``. The gateway gives each
+``Request`` exactly one final answer: a response of a server, ``Reject`` or ``Fail``.
 """
 
 from quota_gateway.api.actions import (
--- a/quota_gateway/api/actions.py
+++ b/quota_gateway/api/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the driver carries out for the decisions, in order."""
+"""Actions: what the decision logic asks its driver to do. The driver carries them out in order."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Send(RequestMessage):
-    """Start an attempt at a server. Attempts of a request count from 0.
+    """Send a request to a server. The attempts of a request are numbered from 0.
 
-    A ``timeout_ms`` of 0 means as long as the client waits. With ``begin_within_ms`` above 0 an earlier
-    attempt may have been executed, and the server recognises the repeat only if it arrives within this time:
-    an attempt that has not been written by then is given up.
+    With a ``timeout_ms`` of 0 the attempt may take as long as the client waits. A ``begin_within_ms`` above 0
+    means that an earlier attempt may have been executed and that the server recognises a repeat only if it
+    arrives within this time: an attempt that has not been written by then is given up.
     """
 
     server: int
@@ -24,7 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject(RequestMessage):
-    """Final answer: nothing was executed, and a retry is safe, after ``retry_after_ms`` if above 0."""
+    """Final answer: nothing was executed, or a retry by the client has no second effect.
+
+    The client may retry after ``retry_after_ms`` if that is above 0.
+    """
 
     retry_after_ms: float = 0.0
 
@@ -36,12 +39,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel(AttemptMessage):
-    """Stop an attempt; its ``AttemptEnded`` must still follow."""
+    """Stop an attempt. The driver must still pass its ``AttemptEnded``."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Deliver ``TimerFired(token)`` after a delay; timers are never cancelled."""
+    """Pass ``TimerFired(token)`` after a delay. Timers are never cancelled."""
 
     token: int
     delay_ms: float
@@ -56,12 +59,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Subscribe to discovery's changes, or end the subscription."""
+    """Subscribe to discovery's changes of the endpoint list, or end the subscription if not ``active``."""
 
     active: bool = True
 
 
-# The next three are in the simulator's protocol; no decision emits them.
+# The next three belong to the simulator's protocol; the decision logic never emits them.
 @dataclass(frozen=True, slots=True)
 class FetchList:
     """Ask discovery for the complete endpoint list once."""
@@ -88,15 +91,15 @@
 class SetServing:
     """Tell the load balancer in front whether to send clients here, and when to close their connections.
 
-    A ``linger_ms`` of inf keeps connections open. Otherwise each is closed with its last response, or after
-    it was idle for this time.
+    A ``keep_idle_ms`` of inf keeps client connections open. Otherwise each is closed with its last response,
+    or after it was idle for this time.
     """
 
     serving: bool
     keep_idle_ms: float = float("inf")
 
 
-# The next two are in the simulator's protocol; no decision emits them.
+# The next two belong to the simulator's protocol; the decision logic never emits them.
 @dataclass(frozen=True, slots=True)
 class SendToGateway:
     """Send bytes to one gateway, or to all if ``gateway`` is -1."""
@@ -107,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncrementCounter:
-    """Add to a shared counter; one that is new is dropped after ``lifetime_ms``."""
+    """Add to a shared counter. A counter that this creates is dropped after ``lifetime_ms``."""
 
     name: int
     amount: float
--- a/quota_gateway/api/enums.py
+++ b/quota_gateway/api/enums.py
@@ -33,7 +33,7 @@
 
 
 class ServerState(Enum):
-    """State of a server's process by the endpoint list."""
+    """State of a server's process according to the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -41,7 +41,7 @@
 
 
 class ListKind(Enum):
-    """What an endpoint list holds: changes, all servers, all as last known, or nothing as the call failed."""
+    """What an endpoint list holds: changes, all servers, all as last known, or nothing if the call failed."""
 
     CHANGES = "changes"
     COMPLETE = "full"
--- a/quota_gateway/api/events.py
+++ b/quota_gateway/api/events.py
@@ -1,4 +1,7 @@
-"""Events: what has happened, for the decisions. Their time is passed to ``Gateway.handle`` beside them."""
+"""Events: what the driver reports to the decision logic.
+
+The driver passes the time of an event to ``Gateway.handle`` as an argument of its own.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """A server of an endpoint list. ``started_ms`` is the time of its last start, 0 if long past."""
+    """A server in an endpoint list. ``started_ms`` is the time of its last start, 0 if that is long past."""
 
     server: int
     zone: str
@@ -44,7 +47,8 @@
 class Request(RequestMessage):
     """A client's request.
 
-    Its customer's requests may come through ``requested_gateways`` gateways, counted from ``first_gateway``.
+    The customer's requests may come through several gateways: ``requested_gateways`` of them, beginning with
+    number ``first_gateway``.
     """
 
     class_name: str
@@ -64,11 +68,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded(AttemptMessage):
-    """How an attempt ended; one for each ``Send``. ``request_answered``: it was the final answer.
+    """How an attempt ended; passed once for each ``Send``.
 
-    ``metered_use_percent`` is a late reading of the customer's use over all gateways, in percent of its rate,
-    or of its cap where it has no rate. ``final_units`` replaces the estimate of the request. ``load`` has a
-    value for each of ``Settings.load_fields``.
+    ``request_answered`` tells whether its response was the final answer to the client.
+    ``metered_use_percent`` is a delayed reading of the customer's use over all gateways, in percent of its
+    plan's rate, or of the concurrency cap if the plan has no rate. ``final_units`` replaces the request's
+    estimated units. ``load`` has a value for each of ``Settings.load_fields``.
     """
 
     server: int
@@ -111,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownBegun:
-    """The gateway shuts down: what is pending, and what still comes, must be answered within this time."""
+    """The gateway shuts down: pending requests and those still to come must be answered within this time."""
 
     within_ms: float
 
@@ -125,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainChanged:
-    """An operator drains the gateway of clients or ends the drain; its process lives on."""
+    """An operator begins or ends a drain of the gateway's clients; the process keeps running."""
 
     active: bool
 
@@ -146,19 +151,23 @@
 
 @dataclass(frozen=True, slots=True)
 class HotRestartBegun:
-    """The next process takes over. It reserves what is pending here, and hears as it ends."""
+    """The next process takes over.
+
+    It reserves what the requests still pending here occupy, and is told by ``PeerUsage`` as they end.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class PeerUsage:
-    """What a customer occupies at the process before this one, and was charged since that handed over.
+    """A customer's use at the previous process of this gateway, which has handed over to this one.
 
-    Also the action by which that process reports it.
+    ``charged_units`` were charged there since the previous report. Also the action by which the previous
+    process reports this.
     """
 
     plan: str
     customer: str
-    occupied_places: int  # under the concurrency cap, by requests that are pending there
+    occupied_places: int  # places under the concurrency cap that its requests pending there occupy
     charged_units: float = 0.0
     metered_use_percent: float | None = None
 
@@ -168,7 +177,7 @@
     """The other process of this gateway has ended, and has nothing in flight any more."""
 
 
-# The simulator's protocol alone has the next two; no decision takes them.
+# The next two belong to the simulator's protocol; the decision logic ignores them.
 @dataclass(frozen=True, slots=True)
 class GatewayMessage:
     """Bytes from another gateway."""
--- a/quota_gateway/api/settings.py
+++ b/quota_gateway/api/settings.py
@@ -1,7 +1,7 @@
-"""Settings of the decisions, validated as they are made. All times are milliseconds.
+"""Settings of the decision logic, validated on construction. All times are in milliseconds.
 
-Fields marked "accepted, unused" are read by no decision: configurations and recordings have them. They stand
-where they do as recordings keep the order of fields.
+The decision logic reads no field marked "accepted, unused": such a field is here because configurations and
+recordings have it. Its position stays, as recordings keep the order of fields.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 
 def require_unique_names(owner: object, field: str, items: tuple[object, ...], names: Iterable[str]) -> None:
     """Raise ValueError if a list of named settings is empty or has a name twice."""
-    found = list(names)
-    require(bool(found), owner, field, items, "is empty")
-    require(len(set(found)) == len(found), owner, field, items, "names one twice")
+    all_names = list(names)
+    require(bool(all_names), owner, field, items, "is empty")
+    require(len(set(all_names)) == len(all_names), owner, field, items, "contains a name twice")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     """A class of requests: its latency objective, its value and how it may be retried.
 
-    ``priority_weight`` is the value of one unit answered within the objective; later it is worth
+    ``priority_weight`` is the value of one unit answered within the objective; a unit answered later is worth
     ``late_value_ratio`` of that.
     """
 
@@ -68,28 +68,28 @@
             idempotency_window_ms=self.idempotency_window_ms,
             objective_stretch=self.objective_stretch,
         )
-        leaves_no_time = "leaves no time"
-        require(self.deadline_ms > 0, self, "deadline_ms", self.deadline_ms, leaves_no_time)
+        not_above_0 = "is not above 0"
+        require(self.deadline_ms > 0, self, "deadline_ms", self.deadline_ms, not_above_0)
         objective_ms = self.latency_objective_ms
-        require(objective_ms > 0, self, "latency_objective_ms", objective_ms, leaves_no_time)
+        require(objective_ms > 0, self, "latency_objective_ms", objective_ms, not_above_0)
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
     """A plan: what each of its customers may use over all gateways.
 
-    Its quota is ``rate`` units a second with a ``burst`` in units; beyond it a gateway may go, at a cost. Its
-    rate ceiling (``ceiling_rate`` units a second, ``ceiling_burst`` units) is hard. Its concurrency cap
-    (``max_in_flight`` attempts) is aimed at: it may be exceeded by one attempt for each gateway and by the
-    bonus that the gateways' shares have for unused quota. A rate, a ceiling rate or a cap of 0 means that
-    there is none.
+    The quota is ``rate`` units a second with a burst of ``burst`` units; a gateway may exceed it, at a cost.
+    The rate ceiling (``ceiling_rate`` units a second, ``ceiling_burst`` units) is a hard limit. The
+    concurrency cap (``max_in_flight`` attempts) is a target: it may be exceeded by one attempt for each
+    gateway and by the bonus that the gateways' shares have for unused quota. A rate, a ceiling rate or a cap
+    of 0 means that there is none.
     """
 
     name: str
     rate: float = 0.0
     burst: float = 0.0
     max_in_flight: int = 0
-    price: float = 1.0  # factor of the classes' priority weights
+    price: float = 1.0  # the classes' priority weights are multiplied by it
     overuse_value: float = 0.0  # accepted, unused
     overuse_cost: float = 0.0
     ceiling_rate: float = 0.0
@@ -112,9 +112,9 @@
             ceiling_slack=self.ceiling_slack,
         )
         has_burst = self.burst > 0 or not self.rate
-        require(has_burst, self, "burst", self.burst, "is nothing though there is a rate")
+        require(has_burst, self, "burst", self.burst, "is not above 0, though there is a rate")
         has_ceiling_burst = self.ceiling_burst > 0 or not self.ceiling_rate
-        reason = "is nothing though there is a ceiling"
+        reason = "is not above 0, though there is a ceiling_rate"
         require(has_ceiling_burst, self, "ceiling_burst", self.ceiling_burst, reason)
 
 
@@ -122,7 +122,7 @@
 class Limits:
     """What the site permits a gateway to do."""
 
-    max_attempts: int = 1  # of one request
+    max_attempts: int = 1  # for one request
     may_duplicate: bool = False  # whether hedged requests are allowed
     can_cancel: bool = False
     can_probe: bool = False  # accepted, unused
@@ -146,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Contract:
-    """Figures of the platform's rules: for answers, draining servers and servers that warm up."""
+    """Figures of the platform's rules for answers, discovery, and servers that drain, warm up or overload."""
 
     answer_slack_ms: float = 0.0  # accepted, unused
     drain_grace_ms: float = 0.0  # accepted, unused
@@ -169,22 +169,22 @@
             poll_within_ms=self.poll_within_ms,
         )
         ratio = self.initial_capacity_ratio
-        require(ratio <= 1, self, "initial_capacity_ratio", ratio, "is more than the whole")
+        require(ratio <= 1, self, "initial_capacity_ratio", ratio, "is above 1")
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All settings of a gateway's decisions."""
+    """All settings of a gateway's decision logic."""
 
     gateways: int  # how many share the customers' quotas
-    index: int  # of this gateway among them; no decision reads it
+    index: int  # of this gateway among them; not read by the decision logic
     zone: str
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     limits: Limits = Limits()
     contract: Contract = Contract()
     discovery: DiscoveryMode = DiscoveryMode.PUSH
-    load_fields: tuple[str, ...] = ()  # names of the values in servers' load reports
+    load_fields: tuple[str, ...] = ()  # names of the values in servers' load reports, in their order
     meter_period_ms: float = 0.0
     largest_units: float = 1.0  # of one request
     settles: bool = False  # accepted, unused
@@ -206,9 +206,9 @@
             cross_zone_price=self.cross_zone_price,
             handshake_price=self.handshake_price,
         )
-        is_one_of_them = self.index < self.gateways
-        require(is_one_of_them, self, "index", self.index, "is not below the number of gateways")
+        is_index_valid = self.index < self.gateways
+        require(is_index_valid, self, "index", self.index, "is not below the number of gateways")
         require_numbers(self, 0.0, largest_units=self.largest_units)
-        require(self.largest_units > 0, self, "largest_units", self.largest_units, "is nothing")
+        require(self.largest_units > 0, self, "largest_units", self.largest_units, "is not above 0")
         require_unique_names(self, "classes", self.classes, (item.name for item in self.classes))
         require_unique_names(self, "plans", self.plans, (item.name for item in self.plans))
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -1,4 +1,4 @@
-"""State that the decisions keep: rows, estimates, counters, timers. It decides nothing."""
+"""State of the decision logic: customers, servers, requests, estimates, counters, timers. Decides nothing."""
 
 from quota_gateway.state.context import Context
 from quota_gateway.state.customer import Customer
--- a/quota_gateway/state/context.py
+++ b/quota_gateway/state/context.py
@@ -1,4 +1,4 @@
-"""What every decision is given: the settings in force, the time, randomness, timers and the actions' list."""
+"""What all parts of the decision logic share: settings in force, time, random numbers, timers, actions."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from quota_gateway.api import Action, Log, SetTimer, Settings, TimerFired
 from quota_gateway.state.decay import Decay
 
-MAX_LOGGED_ONCE = 100  # lines remembered, so that none is logged twice
+MAX_LOGGED_ONCE = 100  # different lines remembered by `Context.log_once`, so that none is logged twice
 
 Argument = TypeVar("Argument")
 
@@ -25,7 +25,7 @@
 class Context:
     """The settings, the event being handled with its actions in order, and the armed timers.
 
-    Settings change between two events only, and completely.
+    Settings change only by a ``SettingsChanged`` event, and always as a whole.
     """
 
     def __init__(self, settings: Settings, seed: int, estimate_decay_ms: float) -> None:
@@ -47,9 +47,9 @@
         self.highest_priority_weight = max(item.priority_weight for item in settings.classes) or 1.0
 
     def begin_event(self, now_ms: float) -> None:
-        """Begin an event, with no actions yet. Raises ValueError if the time goes back."""
+        """Set the time of the next event and begin its actions. Raises ValueError if the time goes back."""
         if not now_ms >= self.now_ms:
-            raise ValueError(f"now_ms: {now_ms!r} is before {self.now_ms!r}")
+            raise ValueError(f"now_ms: {now_ms!r} is before the previous event's time {self.now_ms!r}")
         self.now_ms = now_ms
         self.decay.now_ms = now_ms
         self.actions = []
@@ -57,19 +57,19 @@
             self.started_ms = now_ms
 
     def arm(self, delay_ms: float, callback: Callable[[Argument], None], argument: Argument) -> None:
-        """Call back with this argument after the delay. Timers are not taken back."""
+        """Arm a timer that calls back with this argument after the delay. Timers are never cancelled."""
         self.last_token += 1
         self.timers[self.last_token] = ArmedTimer(callback, argument)
         self.actions.append(SetTimer(self.last_token, delay_ms))
 
     def fire(self, event: TimerFired) -> None:
-        """A timer is due; one with an unknown token does nothing."""
+        """Call back for a timer that is due. A timer with an unknown token does nothing."""
         timer = self.timers.pop(event.token, None)
         if timer:
             timer.callback(timer.argument)
 
     def log(self, text: str) -> None:
-        """Log a line."""
+        """Add a log line to the actions."""
         self.actions.append(Log(text))
 
     def log_once(self, text: str) -> None:
--- a/quota_gateway/state/customer.py
+++ b/quota_gateway/state/customer.py
@@ -9,11 +9,11 @@
 
 
 class Customer:
-    """One customer's row, with the columns of several decisions.
+    """State of one customer, also called its row, for several parts of the decision logic.
 
-    The module named above a group of columns writes them. Others only read, but for ``state_document.py``,
-    which restores most of them after a hot restart. An object for each decision would be several hundred
-    thousand objects for a hundred thousand customers.
+    The comment above a group of attributes names the module that writes them. Other modules only read them,
+    except ``state_document.py``, which restores most of them after a hot restart. An object for each part
+    would be several hundred thousand objects for a hundred thousand customers.
     """
 
     __slots__ = (
@@ -44,15 +44,16 @@
         self.key = key
 
         # Written by policy/customers.py
-        self.requested_gateways = 1  # gateways that the last request named
-        self.serving_gateways = 1  # of them, those that there are: the quota is split evenly over these
-        self.settings_epoch = settings_epoch  # up to which this row has been brought
+        self.requested_gateways = 1  # number of gateways that its last request named
+        self.serving_gateways = 1  # of these, how many exist: the quota is split evenly over them
+        self.settings_epoch = settings_epoch  # settings epoch up to which this row was brought
         self.largest_request_units = 0.0
 
         # Written by policy/quota_meter.py
         self.excess_milliunits = 0.0  # level of the leaky bucket at its last update
         self.excess_updated_ms = now_ms
-        # Late reading of the use over all gateways: of its rate, or of its cap where it has no rate.
+        # Delayed reading of the use over all gateways, as a ratio of the plan's rate, or of its concurrency
+        # cap if it has no rate.
         self.metered_use_ratio = 0.0
         self.metered_use_at_ms = -inf
         self.demand_units = 0.0  # level of a leaky bucket that counts rejected requests as well
@@ -63,14 +64,14 @@
         self.ceiling_updated_ms = now_ms
 
         # Written by policy/settings_change.py; counted down and ended by policy/customers.py
-        self.transition_plan: Plan | None = None  # stricter limits while earlier requests are pending
+        self.transition_plan: Plan | None = None  # stricter limits while requests from before are pending
         self.transition_epoch = 0
-        self.pending_before_transition = 0
+        self.pending_before_transition = 0  # how many of these are pending
 
         # Written by state/pending_requests.py
         self.attempts_in_flight = 0
         self.pending_count = 0  # while there are any, the row is not evicted
 
         # Written by policy/peer_usage.py
-        # Places under the concurrency cap that the requests of the process before this one occupy.
+        # Places under the concurrency cap that requests pending in the previous process occupy.
         self.peer_occupied_places = 0
--- a/quota_gateway/state/drain_state.py
+++ b/quota_gateway/state/drain_state.py
@@ -8,7 +8,7 @@
 
 
 class DrainState(Enum):
-    """How far the drain of this gateway is."""
+    """Progress of this gateway's drain."""
 
     SERVING = "serving"
     DRAINING = "draining"  # load balancers are notified; client connections close step by step
@@ -23,5 +23,5 @@
 
 
 def drain_transition(state: DrainState, requested: DrainState) -> DrainState:
-    """The requested state. Raises IllegalTransitionError in tests if the table has no such transition."""
+    """The requested state, checked against the table as in `state_machine.transition`."""
     return transition("drain", DRAIN_TRANSITIONS, state, requested)
--- a/quota_gateway/state/endpoints.py
+++ b/quota_gateway/state/endpoints.py
@@ -1,4 +1,4 @@
-"""The servers of the endpoint list, with the indexes by which a few of them are found quickly."""
+"""The servers of the endpoint list, with indexes that find servers without a walk over the whole list."""
 
 from __future__ import annotations
 
@@ -28,47 +28,53 @@
 
 
 class GroupIndex(NamedTuple):
-    """The ready servers of a group, and the place of each in them by its number."""
+    """The ready servers of a group, and each one's position in that list by server number."""
 
     servers: list[Server]
-    places: dict[int, int]
+    positions: dict[int, int]
 
 
-class SlowStartPlace(NamedTuple):
-    """A warming server's phase, and its place in the list of warming servers."""
+class SlowStartPosition(NamedTuple):
+    """A warming server's slow-start phase, and its position in the list of warming servers."""
 
     phase: float
-    place: int
+    position: int
 
 
 class ServersExcept(Sequence[Server]):
-    """Servers of a list without those at some places: a view, as a copy would cost as much as the list."""
+    """View of a list of servers without those at some positions. A copy would take as long as the list is."""
 
-    def __init__(self, servers: list[Server], places: Mapping[int, int], left_out: list[int]) -> None:
+    def __init__(
+        self, servers: list[Server], positions: Mapping[int, int], excluded_positions: list[int]
+    ) -> None:
         self.servers = servers
-        self.places = places
-        self.left_out = left_out  # places, ascending
+        self.positions = positions
+        self.excluded_positions = excluded_positions  # ascending
 
     def __len__(self) -> int:
-        return len(self.servers) - len(self.left_out)
+        return len(self.servers) - len(self.excluded_positions)
 
-    def __getitem__(self, number: Any) -> Any:
-        for place in self.left_out:
-            if place > number:
+    def __getitem__(self, index: Any) -> Any:
+        for position in self.excluded_positions:
+            if position > index:
                 break
-            number += 1
-        return self.servers[number]
+            index += 1
+        return self.servers[index]
 
     def __contains__(self, server: object) -> bool:
-        place = self.places.get(server.id) if isinstance(server, Server) else None
-        return place is not None and place not in self.left_out and self.servers[place] is server
+        position = self.positions.get(server.id) if isinstance(server, Server) else None
+        return (
+            position is not None
+            and position not in self.excluded_positions
+            and self.servers[position] is server
+        )
 
 
 class Endpoints:
-    """Servers by number, as discovery lists them and as operators took them out.
+    """Servers by number, as discovery lists them, and those that operators took out of service.
 
-    Which servers are ready, warming up, in a group or overdue holds as of the last `refresh`, in the order of
-    the endpoint list; it is due after every change of a server.
+    The lists of ready, warming and restored servers and of the servers in a group are as of the last
+    `refresh`, in the order of the endpoint list. `refresh` must be called after every change of a server.
     """
 
     def __init__(self, random: Random) -> None:
@@ -77,12 +83,12 @@
         self.servers: dict[int, Server] = {}
         self.ready: list[Server] = []
         self.warming_up: list[Server] = []
-        self.restored: list[Server] = []  # warming up, put back by operators and not used since
+        self.restored: list[Server] = []  # warming up; put back into service by operators and not used since
         self._groups: dict[ServerGroup, GroupIndex] = {}
-        self._slow_start_places: list[SlowStartPlace] = []  # sorted
+        self._slow_start_positions: list[SlowStartPosition] = []  # sorted
 
     def update(self, event: ServerList) -> None:
-        """Take over a list or a change of it; servers that a complete list lacks are removed."""
+        """Apply an endpoint list or changes of it. Servers that a complete list lacks are removed."""
         if event.kind in (ListKind.COMPLETE, ListKind.CACHED):
             listed = {entry.server for entry in event.entries}
             for number in [number for number in self.servers if number not in listed]:
@@ -91,7 +97,7 @@
             self._update_server(entry)
 
     def _update_server(self, entry: ServerEntry) -> None:
-        """Take over one entry; what a server showed before it was started anew is forgotten."""
+        """Apply one entry. What was observed of a server before its last start is forgotten."""
         if entry.state is ServerState.REMOVED:
             self._remove(entry.server)
             return
@@ -117,7 +123,7 @@
             server.is_ready = False
 
     def clear_admin_down(self, number: int, started_ms: float, must_be_used_by_ms: float) -> None:
-        """Let a server serve again, as one that was started at this time."""
+        """Put a server back into service. It counts as started at ``started_ms``."""
         self.admin_down.discard(number)
         if server := self.servers.get(number):
             server.reset()
@@ -126,42 +132,48 @@
             server.is_ready = server.is_listed_ready
 
     def refresh(self, is_warming_up: Callable[[Server], bool]) -> None:
-        """Build the lists and indexes anew."""
+        """Rebuild the lists and indexes."""
         self.ready = [server for server in self.servers.values() if server.is_ready]
         self.warming_up = [server for server in self.ready if is_warming_up(server)]
         self.restored = [server for server in self.warming_up if server.must_be_used_by_ms < inf]
         self._groups = {}
-        self._slow_start_places = sorted(
-            SlowStartPlace(server.slow_start_phase, place) for place, server in enumerate(self.warming_up)
+        self._slow_start_positions = sorted(
+            SlowStartPosition(server.slow_start_phase, position)
+            for position, server in enumerate(self.warming_up)
         )
 
     def ready_in_group(self, group: ServerGroup, excluded: Collection[int]) -> ServersExcept:
-        """The ready servers of a group but for some numbers."""
+        """The ready servers of a group, without those whose numbers are excluded."""
         index = self._groups.get(group)
         if index is None:
             servers = [server for server in self.ready if group.contains(server)]
-            places = {server.id: place for place, server in enumerate(servers)}
-            index = self._groups[group] = GroupIndex(servers, places)
-        left_out = sorted(index.places[number] for number in excluded if number in index.places)
-        return ServersExcept(index.servers, index.places, left_out)
+            positions = {server.id: position for position, server in enumerate(servers)}
+            index = self._groups[group] = GroupIndex(servers, positions)
+        excluded_positions = sorted(
+            index.positions[number] for number in excluded if number in index.positions
+        )
+        return ServersExcept(index.servers, index.positions, excluded_positions)
 
     def warming_up_in(self, low: float, width: float) -> list[Server]:
-        """Warming servers with phases from `low` over `width` of the circle 0 to 1, in the list's order."""
+        """Warming servers whose phase lies in the `width` from `low` on, in the order of the endpoint list.
+
+        Phases form a circle from 0 to 1: a range that passes 1 goes on from 0.
+        """
         if width >= 1.0:
             return self.warming_up
-        places = self._slow_start_places
+        positions = self._slow_start_positions
         high = low + width
-        found = places[self._first_from(low) : self._first_from(high)]
+        found = positions[self._first_index_from(low) : self._first_index_from(high)]
         if high > 1.0:
-            found += places[: self._first_from(high - 1.0)]
-        return [self.warming_up[place] for place in sorted(item.place for item in found)]
+            found += positions[: self._first_index_from(high - 1.0)]
+        return [self.warming_up[position] for position in sorted(item.position for item in found)]
 
-    def _first_from(self, phase: float) -> int:
-        """Where in the sorted places the phases from this one on begin."""
-        return bisect_left(self._slow_start_places, SlowStartPlace(phase, -1))
+    def _first_index_from(self, phase: float) -> int:
+        """Index of the first of the sorted slow-start positions whose phase is not below this one."""
+        return bisect_left(self._slow_start_positions, SlowStartPosition(phase, -1))
 
     def overdue(self, now_ms: float) -> Server | None:
-        """The first server that was put back by operators and must be used by now."""
+        """The first server that operators put back and that had to be used by now; None if there is none."""
         for server in self.restored:
             if server.is_ready and server.must_be_used_by_ms <= now_ms:
                 return server
--- a/quota_gateway/state/give_up_reason.py
+++ b/quota_gateway/state/give_up_reason.py
@@ -13,23 +13,23 @@
     Operators' scripts read the values: a member may be renamed, its value may not.
     """
 
-    # By the customer's limits, as the request arrived or as it was about to be sent.
+    # One of the customer's limits, when the request arrived or was about to be sent.
     THIN_SHARE_RETRY = "thin"  # a retry of a customer whose quota share is below one request
     OVER_QUOTA = "quota"
     OVER_CONCURRENCY_CAP = "cap"
     OVER_RATE_CEILING = "ceiling"
 
-    # While it was queued.
+    # Given up while it was queued.
     QUEUE_FULL = "crowded"
     QUEUED_FOR_CONCURRENCY_CAP = "waited: cap"
     QUEUED_FOR_RATE_CEILING = "waited: ceiling"
     QUEUED_FOR_CONCURRENCY_LIMIT = "waited: pool"
 
-    # By this gateway's life or the request's own.
+    # This gateway was drained, or the request's deadline passed.
     GATEWAY_DRAINED = "drained"
     DEADLINE_EXCEEDED = "deadline"
 
-    # By how its last attempt ended.
+    # The status with which its last attempt ended.
     ATTEMPT_ERROR = "error"
     ATTEMPT_OVERLOADED = "full"
     ATTEMPT_TIMEOUT = "timeout"
@@ -40,5 +40,5 @@
 
     @classmethod
     def of_attempt(cls, status: Status) -> GiveUpReason:
-        """Reason for a request whose last attempt ended so. Raises ValueError for ``Status.OK``."""
+        """Reason for a request whose last attempt ended with this status; ValueError for ``Status.OK``."""
         return cls(status.value)
--- a/quota_gateway/state/outcome_counters.py
+++ b/quota_gateway/state/outcome_counters.py
@@ -11,7 +11,7 @@
 class OutcomeCounters:
     """Counts by reason and plan, written to the log in one line every few seconds.
 
-    Bounded by the number of reasons times the number of plans.
+    There are at most as many counts as reasons times plans.
     """
 
     def __init__(self, log_interval_ms: float) -> None:
@@ -21,9 +21,9 @@
         self.totals: Counter[GiveUpReason] = Counter()  # by reason, since the start
 
     def add(self, reason: GiveUpReason, plan_name: str, now_ms: float, started_ms: float) -> str:
-        """Count one request; returns the text of a log line once the interval has passed, else "".
+        """Count one request. Returns the counts as text for a log line once the interval has passed, else "".
 
-        ``started_ms`` is the time of this gateway's first event: the first interval begins there.
+        ``started_ms`` is the time of this gateway's first event, at which the first interval begins.
         """
         self.totals[reason] += 1
         self.counts[reason, plan_name] = self.counts.get((reason, plan_name), 0) + 1
--- a/quota_gateway/state/pending_request.py
+++ b/quota_gateway/state/pending_request.py
@@ -1,4 +1,4 @@
-"""A client's request that this gateway has taken and not finished with."""
+"""A client's request that this gateway has accepted and not finished yet."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class PendingRequest:
-    """A request and its state. The comment above a group of columns names the module that writes them."""
+    """A request and its state. The comment above a group of attributes names the module that writes them."""
 
     __slots__ = (
         "request",
@@ -53,7 +53,7 @@
         draw: float,
         settings_epoch: int,
     ) -> None:
-        # The request, and what holds for it until its end, whatever the settings become.
+        # The request, and what stays the same until its end even if the settings change.
         self.request = request
         self.request_class = request_class
         self.plan = plan
@@ -61,24 +61,25 @@
         self.arrived_ms = now_ms
         self.settings_epoch = settings_epoch
         self.failure_keys = failure_keys(request_class.name, plan.name)
-        # Drawn once: which servers in slow start it may go to, and its rank at a reached concurrency limit.
+        # Random number, 0 to 1, drawn once. It decides which servers in slow start the request may go to, and
+        # whether the fraction in a concurrency limit (as in 1.4) lets one more attempt through.
         self.draw = draw
 
-        # policy/responses.py
+        # Written by policy/responses.py
         self.deadline_ms = now_ms + request.client_timeout_ms
 
-        # policy/admission.py: while queued, a timer ends the wait for the rate ceiling.
+        # Written by policy/admission.py: while queued, whether a timer ends the wait for the rate ceiling.
         self.rate_ceiling_timer_armed = False
 
-        # state/pending_requests.py
+        # Written by state/pending_requests.py
         self.state = NEW_REQUEST
         self.attempts_started = 0
         self.attempts_in_flight: dict[int, Attempt] = {}  # by number
         self.tried_servers: set[int] = set()
 
-        # policy/attempts.py: the first attempt that may have had an effect.
+        # Written by policy/attempts.py: the first attempt that a server may have executed.
         self.first_possible_run: Attempt | None = None
 
     def move_to(self, state: RequestState) -> None:
-        """Change the state. Raises IllegalTransitionError in tests if the table has no such transition."""
+        """Change the state, checked against the table of transitions as in `state_machine.transition`."""
         self.state = transition("request", TRANSITIONS, self.state, state)
--- a/quota_gateway/state/pending_requests.py
+++ b/quota_gateway/state/pending_requests.py
@@ -1,4 +1,4 @@
-"""The requests that this gateway has taken and not finished with, and what they occupy."""
+"""The requests that this gateway has accepted and not finished yet, and the capacity that they occupy."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from quota_gateway.state.request_state import RequestState
 from quota_gateway.state.server import Server
 
-# Looked up once: reading an enum's member takes as long as the rest of a step.
+# Looked up once: reading an enum's member takes as long as the rest of a change of state.
 IN_FLIGHT = RequestState.IN_FLIGHT
 STREAMING = RequestState.STREAMING
 ANSWERED = RequestState.ANSWERED
@@ -30,12 +30,12 @@
         self.queued: dict[str, PendingRequest] = {}  # exactly those in state QUEUED, longest queued first
 
     def add(self, pending: PendingRequest) -> None:
-        """Take a request that was admitted."""
+        """Add a request that was admitted."""
         self.by_id[pending.request.request_id] = pending
         pending.customer.pending_count += 1
 
     def hold(self, pending: PendingRequest) -> None:
-        """Hold a request that was admitted until its customer's quota share has room."""
+        """Hold an admitted request until its customer's quota share has room for it."""
         pending.move_to(RequestState.HELD)
 
     def enqueue(self, pending: PendingRequest) -> None:
@@ -66,7 +66,7 @@
         return pending
 
     def end_attempt(self, pending: PendingRequest, number: int) -> Attempt:
-        """Record that an attempt in flight is over; returns it."""
+        """Record that an attempt in flight has ended; returns it."""
         attempt = pending.attempts_in_flight.pop(number)
         attempt.server.attempts_in_flight.discard(AttemptKey(pending.request.request_id, number))
         pending.customer.attempts_in_flight -= 1
--- a/quota_gateway/state/records.py
+++ b/quota_gateway/state/records.py
@@ -1,4 +1,4 @@
-"""Small records that several parts of the decisions' state share."""
+"""Small value types that several modules of the decision logic share."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class AttemptKey(NamedTuple):
-    """One attempt among all of a gateway's."""
+    """Identifies one attempt among all of a gateway's attempts."""
 
     request_id: str
     number: int
 
 
-# The next two are plain tuples, as CPython reads these faster than instances of any class, and each choice of
-# a server reads one of both for each server that it compares.
+# `Moment` and `FailureRecord` are plain tuples, as CPython reads these faster than instances of any class:
+# each choice of a server reads one of both for each server that it compares.
 
-# When an estimate was recorded, by both clocks that it decays by: time (ms), and attempts started here.
+# When an estimate was recorded, by the two clocks of its decay: time in ms, and attempts started here.
 Moment = tuple[float, int]
 NEVER: Moment = (-inf, 0)
 
@@ -29,13 +29,13 @@
 NO_FAILURES: FailureRecord = (0.0, 0.0, NEVER)
 
 
-MAX_CACHED_KEYS = 1024  # a pair of class and plan each
+MAX_CACHED_KEYS = 1024  # pairs of class and plan
 
 
 class FailureKeys(NamedTuple):
     """Keys of a request's failure records at a server."""
 
-    server: str  # of the server as a whole: empty, as are the keys of no class
+    server: str  # of the server as a whole: the empty string, which is no class's key
     request_class: str
     class_of_plan: str
 
--- a/quota_gateway/state/request_state.py
+++ b/quota_gateway/state/request_state.py
@@ -1,7 +1,7 @@
 """States of a client's request and the transitions between them.
 
 A request is admitted, waits if it must, has attempts in flight, is answered once and is forgotten when its
-last attempt has ended. Only `PendingRequests` moves a request from state to state.
+last attempt has ended. Only `PendingRequests` changes a request's state.
 """
 
 from __future__ import annotations
@@ -10,19 +10,19 @@
 
 
 class RequestState(Enum):
-    """Where a request stands, and what that means for it."""
+    """State of a request, with flags that are derived from it."""
 
-    ADMITTED = "admitted"  # taken, and not yet placed
+    ADMITTED = "admitted"  # accepted; not yet held, queued or sent
     HELD = "held"  # delayed until its customer's quota share has room for it
     QUEUED = "queued"  # waits for a server, the concurrency cap or limit, or the rate ceiling
-    IN_FLIGHT = "in flight"  # attempts were started; between two of them there may be none
+    IN_FLIGHT = "in flight"  # attempts were started; between two of them none may be in flight
     STREAMING = "streaming"  # a server's response is passed on as it comes: no deadline, no retry
     ANSWERED = "answered"  # the final answer was given, or the client left; attempts may be in flight
     ANSWERED_STREAMING = "answered, streaming"  # as ANSWERED, after a response had begun to stream
     FINISHED = "finished"  # answered, with no attempt in flight: no longer among the pending requests
 
     def __init__(self, label: str) -> None:
-        # Plain attributes, as they are read several times for each event; properties cost much more.
+        # Plain attributes: they are read several times for each event, and properties are much slower.
         self.is_waiting = label in ("admitted", "held", "queued")  # for its first attempt
         self.is_streaming = label in ("streaming", "answered, streaming")  # to the client
         self.is_answered = label in ("answered", "answered, streaming", "finished")  # or its client has left
--- a/quota_gateway/state/server.py
+++ b/quota_gateway/state/server.py
@@ -9,9 +9,9 @@
 
 
 class Server:
-    """One server's row.
+    """State of one server, also called its row.
 
-    The comment above a group of columns names the module that writes them; ``state_document.py`` restores
+    The comment above a group of attributes names the module that writes them. ``state_document.py`` restores
     most of them after a hot restart.
     """
 
@@ -37,41 +37,43 @@
     def __init__(self, entry: ServerEntry, slow_start_phase: float) -> None:
         self.id = entry.server
 
-        # Drawn once: where on the circle of requests' draws, 0 to 1, its share begins while it warms up.
+        # Random number, 0 to 1, drawn once. A warming server may get the requests whose own random number
+        # (`PendingRequest.draw`) lies in a range of the circle 0 to 1; this sets where the range begins.
         self.slow_start_phase = slow_start_phase
 
-        # state/endpoints.py: when operators put it back, and by when it must be used after that; the first
-        # attempt, in state/pending_requests.py, meets that.
+        # Written by state/endpoints.py: when operators put the server back into service, 0 if they never did,
+        # and by when it must be used after that. Its first attempt after that ends the wait: then
+        # state/pending_requests.py sets the latter to inf.
         self.restored_ms = 0.0
         self.must_be_used_by_ms = inf
 
-        # state/pending_requests.py
+        # Written by state/pending_requests.py
         self.attempts_in_flight: set[AttemptKey] = set()
 
-        # state/estimates.py, LoadReports
+        # Written by LoadReports in state/estimates.py
         self.has_idle_connection = False
 
         self.reset()
         self.update(entry)
 
     def reset(self) -> None:
-        """Forget what the server has shown, as its process has ended."""
-        # state/estimates.py, Latencies: its latency, in mean latencies of the class.
+        """Forget what was observed of the server, as the process observed has ended."""
+        # Written by Latencies in state/estimates.py: latency as a multiple of the class's mean latency.
         self.latency_ratio = 1.0
         self.latency_ratio_at = NEVER
 
-        # state/estimates.py, LoadReports: requests that wait there.
+        # Written by LoadReports in state/estimates.py: requests queued at the server.
         self.reported_queue = 0.0
         self.reported_queue_at = NEVER
 
-        # state/estimates.py, FailureRates
+        # Written by FailureRates in state/estimates.py
         self.failure_records: dict[str, FailureRecord] = {}
 
     def update(self, entry: ServerEntry) -> None:
-        """Take over an entry of the endpoint list; one that operators put back was started then at least."""
-        # From the endpoint list; state/endpoints.py also sets the start and readiness, for operators.
+        """Apply an entry of the endpoint list. The start is never before operators put the server back."""
+        # From the endpoint list. state/endpoints.py also sets the start and readiness on behalf of operators.
         self.zone = entry.zone
         self.cell = entry.cell
         self.started_ms = max(entry.started_ms, self.restored_ms)
         self.is_listed_ready = entry.state is ServerState.READY
-        self.is_ready = self.is_listed_ready  # and not administratively down
+        self.is_ready = self.is_listed_ready  # and not administratively down: see state/endpoints.py
--- a/quota_gateway/state/settings_epochs.py
+++ b/quota_gateway/state/settings_epochs.py
@@ -1,7 +1,7 @@
-"""Settings epochs: which settings held until when, and which customers have not been brought through them.
+"""Settings epochs: past settings, and the customers whose state has not been brought up to date with changes.
 
-Each change of settings begins an epoch. A customer's row is brought up to the change by what held before it:
-its bucket drains at the old rate until the change and at the new one from then on.
+Each change of settings begins an epoch. A customer's row is first brought up to the time of the change by the
+settings before it: its bucket drains at the old rate until the change and at the new one from then on.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 
 class PastEpoch(NamedTuple):
-    """What held until a change of settings, and the number of gateways from then on."""
+    """The settings that held until a change, and the number of gateways from the change on."""
 
     until_ms: float
-    plans: dict[str, Plan]  # the retired ones as well
+    plans: dict[str, Plan]  # retired plans included
     reading_lifetime_ms: float
     gateways_after: int
 
 
 class SettingsEpochs:
-    """Owns the epoch's number, plans and number of gateways, and the past ones that rows may lag behind."""
+    """Owns the present epoch's number, plans and gateways, and the past epochs that rows may lag behind."""
 
     def __init__(self, plans: Iterable[Plan], gateways: int, max_retired_plans: int) -> None:
         self.plans = {plan.name: plan for plan in plans}
@@ -32,7 +32,7 @@
         self.epoch = 0  # number of changes so far
         self.past_epochs: list[PastEpoch] = []  # oldest first; empty once no customer lags behind
         self.lagging_customers: list[CustomerKey] = []
-        self.retired_plans: dict[str, Plan] = {}  # the newest of those that the settings no longer have
+        self.retired_plans: dict[str, Plan] = {}  # the newest of the plans that the settings no longer have
 
     def plan(self, name: str) -> Plan | None:
         """A plan in force, or a retired one that is still remembered."""
@@ -46,9 +46,9 @@
         reading_lifetime_ms: float,
         customers: Iterable[CustomerKey],
     ) -> None:
-        """Begin an epoch with these plans and gateways, behind which these customers lag.
+        """Begin an epoch with these plans and this number of gateways. The customers given lag behind it.
 
-        ``reading_lifetime_ms`` is the one that held until now.
+        ``reading_lifetime_ms`` is the lifetime of readings that held until now.
         """
         plans_before = self.retired_plans | self.plans
         self.past_epochs.append(PastEpoch(now_ms, plans_before, reading_lifetime_ms, gateways))
@@ -66,12 +66,12 @@
         return retired
 
     def missed_epochs(self, epoch: int) -> list[PastEpoch]:
-        """Epochs from this one to the last past one, oldest first: those a row of this epoch has missed."""
+        """The past epochs that a row brought up to this epoch has missed, oldest first."""
         missed_count = self.epoch - epoch
         return self.past_epochs[-missed_count:] if missed_count > 0 else []
 
     def note_caught_up(self, count: int) -> None:
-        """The last ``count`` lagging customers lag no more; once none does, past epochs are forgotten."""
+        """Remove the last ``count`` lagging customers. Once none lags, the past epochs are forgotten."""
         del self.lagging_customers[-count:]
         if not self.lagging_customers:
             self.past_epochs.clear()
--- a/quota_gateway/state_document.py
+++ b/quota_gateway/state_document.py
@@ -1,11 +1,11 @@
-"""State document: what one process of a gateway knows, as JSON for the process that follows it.
+"""State document: the state of a gateway's process as JSON, for the process that takes over from it.
 
-Decides nothing. Servers go by id in it, as the numbers of one process mean nothing to another. A document is
-read completely before any of it is used: a truncated or foreign one leaves the gateway as it was.
+It identifies servers by id, as each process numbers them on its own. A document is read completely before any
+of it is used: a truncated or foreign one leaves the gateway as it was. No decisions are made here.
 
-Versions hand over in both directions, so the keys below never change. What a later version adds stands behind
-or beside what was there, is skipped here, and must not be needed: without it a document means what it meant
-to the earlier version.
+Upgrades and downgrades both hand over, so the keys below never change. A later version may add columns behind
+the existing ones and keys beside them. They are skipped here and must be optional: without them a document
+means what it meant to the earlier version.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from quota_gateway.state.records import CustomerKey, FailureRecord, Moment
 from quota_gateway.state.server import Server
 
-MAX_CUSTOMERS = 20_000  # of a document, the most recently used: some 4 MB
-# Columns of a customer's row, behind its plan and name, by their names in version 1 of the document.
+MAX_CUSTOMERS = 20_000  # in a document, the most recently used ones: some 4 MB
+# Columns of a customer's row, after its plan and name, by their names in version 1 of the document.
 CUSTOMER_COLUMNS = (
     "excess",
     "touched",
@@ -42,7 +42,7 @@
 
 
 class LoadedServer(NamedTuple):
-    """A server's part of a document."""
+    """State of a server, read from a document."""
 
     latency_ratio: float
     latency_ratio_at: Moment
@@ -55,9 +55,9 @@
     started_ms: float
 
     def restore(self, server: Server) -> None:
-        """Make the server's row say the same.
+        """Set the server's state to this one.
 
-        Its start counts only if an operator put it back: otherwise the endpoint list tells its start.
+        The start is restored only if an operator put the server back: otherwise the endpoint list tells it.
         """
         server.latency_ratio = self.latency_ratio
         server.latency_ratio_at = self.latency_ratio_at
@@ -72,7 +72,7 @@
 
 
 class LoadedState(NamedTuple):
-    """A document that was read completely, with servers by their numbers in this process."""
+    """State from a document that was read completely, with servers by their numbers in this process."""
 
     customers: OrderedDict[CustomerKey, Customer]
     servers: dict[int, LoadedServer]
@@ -86,7 +86,7 @@
     unseen_levels: dict[str, BucketLevel]
 
     def restore(self, gateway: Gateway) -> None:
-        """Continue from this state. Nothing here can fail, so that no part is left half restored."""
+        """Make the gateway continue from this state. Nothing here can fail and leave it half restored."""
         gateway.context.started_ms = self.started_at_ms
         gateway.context.decay.attempts_started = self.attempts_started
         gateway.customers.rows = self.customers
@@ -107,7 +107,7 @@
 
 
 def save(gateway: Gateway, server_ids: Mapping[int, str]) -> Document:
-    """The gateway's state after ``HotRestartBegun``: what this process still has to do is reserved in it."""
+    """The gateway's state after ``HotRestartBegun``, with reservations for what is still pending here."""
     latencies = gateway.concurrency_limit.latencies
     return {
         "customers": _write_customers(gateway),
@@ -134,17 +134,20 @@
 
 
 def load(gateway: Gateway, document: Document, server_numbers: Mapping[str, int]) -> None:
-    """Continue from a document. Raises RestartError if it is malformed; the gateway is then as it was."""
+    """Make the gateway continue from a document.
+
+    Raises RestartError if it is malformed; the gateway is then as it was.
+    """
     try:
         state = _read(gateway, document, server_numbers)
     except (ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
-        # a key or column that lacks, a value of another type, a count that is infinite
-        raise RestartError(f"the decisions' state is malformed: {error!r}") from error
+        # A missing key or column, a value of a wrong type, an infinite count.
+        raise RestartError(f"the state document is malformed and not used: {error!r}") from error
     state.restore(gateway)
 
 
 def _read(gateway: Gateway, document: Document, server_numbers: Mapping[str, int]) -> LoadedState:
-    """Read a document without changing the gateway. Raises the builtin errors that ``load`` maps."""
+    """Read a document without changing the gateway. Raises the builtin errors that ``load`` catches."""
     latencies = gateway.concurrency_limit.latencies
     return LoadedState(
         customers=_read_customers(gateway, document["customers"]),
@@ -171,14 +174,14 @@
         attempts_started=int(_checked_number(document["sends"])),
         started_at_ms=_checked_number(document["started_at"]),
         unseen_levels={
-            str(plan_name): BucketLevel(_checked_number(level), _checked_number(at))
-            for plan_name, (level, at, *_) in document.get("fresh", {}).items()
+            str(plan_name): BucketLevel(_checked_number(level), _checked_number(updated))
+            for plan_name, (level, updated, *_) in document.get("fresh", {}).items()
         },
     )
 
 
 def _write_customers(gateway: Gateway) -> list[list[Any]]:
-    """Rows of the most recently used customers, those used last at the end."""
+    """Rows of the most recently used customers, the last used one at the end."""
     reserved_units = gateway.pending_requests.reserved_units()
     newest = islice(reversed(gateway.customers.rows.values()), MAX_CUSTOMERS)
     rows = [_write_customer(gateway, customer, reserved_units) for customer in newest]
@@ -217,7 +220,7 @@
 
 def _read_customer(gateway: Gateway, key: CustomerKey, columns: list[Any]) -> Customer:
     if len(columns) < len(CUSTOMER_COLUMNS):
-        raise ValueError("a customer's row that breaks off")
+        raise ValueError("a customer's row has too few columns")
     (
         excess,
         excess_updated,
@@ -241,7 +244,7 @@
     customer.demand_units = demand
     customer.demand_updated_ms = demand_updated
     customer.peer_occupied_places = int(occupied_places)
-    # The process before may have gone by other settings: no quota share is larger than it is here.
+    # The previous process may have had other settings: no quota share is larger than by those in force here.
     customer.requested_gateways = max(1, int(gateways))
     customer.serving_gateways = min(customer.requested_gateways, gateway.epochs.gateways)
     largest_share = gateway.epochs.plans[key[0]].ceiling_burst / customer.serving_gateways
@@ -266,9 +269,9 @@
 def _read_server(row: Document) -> LoadedServer:
     return LoadedServer(
         latency_ratio=_checked_number(row["ratio"]),
-        latency_ratio_at=_moment(row["ratio_at"]),
+        latency_ratio_at=_read_moment(row["ratio_at"]),
         reported_queue=_checked_number(row["queue"]),
-        reported_queue_at=_moment(row["queue_at"]),
+        reported_queue_at=_read_moment(row["queue_at"]),
         failure_records=_read_failure_records(row["marks"]),
         slow_start_phase=_checked_number(row["phase"]),
         restored_ms=_checked_number(row["back"]),
@@ -279,17 +282,17 @@
 
 def _checked_number(value: Any) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)) or isnan(value):
-        raise ValueError(f"{value!r} is no number")
+        raise ValueError(f"{value!r} is not a number")
     return float(value)
 
 
-def _moment(value: Any) -> Moment:
-    at_ms, attempts_started, *_ = value
-    return _checked_number(at_ms), int(_checked_number(attempts_started))
+def _read_moment(value: Any) -> Moment:
+    recorded_ms, attempts_started, *_ = value
+    return _checked_number(recorded_ms), int(_checked_number(attempts_started))
 
 
 def _read_failure_records(rows: Any) -> dict[str, FailureRecord]:
     return {
-        str(key): (_checked_number(failures), _checked_number(outcomes), _moment(recorded_at))
+        str(key): (_checked_number(failures), _checked_number(outcomes), _read_moment(recorded_at))
         for key, (failures, outcomes, recorded_at, *_) in rows.items()
     }
--- a/quota_gateway/state_machine.py
+++ b/quota_gateway/state_machine.py
@@ -1,7 +1,8 @@
-"""State machines: an enum of states, one table of transitions, and one place that checks against it.
+"""State machines: an enum of states, a table of legal transitions, and one function that checks against it.
 
-An illegal transition is a fault of this program. Tests have it raised; in service it is carried out, logged
-once for each pair of states and counted, as a request or a connection in an odd state is better than none.
+An illegal transition is a bug in this program. In tests it raises IllegalTransitionError. In service it is
+made anyway, counted, and logged once for each pair of states, as a request or a connection in an
+unexpected state is better than a lost one.
 """
 
 from __future__ import annotations
@@ -21,27 +22,30 @@
 
 
 class IllegalTransitions:
-    """What happens to transitions that no table has; one object for the process."""
+    """Handles transitions that a table does not have. There is one instance for the process."""
 
     def __init__(self) -> None:
-        self.raises = False  # tests set it
+        self.raises = False  # whether `report` raises; set in tests
         self.counts: Counter[tuple[str, Enum, Enum]] = Counter()  # by owner, state and requested state
 
     def report(self, owner: str, state: Enum, requested: Enum) -> None:
-        """Count it and log the first. Raises IllegalTransitionError in tests."""
+        """Count a transition, and log the first of its kind. Raises IllegalTransitionError in tests."""
         error = IllegalTransitionError(owner, state, requested)
         if self.raises:
             raise error
         self.counts[owner, state, requested] += 1
         if self.counts[owner, state, requested] == 1:
-            log.error("%s; it is carried out all the same", error)
+            log.error("%s; the transition is made anyway, and repetitions are counted, not logged", error)
 
 
 illegal_transitions = IllegalTransitions()
 
 
 def transition(owner: str, table: Transitions[State], state: State, requested: State) -> State:
-    """The requested state, checked against the owner's table of transitions."""
+    """The requested state, checked against the table of transitions of its owner, such as "request".
+
+    Raises IllegalTransitionError in tests if the table has no such transition.
+    """
     if requested not in table[state]:
         illegal_transitions.report(owner, state, requested)
     return requested
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The limits on the decisions: what the deploy file names, and which module may import which."""
+"""Structure of the decision logic: files that the deploy file lists for the bench, line length, imports."""
 
 import ast
 import tomllib
@@ -41,30 +41,30 @@
     return {name for name in names if name.startswith("quota_gateway")}
 
 
-def test_the_deploy_file_names_every_decision_module_and_no_line_is_too_long():
+def test_the_deploy_file_lists_every_policy_module_and_no_line_is_too_long():
     assert [ROOT / name for name in DEPLOY["policy"]] == FILES
     lines = [line for file in FILES for line in file.read_text().splitlines()]
     assert max(map(len, lines)) <= 110
 
 
-def test_the_bench_is_told_of_every_file_that_run_loads():
-    named = [ROOT / name for name in DEPLOY["policy"] + DEPLOY["node"]]
+def test_the_deploy_file_lists_every_file_that_a_gateway_process_loads():
+    listed_paths = [ROOT / name for name in DEPLOY["policy"] + DEPLOY["node"]]
     loaded = set((ROOT / "quota_gateway" / "net").glob("*.py")) | {ROOT / "quota_gateway" / "__main__.py"}
-    todo = list(loaded)
-    while todo:
-        for name in imported(todo.pop()):
+    unvisited = list(loaded)
+    while unvisited:
+        for name in imported(unvisited.pop()):
             path = ROOT / name.replace(".", "/")
-            found = path / "__init__.py" if path.is_dir() else path.with_suffix(".py")
-            if found not in loaded:
-                loaded.add(found)
-                todo.append(found)
-    shown = {file for file in loaded if any(file == name or name in file.parents for name in named)}
-    assert loaded - shown <= {ROOT / "quota_gateway" / "__init__.py"}
+            module_file = path / "__init__.py" if path.is_dir() else path.with_suffix(".py")
+            if module_file not in loaded:
+                loaded.add(module_file)
+                unvisited.append(module_file)
+    listed = {file for file in loaded if any(file == name or name in file.parents for name in listed_paths)}
+    assert loaded - listed <= {ROOT / "quota_gateway" / "__init__.py"}
     assert not any("recording" in str(file) or "adapter" in str(file) for file in loaded)
 
 
 @pytest.mark.parametrize("file", FILES, ids=lambda file: file.stem)
-def test_no_decision_imports_another_that_stands_above_it_or_a_socket(file):
+def test_a_policy_module_imports_only_those_below_it_and_no_network_code(file):
     assert sorted(ORDER) == sorted(f.stem for f in FILES if f.stem != "__init__")
     below = ORDER[: ORDER.index(file.stem)] if file.stem in ORDER else []
     allowed = {"quota_gateway.api", *(f"quota_gateway.policy.{name}" for name in below)}
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("part", ["api", "state"])
-def test_what_stands_below_the_decisions_imports_none_of_them(part):
+def test_api_and_state_import_neither_policy_nor_network_code(part):
     for file in (ROOT / "quota_gateway" / part).glob("*.py"):
         assert not any(
             name.startswith(("quota_gateway.policy", "quota_gateway.net")) for name in imported(file)
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -254,7 +254,8 @@
         Counted.seen = 0
         endpoints.ready, endpoints.warming_up = Counted(endpoints.ready), Counted(endpoints.warming_up)
         endpoints._groups = {
-            key: GroupIndex(Counted(found.servers), found.places) for key, found in endpoints._groups.items()
+            key: GroupIndex(Counted(found.servers), found.positions)
+            for key, found in endpoints._groups.items()
         }
         for _ in range(40):
             name = rig.ask()
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""The rules as properties: whatever comes in whatever order, within bounds, they hold."""
+"""Rules on attempts and answers hold for any sequence of events, within bounds (property-based tests)."""
 
 from dataclasses import replace
 
@@ -16,13 +16,13 @@
     Status,
 )
 
-NAMES = [item.name for item in SETTINGS.classes]
-MAYBE = {Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED}
+CLASS_NAMES = [item.name for item in SETTINGS.classes]
+MAYBE_RUN = {Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED}
 STEPS = st.one_of(
     st.tuples(
         st.just("ask"),
         st.sampled_from([p.name for p in SETTINGS.plans]),
-        st.sampled_from(NAMES),
+        st.sampled_from(CLASS_NAMES),
         st.floats(20.0, 4000.0),
         st.integers(1, 4),
     ),
@@ -37,18 +37,19 @@
     st.integers(2, 6),
     st.sampled_from([0.5, 1.0, 2.0]),
     st.sets(st.sampled_from([p.name for p in SETTINGS.plans if p.name != "ceiling"]), max_size=2),
-    st.sets(st.sampled_from(NAMES[1:]), max_size=2),
+    st.sets(st.sampled_from(CLASS_NAMES[1:]), max_size=2),
 )
 
 
 class Checker(Rig):
-    """Keeps its own account of every request and checks each send and answer against the rules."""
+    """Tracks every request on its own and checks each attempt and answer against the rules."""
 
     def __init__(self):
         super().__init__()
-        self.info, self.out, self.maybe, self.ready, self.over = {}, {}, {}, set(), set()
-        self.store, self.store_at, self.share = 0.0, self.now, 10.0  # of the ceiling; at its half of 20 units
-        self.rate = 5.0
+        self.requests, self.in_flight, self.maybe_run_ms, self.ready, self.finished = {}, {}, {}, set(), set()
+        # The bucket of the rate ceiling. This gateway's share is half of its 20 units.
+        self.bucket_units, self.bucket_updated_ms, self.bucket_capacity = 0.0, self.now, 10.0
+        self.refill_rate = 5.0
 
     def do(self, event):
         before = {name: len(sent) for name, sent in self.sent.items()}
@@ -62,48 +63,48 @@
         return actions
 
     def check_send(self, name, sent, before):
-        kind, plan, units, deadline = self.info[name]
+        request_class, plan, units, deadline = self.requests[name]
         assert len(sent) == before + 1 <= 3
-        assert not self.out.get(name)
-        assert name not in self.over
+        assert not self.in_flight.get(name)
+        assert name not in self.finished
         assert sent[-1] in self.ready
         assert self.now < deadline
-        if self.maybe.get(name) is not None:
-            assert kind.idempotency is not Idempotency.NOT_IDEMPOTENT
-            if kind.idempotency is Idempotency.WITH_KEY:
-                assert self.now - self.maybe[name] < kind.idempotency_window_ms
-        self.out[name] = (len(sent) - 1, sent[-1], self.now)
+        if self.maybe_run_ms.get(name) is not None:
+            assert request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
+            if request_class.idempotency is Idempotency.WITH_KEY:
+                assert self.now - self.maybe_run_ms[name] < request_class.idempotency_window_ms
+        self.in_flight[name] = (len(sent) - 1, sent[-1], self.now)
         if before == 0 and plan == "ceiling":
             self.refill()
-            self.store -= units
-            assert self.store >= -1e-6
+            self.bucket_units -= units
+            assert self.bucket_units >= -1e-6
 
     def check_answer(self, name):
-        kind, _, _, deadline = self.info[name]
+        request_class, _, _, deadline = self.requests[name]
         assert self.now <= deadline + 8.0
-        assert name not in self.over
-        self.over.add(name)
-        doubt = self.maybe.get(name) is not None or self.out.get(name)
-        if self.answers[name] == "Reject" and doubt:
-            assert kind.idempotency is Idempotency.IDEMPOTENT or kind.name == "keyed-all"
+        assert name not in self.finished
+        self.finished.add(name)
+        may_have_run = self.maybe_run_ms.get(name) is not None or self.in_flight.get(name)
+        if self.answers[name] == "Reject" and may_have_run:
+            assert request_class.idempotency is Idempotency.IDEMPOTENT or request_class.name == "keyed-all"
 
     def refill(self):
-        """The share of the ceiling's store as it should be at most."""
-        filled = self.store + self.rate * (self.now - self.store_at) / 1000.0
-        self.store, self.store_at = min(self.share, filled), self.now
+        """Refill this gateway's share of the rate ceiling's bucket to the most that it may hold now."""
+        filled = self.bucket_units + self.refill_rate * (self.now - self.bucket_updated_ms) / 1000.0
+        self.bucket_units, self.bucket_updated_ms = min(self.bucket_capacity, filled), self.now
 
     def change(self, gateways, factor, plans, classes):
         """New settings: another number of gateways, another ceiling, without some plans and classes."""
         self.refill()
         ceiling = next(plan for plan in SETTINGS.plans if plan.name == "ceiling")
-        rate, burst = ceiling.ceiling_rate * factor, ceiling.ceiling_burst * factor
+        refill_rate, burst = ceiling.ceiling_rate * factor, ceiling.ceiling_burst * factor
         self.do(
             SettingsChanged(
                 replace(
                     SETTINGS,
                     gateways=gateways,
                     plans=tuple(
-                        replace(p, ceiling_rate=rate, ceiling_burst=burst) if p is ceiling else p
+                        replace(p, ceiling_rate=refill_rate, ceiling_burst=burst) if p is ceiling else p
                         for p in SETTINGS.plans
                         if p.name not in plans
                     ),
@@ -111,8 +112,8 @@
                 )
             )
         )
-        self.rate, self.share = rate / 2.0, burst / 2.0  # requests name a width of two
-        self.store = min(self.store, self.share)
+        self.refill_rate, self.bucket_capacity = refill_rate / 2.0, burst / 2.0  # requests name two gateways
+        self.bucket_units = min(self.bucket_units, self.bucket_capacity)
 
     def step(self, step):
         if step[0] == "change":
@@ -120,8 +121,8 @@
         elif step[0] == "ask":
             _, plan, class_name, patience, units = step
             name = f"r{self.count + 1}"
-            kind = next(item for item in SETTINGS.classes if item.name == class_name)
-            self.info[name] = (kind, plan, units, self.now + patience)
+            request_class = next(item for item in SETTINGS.classes if item.name == class_name)
+            self.requests[name] = (request_class, plan, units, self.now + patience)
             self.ask(plan, class_name, patience=patience, units=units)
         elif step[0] == "wait":
             self.run(step[1])
@@ -129,22 +130,22 @@
             state = step[2]
             (self.ready.add if state is ServerState.READY else self.ready.discard)(step[1])
             self.servers(entry(step[1], "ab"[step[1] % 2], state=state), kind=ListKind.CHANGES)
-        elif step[0] == "leave" and (held := [n for n in self.info if n not in self.over]):
-            name = held[step[1] % len(held)]
-            self.over.add(name)
+        elif step[0] == "leave" and (unfinished := [n for n in self.requests if n not in self.finished]):
+            name = unfinished[step[1] % len(unfinished)]
+            self.finished.add(name)
             self.do(ClientDisconnected(name))
-        elif step[0] == "end" and (out := [n for n, o in self.out.items() if o]):
-            self.end(out[step[1] % len(out)], step[2])
+        elif step[0] == "end" and (in_flight := [n for n, attempt in self.in_flight.items() if attempt]):
+            self.end(in_flight[step[1] % len(in_flight)], step[2])
 
     def end(self, name, status):
-        number, server, sent = self.out[name]
-        self.out[name] = None
-        if status in MAYBE and self.maybe.get(name) is None:
-            self.maybe[name] = sent
-        closed = status is Status.OK or name in self.over
-        if closed:
-            self.over.add(name)
-        self.do(AttemptEnded(name, number, server, status, self.now - sent, closed))
+        number, server, sent = self.in_flight[name]
+        self.in_flight[name] = None
+        if status in MAYBE_RUN and self.maybe_run_ms.get(name) is None:
+            self.maybe_run_ms[name] = sent
+        request_answered = status is Status.OK or name in self.finished
+        if request_answered:
+            self.finished.add(name)
+        self.do(AttemptEnded(name, number, server, status, self.now - sent, request_answered))
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -166,4 +167,4 @@
     for step in steps:
         checker.step(step)
     checker.run(5000.0)
-    assert set(checker.info) == checker.over
+    assert set(checker.requests) == checker.finished
--- a/tests/test_request_state.py
+++ b/tests/test_request_state.py
@@ -1,4 +1,4 @@
-"""States of a request: the table of transitions, and that every event leads along it."""
+"""States of a request: the table of transitions, and the states that events lead to."""
 
 import logging
 
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("current", RequestState)
 @pytest.mark.parametrize("requested", RequestState)
-def test_a_request_moves_along_the_table_and_nowhere_else(rig, current, requested):
+def test_a_request_makes_exactly_the_transitions_of_the_table(rig, current, requested):
     pending = rig.gateway.pending_requests.by_id[rig.ask()]
     pending.state = current
     if requested in TRANSITIONS[current]:
@@ -49,7 +49,7 @@
     assert not rig.gateway.pending_requests.queued
 
 
-def test_a_request_whose_client_left_is_kept_until_its_attempt_has_ended(rig):
+def test_a_request_whose_client_disconnected_is_pending_until_its_attempt_has_ended(rig):
     name = rig.ask()
     rig.do(ClientDisconnected(name))
     assert state(rig, name) is RequestState.ANSWERED
@@ -57,24 +57,24 @@
     assert name not in rig.gateway.pending_requests.by_id
 
 
-def test_a_response_that_streams_when_its_client_leaves_or_after_the_deadline_is_not_answered_again():
+def test_a_streaming_response_is_not_answered_again_on_disconnection_or_after_the_deadline():
     rig = rig_with(limits=Limits(max_attempts=3))
     rig.servers(entry(1), entry(2))
-    left, late = rig.ask(), rig.ask(patience=300.0)
-    rig.do(StreamStarted(left, 0, rig.sent[left][0], 50.0))
-    assert state(rig, left) is RequestState.STREAMING
-    rig.do(ClientDisconnected(left))
-    assert state(rig, left) is RequestState.ANSWERED_STREAMING
+    disconnected, expired = rig.ask(), rig.ask(patience=300.0)
+    rig.do(StreamStarted(disconnected, 0, rig.sent[disconnected][0], 50.0))
+    assert state(rig, disconnected) is RequestState.STREAMING
+    rig.do(ClientDisconnected(disconnected))
+    assert state(rig, disconnected) is RequestState.ANSWERED_STREAMING
     rig.run(300.0)
-    assert state(rig, late) is RequestState.ANSWERED
-    rig.do(StreamStarted(late, 0, rig.sent[late][0], 300.0))
-    assert state(rig, late) is RequestState.ANSWERED_STREAMING
-    assert rig.answers == {late: "Reject"}
+    assert state(rig, expired) is RequestState.ANSWERED
+    rig.do(StreamStarted(expired, 0, rig.sent[expired][0], 300.0))
+    assert state(rig, expired) is RequestState.ANSWERED_STREAMING
+    assert rig.answers == {expired: "Reject"}
 
 
-def test_in_service_an_illegal_transition_is_counted_and_the_gateway_goes_on(rig, monkeypatch, caplog):
-    # A fault of the program marks a request as answered twice: raised here, its connections would be lost
-    # with the process. It is logged once, and this request and all others end as they would have.
+def test_in_service_an_illegal_transition_is_counted_and_the_gateway_keeps_serving(rig, monkeypatch, caplog):
+    # A bug marks a request as answered twice. An exception would end the process and all its connections;
+    # instead the bug is logged once, and this request and all others end as they would without it.
     monkeypatch.setattr(illegal_transitions, "raises", False)
     monkeypatch.setattr(illegal_transitions, "counts", IllegalTransitions().counts)
     names = [rig.ask(), rig.ask()]
--- a/tests/test_state_document.py
+++ b/tests/test_state_document.py
@@ -1,12 +1,12 @@
-"""State documents of an earlier version: read to the same meaning, and written again as it would write them.
+"""State documents of an earlier version are read with the same meaning, and written again in the same way.
 
-What happens: an upgrade or a way back, so that the process before is of another version. What a user would
-lose: customers would get a second burst, or be rejected for what they have not used; servers known to fail
-would get requests again. What must hold: each column means what it meant to the version that wrote it.
+In an upgrade or a downgrade the previous process is of another version. Each column must mean what it meant
+to the version that wrote it. Otherwise customers would get a second burst or be rejected for what they have
+not used, and servers known to fail would get requests again.
 
-`tests/data/state_document` was written by commit 2b28dd0. `document.json` is the state of a gateway of 279
-customers and 12 servers in the middle of a settings change: two servers fail, one is administratively down,
-one was put back. `meaning.json` is what its own next process, with the new settings, read from it, by the
+`tests/data/state_document` was written by commit 2b28dd0. `document.json` is the state of a gateway with 279
+customers and 12 servers during a settings change: two servers fail, one is administratively down, one was put
+back. `meaning.json` is what the next process of that version, with the new settings, read from it, by the
 names that the columns had then; `written-again.json` is what that process wrote 250 ms later.
 """
 
@@ -27,7 +27,7 @@
 
 DATA = Path(__file__).parent / "data" / "state_document"
 MEANING: dict[str, Any] = json.loads((DATA / "meaning.json").read_text())
-FIRST_NUMBER = 20  # of the servers in the process that takes over; their ids end in 0 to 11
+FIRST_NUMBER = 20  # of the servers in the next process; their ids end in 0 to 11
 NUMBERS = {f"s-{number}": number + FIRST_NUMBER for number in range(12)}
 IDS = {number: server_id for server_id, number in NUMBERS.items()}
 
@@ -67,7 +67,7 @@
 
 
 def as_json(value: Any) -> Any:
-    """The value as it is after a way through JSON: tuples are lists, keys are strings."""
+    """The value after a round trip through JSON: tuples become lists, keys become strings."""
     return json.loads(json.dumps(value))
 
 
@@ -83,7 +83,7 @@
 
 @pytest.fixture
 def successor() -> Rig:
-    """The next process, by the new settings: half the rates and ceilings, twice the caps, three gateways."""
+    """The next process, with new settings: half the rates and ceilings, twice the caps, three gateways."""
     plans = tuple(
         replace(
             plan,
@@ -100,16 +100,16 @@
     return rig
 
 
-def test_fixture_holds_what_an_upgrade_in_the_middle_of_a_change_holds():
+def test_fixture_covers_an_upgrade_during_a_settings_change():
     written = document()
     assert len(written["customers"]) > 250
     assert sum(len(server["marks"]) > 0 for server in written["servers"].values()) >= 10
     assert written["servers"]["s-6"]["back"] > 0.0  # put back by an operator
-    assert any(row[-1] for row in written["customers"])  # pending in the process before
+    assert any(row[-1] for row in written["customers"])  # pending in the previous process
     assert {row[0] for row in written["customers"]} - {plan.name for plan in PLANS} == {"retired"}
 
 
-def test_every_customers_columns_mean_what_they_meant(successor):
+def test_customers_columns_are_read_with_their_earlier_meaning(successor):
     state_document.load(successor.gateway, document(), NUMBERS)
     customers = successor.gateway.customers.rows.values()
     found = [
@@ -119,7 +119,7 @@
     assert found == MEANING["customers"]
 
 
-def test_customers_shares_and_ceiling_levels_are_what_they_were(successor):
+def test_customers_shares_and_ceiling_levels_are_the_same_as_in_the_earlier_version(successor):
     state_document.load(successor.gateway, document(), NUMBERS)
     gateway = successor.gateway
     found = [
@@ -133,7 +133,7 @@
     assert found == MEANING["shares"]
 
 
-def test_every_servers_columns_mean_what_they_meant(successor):
+def test_servers_columns_are_read_with_their_earlier_meaning(successor):
     state_document.load(successor.gateway, document(), NUMBERS)
     found = {
         server.id: {old: getattr(server, new) for old, new in SERVER_COLUMNS.items()}
@@ -142,7 +142,7 @@
     assert as_json(found) == MEANING["servers"]
 
 
-def test_what_is_known_of_all_servers_and_customers_together_means_what_it_meant(successor):
+def test_values_for_the_whole_gateway_are_read_with_their_earlier_meaning(successor):
     state_document.load(successor.gateway, document(), NUMBERS)
     gateway = successor.gateway
     latencies = gateway.concurrency_limit.latencies
@@ -169,12 +169,12 @@
 
 
 @pytest.mark.parametrize("key", sorted(set(document()) - {"fresh"}))  # which was added later
-def test_document_that_lacks_a_key_is_an_error_and_changes_nothing(successor, key):
+def test_document_with_a_missing_key_is_an_error_and_changes_nothing(successor, key):
     before = as_json(state_document.save(successor.gateway, IDS))
-    cut = document()
-    del cut[key]
+    incomplete = document()
+    del incomplete[key]
     with pytest.raises(RestartError, match=key):
-        state_document.load(successor.gateway, cut, NUMBERS)
+        state_document.load(successor.gateway, incomplete, NUMBERS)
     assert as_json(state_document.save(successor.gateway, IDS)) == before
 
 
@@ -186,7 +186,7 @@
     assert len(successor.gateway.customers.rows) == len(MEANING["customers"])
 
 
-def test_what_a_later_version_adds_is_passed_over(successor):
+def test_keys_and_columns_added_by_a_later_version_are_skipped(successor):
     later = copy.deepcopy(document())
     later["added"] = {"anything": [1, 2]}
     later["customers"] = [[*row, "added"] for row in later["customers"]]
--- a/tests/test_state_machine.py
+++ b/tests/test_state_machine.py
@@ -1,4 +1,4 @@
-"""A transition that no table has: raised in tests, carried out, logged once and counted in service."""
+"""Illegal transitions raise in tests; in service they are carried out, logged once and counted."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 }
 
 
-def test_a_transition_of_the_table_is_the_new_state():
+def test_a_legal_transition_returns_the_new_state():
     assert transition("lamp", TABLE, Lamp.OFF, Lamp.ON) is Lamp.ON
     assert transition("lamp", TABLE, Lamp.ON, Lamp.BROKEN) is Lamp.BROKEN
 
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,36 +1,36 @@
-"""Before a planned end, and Retry-After on rejections over quota."""
+"""Shutdown, the Retry-After of rejections, and the log line that counts requests given up."""
 
 from conftest import Rig, entry, rig_with
 
 from quota_gateway import Limits, Log, Plan, Reject, ShutdownBegun
 
 
-def test_all_pending_requests_and_all_that_come_are_answered_before_the_end(rig):
-    out = [rig.ask(class_name=name) for name in ("safe", "unsafe")]
+def test_shutdown_answers_pending_and_new_requests_within_its_time(rig):
+    pending = [rig.ask(class_name=name) for name in ("safe", "unsafe")]
     rig.run(100.0)
     rig.do(ShutdownBegun(1000.0))
     late = rig.ask(class_name="safe")
     rig.run(990.0)
     assert not rig.answers
     rig.run(10.0)
-    assert rig.answers == {out[0]: "Reject", out[1]: "Fail", late: "Reject"}
+    assert rig.answers == {pending[0]: "Reject", pending[1]: "Fail", late: "Reject"}
 
 
-def test_stopping_does_not_prolong_a_shorter_wait(rig):
+def test_shutdown_does_not_extend_a_shorter_client_timeout(rig):
     rig.do(ShutdownBegun(1000.0))
     name = rig.ask(patience=100.0)
     rig.run(100.0)
     assert rig.answers == {name: "Reject"}
 
 
-def test_hold_past_the_end_of_the_gateway_is_rejected_at_once(rig):
+def test_request_that_would_be_held_past_the_shutdown_is_rejected_at_once(rig):
     for _ in range(4):
         rig.ask("metered")
     rig.do(ShutdownBegun(150.0))
     assert rig.answers.get(rig.ask("metered")) == "Reject"  # it would be held for 200 ms
 
 
-def test_rejection_over_quota_has_a_retry_after_at_which_the_request_is_sent_at_once():
+def test_rejection_over_quota_has_a_retry_after_at_which_a_retry_is_sent_at_once():
     rig = rig_with(
         limits=Limits(can_advise_retry=True, max_retry_after_ms=60_000.0),
         plans=(Plan("metered", rate=2.0, burst=4.0),),
@@ -53,13 +53,13 @@
         assert first_rejection(rig).retry_after_ms == retry_after
 
 
-def test_a_line_now_and_then_counts_what_was_given_up_by_reason_and_plan(rig):
+def test_periodic_log_line_counts_requests_given_up_by_reason_and_plan(rig):
     lines, rejected = [], 0
-    plain = rig.do
+    original_do = rig.do
 
     def do(event):
         nonlocal rejected
-        actions = plain(event)
+        actions = original_do(event)
         rejected += sum(isinstance(action, Reject) for action in actions)
         for action in actions:
             if isinstance(action, Log):
@@ -68,30 +68,30 @@
 
     rig.do = do
     for _ in range(12):  # seconds
-        for _ in range(20):  # of which the quota share takes five a second
+        for _ in range(20):  # requests a second, of which the quota share admits five
             name = rig.ask("metered", patience=10.0)
             if name in rig.sent:
                 rig.finish(name)
         rig.run(1000.0)
-    (first, then), (second, last) = lines
-    assert first.startswith("given up: ")
-    assert f"quota metered {then}" in first
-    assert f"quota metered {last - then}" in second
+    (first_line, rejected_by_first), (second_line, rejected_by_second) = lines
+    assert first_line.startswith("given up: ")
+    assert f"quota metered {rejected_by_first}" in first_line
+    assert f"quota metered {rejected_by_second - rejected_by_first}" in second_line
 
 
-def test_what_is_given_up_for_want_of_a_server_or_capacity_has_a_retry_after():
+def test_request_given_up_for_lack_of_a_server_or_capacity_has_a_retry_after():
     limits = Limits(max_attempts=3, can_advise_retry=True, max_retry_after_ms=5000.0)
     rig, retry_after = rig_with(limits=limits), {}
-    plain = rig.do
+    original_do = rig.do
 
     def do(event):
-        actions = plain(event)
+        actions = original_do(event)
         retry_after.update({a.request_id: a.retry_after_ms for a in actions if isinstance(a, Reject)})
         return actions
 
     rig.do = do
     rig.servers(entry(1), entry(2))
-    capped = [rig.ask("only-cap") for _ in range(3)]  # one may be out from here
+    capped = [rig.ask("only-cap") for _ in range(3)]  # this gateway's share of the cap is one attempt
     rig.run(4000.0)
     assert set(retry_after) == set(capped)
     assert all(0.0 < ms <= 5000.0 for ms in retry_after.values())
@@ -101,17 +101,17 @@
 
 
 def first_rejection(rig: Rig) -> Reject:
-    """Ask for one customer, at one moment, until it is rejected."""
+    """Send requests of one customer, all at the same time, until one is rejected."""
     found: list[Reject] = []
-    plain = rig.do
+    original_do = rig.do
 
     def do(event):
-        actions = plain(event)
+        actions = original_do(event)
         found.extend(action for action in actions if isinstance(action, Reject))
         return actions
 
     rig.do = do
     while not found:
         rig.ask("metered")
-    rig.do = plain
+    rig.do = original_do
     return found[0]
