--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -8,7 +8,7 @@
 
 import pytest
 from fakes import SETTINGS, FakeServer, Raw, array, call, node, run, until
-from test_net_driver import Script, scripted
+from test_net_driver import FakePolicy, accept_request
 from test_net_servers import OutcomeCollector
 
 from quota_gateway import Idempotency, IdempotencyScope, Limits, ListKind, Send, ServerState, Status
@@ -189,8 +189,8 @@
             gateway.servers.start(1, collector.attempt())
             assert await collector.status() is Status.OK  # leaves one idle connection
             gate = Gate(gateway)
-            script = Script(Request=lambda e: [Send("r", 1), Send("r", 2)])
-            answers = scripted(gateway, script)
+            script = FakePolicy(Request=lambda e: [Send("r", 1), Send("r", 2)])
+            answers = accept_request(gateway, script)
             await until(lambda: bool(answers) and bool(gate.sockets))
             gate.open.set()
             await until(lambda: len(script.outcomes()) == 2)
