--- a/quota_gateway/rollout/__init__.py
+++ b/quota_gateway/rollout/__init__.py
@@ -1,4 +1,5 @@
-"""A change of settings or program rolled over many gateways in stages, judged at each, with a way back.
+"""Rolls a change of the settings or of the program out to many gateways in stages.
 
-An extra, on the operators' side: the gateway imports none of it.
+After each stage the changed gateways are compared with the others; where they do worse, the change is rolled
+back. An optional tool for operators: the gateway imports none of it.
 """
--- a/quota_gateway/rollout/atomic_file.py
+++ b/quota_gateway/rollout/atomic_file.py
@@ -1,4 +1,4 @@
-"""Replaces files of targets and of the controller as a whole."""
+"""Replaces files of targets and of the controller atomically."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 def replace_file(path: Path, data: bytes) -> None:
-    """Replace a file as a whole; on disk when this returns.
+    """Replace a file's content atomically; it is on disk when this returns.
 
     Raises:
-        OSError: it can't be written; the old one stays.
+        OSError: it can't be written; the old content stays.
     """
     temporary = path.with_name(path.name + ".rollout")
     with temporary.open("wb") as file:
--- a/quota_gateway/rollout/change_strategy.py
+++ b/quota_gateway/rollout/change_strategy.py
@@ -1,6 +1,7 @@
-"""What the controller needs of a kind of change: to apply it, to confirm it, and to roll it back.
+"""The interface of a kind of change to the controller: apply it, confirm it and roll it back.
 
-Each step looks first and does what is missing, so that the next controller can repeat it.
+Each step reads the target's state first and does only what is missing, so that the next controller can repeat
+it.
 """
 
 from __future__ import annotations
@@ -18,19 +19,19 @@
 
 
 class ChangeRejectedError(RolloutError):
-    """A target rejects the change itself, or fails under it; everything is rolled back."""
+    """A target rejects the change, or fails because of it; the whole rollout is rolled back."""
 
 
 @dataclass(frozen=True, slots=True)
 class CheckedTargets:
-    """What each target has before the rollout and is to have after it, by name; see `RolloutStarted`."""
+    """State of each target before the rollout, and as it is to be after it, by name; see `RolloutStarted`."""
 
     before: dict[str, str]
     after: dict[str, str]
 
 
 class ChangeStrategy(ABC):
-    """A kind of change. The state is the journal's, and only read here."""
+    """A kind of change. Reads the journal's state and does not modify it."""
 
     def __init__(self, plan: Plan, clients: AdminClients, state: RolloutState) -> None:
         self.plan = plan
@@ -40,7 +41,7 @@
 
     @property
     def started(self) -> RolloutStarted:
-        """What was checked at the beginning; asked for only after it."""
+        """The record of the rollout's start; may be used only once it is written."""
         assert self.state.started
         return self.state.started
 
@@ -49,28 +50,28 @@
         return self.plan.path(target.config_file, target.name)
 
     def read_file(self, path: str, target: str) -> bytes:
-        """A target's file, by a path of the plan. Raises PlanError."""
+        """Read a target's file, by a path of the plan. Raises PlanError if it can't or it is too large."""
         try:
             data = self.plan.path(path, target).read_bytes()
         except OSError as error:
             raise PlanError(f"{target}: {error}") from None
         if len(data) > MAX_FILE_BYTES:
-            raise PlanError(f"{target}: {path}: more than {MAX_FILE_BYTES} bytes")
+            raise PlanError(f"{target}: {path}: file is larger than {MAX_FILE_BYTES} bytes")
         return data
 
     async def require_file_in_force(self, target: str) -> None:
-        """Raises PlanError where a target goes by another configuration than its file, or by one on trial."""
+        """Raises PlanError where a target uses another configuration than its file's, or one on trial."""
         expected = file_digest(self.read_file(self.targets[target].config_file, target))
         try:
             in_force = await self.clients.configuration(target)
         except UnreachableError as error:
-            raise PlanError(f"a door does not answer: {error}") from None
+            raise PlanError(f"a member's admin endpoint (door) gives no usable answer: {error}") from None
         if in_force.digest != expected or in_force.on_trial:
-            raise PlanError(f"{target} is on trial, or goes by {in_force.digest} and not by {expected}")
+            raise PlanError(f"{target} is on trial, or goes by {in_force.digest}, not its file's {expected}")
 
     @abstractmethod
     async def check(self) -> CheckedTargets:
-        """Check everything that can be checked without touching anything. Raises PlanError."""
+        """Check everything that can be checked without changing a target. Raises PlanError."""
 
     @abstractmethod
     def is_outdated(self) -> bool:
@@ -78,16 +79,16 @@
 
     @abstractmethod
     async def apply(self, target: str) -> int:
-        """Change a target; its process id then.
+        """Change a target; return the id of its process after the change.
 
         Raises:
             ChangeRejectedError: it rejects the change.
-            NotYetError: not changed yet.
+            NotYetError: it is not changed yet.
         """
 
     @abstractmethod
     async def renew_trial(self, targets: list[str]) -> None:
-        """Extend the trial while the stage is watched."""
+        """Restart the targets' trial time, so that no trial ends while its stage is watched."""
 
     @abstractmethod
     async def failure_of(self, target: str) -> str:
@@ -95,13 +96,13 @@
 
     @abstractmethod
     async def confirm(self, target: str) -> bool:
-        """Make the change permanent; false if the target went back by itself.
+        """Make the change permanent; false if the target has reverted by itself.
 
         Raises:
-            ChangeRejectedError: it has failed.
-            NotYetError: not confirmed yet.
+            ChangeRejectedError: the target has failed.
+            NotYetError: the change is not confirmed yet.
         """
 
     @abstractmethod
     async def roll_back(self, target: str) -> None:
-        """Make a target as it was before. Raises NotYetError until it is."""
+        """Restore a target to its state before the rollout. Raises NotYetError until that is done."""
--- a/quota_gateway/rollout/controller.py
+++ b/quota_gateway/rollout/controller.py
@@ -1,8 +1,8 @@
-"""The controller: takes a rollout from wherever its journal says it stands to its end.
+"""The controller: runs a rollout to its end, from the phase that its journal has reached.
 
-Every step looks first and does what is missing, so that it may be repeated after a crash. Records are on disk
-before what they announce is done. While no controller runs, targets on trial go back by themselves. The
-phases and their transitions are in `rollout_state`.
+Every step reads the targets' state first and does only what is missing, so that it can be repeated after a
+crash. Records that announce an action are on disk before the action begins. While no controller runs, targets
+on trial revert by themselves. The phases and their transitions are in `rollout_state`.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
         Raises:
             FencedError: another controller has taken over.
-            PlanError: the plan can't be carried out; nothing more was touched.
+            PlanError: the plan can't be carried out; nothing more is changed.
             OSError: a file of the controller or of a target can't be used.
         """
         if self.state.phase is RolloutPhase.NOT_STARTED:
@@ -64,8 +64,9 @@
         return self.state.outcome
 
     async def _start(self) -> None:
-        """Check everything that can be checked without touching anything."""
-        self.context.clients.sends_token = False  # a rollout that may not begin must not stop another
+        """Check everything that can be checked without a change, then record the start of the rollout."""
+        # A rollout that may turn out unable to begin must not fence off the controller of another one.
+        self.context.clients.sends_token = False
         checked = await self.context.strategy.check()
         self.context.clients.sends_token = True
         self.context.record(
@@ -82,15 +83,15 @@
     def _require_same_plan(self) -> None:
         started = self.context.strategy.started
         if started.fingerprint != fingerprint(self.plan):
-            raise PlanError(f"the journal is of another plan than this file now is ({started.plan})")
+            raise PlanError(f"the journal is of another plan, or the plan has changed since ({started.plan})")
         if self.state.outcome and self.context.strategy.is_outdated():
-            raise PlanError("the journal is of other new settings, and is over: name another journal")
+            raise PlanError("the rollout has ended, and the new settings changed since: name another journal")
 
     async def _complete(self) -> None:
         self.context.record(RolloutEnded(self.context.now_s(), Outcome.DONE.value))
 
     async def _wait_for_operator(self) -> None:
-        """Keep the trials up until an operator says how to go on."""
+        """Poll for an operator's decision while the rollout is halted, and keep renewing the trials."""
         command = self.context.commands.take()
         if command is OperatorCommand.RESUME:
             await self._accept_restarts()
@@ -103,7 +104,7 @@
             await asyncio.sleep(self.plan.poll_interval_s)
 
     async def _accept_restarts(self) -> None:
-        """Go on with the processes that changed targets are now: the operator has seen to what went."""
+        """Accept the new processes of changed targets that restarted: the operator has dealt with that."""
         metrics = self.context.metrics
         await metrics.read()
         for name, pid in list(self.state.changed_pids.items()):
@@ -112,5 +113,5 @@
                 self._record_process(name, figures.pid)
 
     def _record_process(self, name: str, pid: int) -> None:
-        """Record the process that a target is now; journals have no record of its own for that."""
+        """Record a target's new process as `TargetChanged`: journals have no record of its own for that."""
         self.context.record(TargetChanged(self.context.now_s(), name, pid=pid))
--- a/quota_gateway/rollout/journal.py
+++ b/quota_gateway/rollout/journal.py
@@ -1,7 +1,8 @@
-"""A rollout's journal: records on disk that are complete or absent, synced before what they announce is done.
+"""A rollout's journal: a file of checksummed records.
 
-One controller holds it at a time, by a lock on the file. Each has a token above those of all before it, so
-that gateways can reject a controller that was thought dead.
+A record is synced to disk before the action that it announces begins. One that is cut off or damaged counts
+as absent, with all after it. One controller holds the journal at a time, by a lock on the file. Each has a
+token above those of all controllers before it, so that gateways can reject one that was thought dead.
 """
 
 from __future__ import annotations
@@ -25,14 +26,14 @@
 
 
 class JournalError(RolloutError):
-    """The journal is held by another controller, or is none."""
+    """The journal is held by another controller, is not a journal, or can't take a record."""
 
 
 def records(data: bytes) -> Iterator[tuple[int, JournalRecord]]:
-    """The complete records of a journal, each with the offset of its end; stops at the first torn one.
+    """The records of a journal, each with the offset of its end, up to the first incomplete or damaged one.
 
     Raises:
-        JournalError: a complete record that no version has written.
+        JournalError: a complete record is none that a version of this program writes.
     """
     decoder = msgspec.json.Decoder(JournalRecord)
     offset = 0
@@ -45,15 +46,15 @@
         try:
             yield offset, decoder.decode(body)
         except msgspec.MsgspecError as error:
-            raise JournalError(f"no journal of this program's: {error}") from None
+            raise JournalError(f"the journal has a record of no known kind: {error}") from None
 
 
 def read(path: Path) -> RolloutState:
-    """What a journal says now, without holding it.
+    """Read the present state from a journal, without holding it.
 
     Raises:
         OSError: the file can't be read.
-        JournalError: it is no journal.
+        JournalError: it is not a journal.
     """
     state = RolloutState()
     for _, record in records(path.read_bytes()):
@@ -65,15 +66,15 @@
     """A journal that this process holds: locked, cut to its complete records, with a token of its own."""
 
     def __init__(self, path: Path, clock: Callable[[], float] = time.time) -> None:
-        """Open or create the journal, and hold it.
+        """Open or create the journal, lock it, and record this controller's token.
 
         Args:
-            path: its file.
-            clock: Unix time in seconds.
+            path: the journal's file.
+            clock: returns the Unix time in seconds.
 
         Raises:
             OSError: the file can't be opened or written.
-            JournalError: another controller holds it, or it is no journal.
+            JournalError: another controller holds it, or it is not a journal.
         """
         self.clock = clock
         self.file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -94,7 +95,7 @@
             raise JournalError(f"{path}: another controller holds it") from None
 
     def _replay(self, path: Path) -> None:
-        """Take in the complete records and cut off the rest."""
+        """Compute the state from the complete records, and truncate the file behind them."""
         end = 0
         for record_end, record in records(path.read_bytes()):
             self.state.apply(record)
@@ -103,7 +104,7 @@
         os.lseek(self.file, end, os.SEEK_SET)
 
     def _next_token(self) -> int:
-        """Milliseconds since the epoch, so also above the tokens of other journals."""
+        """Unix time in milliseconds, so also above the tokens of other journals."""
         return max(self.state.token + 1, int(1000.0 * self.clock()))
 
     def write(self, record: JournalRecord) -> None:
@@ -111,11 +112,11 @@
 
         Raises:
             OSError: it can't be written.
-            JournalError: it is too long.
+            JournalError: the record is too long.
         """
         body = msgspec.json.encode(record)
         if len(body) > MAX_RECORD_BYTES:
-            raise JournalError("a record too long")
+            raise JournalError("a journal record is too long to be written")
         data = memoryview(HEADER.pack(len(body), zlib.crc32(body)) + body)
         while data:
             data = data[os.write(self.file, data) :]
@@ -123,12 +124,12 @@
         self.state.apply(record)
 
     def close(self) -> None:
-        """Release the journal."""
+        """Close the journal's file, which releases the lock."""
         os.close(self.file)
 
 
 def _sync_folder(folder: Path) -> None:
-    """Make the file's entry in its folder durable."""
+    """Sync the folder, so that the entry of a new journal in it survives a crash."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
--- a/quota_gateway/rollout/operator_commands.py
+++ b/quota_gateway/rollout/operator_commands.py
@@ -1,4 +1,4 @@
-"""Commands that operators leave for a running controller, in a file beside the journal."""
+"""Passes commands of operators to the running controller, in a file beside the journal."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class OperatorCommand(StrEnum):
-    """What the controller is asked to do; the values stand in the file and are names of shell commands."""
+    """What the controller is asked to do; the values are written to the file and name the shell commands."""
 
     PAUSE = "pause"
     RESUME = "resume"
@@ -17,18 +17,18 @@
 
 
 class OperatorCommandFile:
-    """The file, which holds the latest command that was not carried out yet."""
+    """The command file: it contains the latest command that the controller has not taken yet."""
 
     def __init__(self, plan: Plan) -> None:
         journal = plan.path(plan.journal)
         self.path = journal.with_name(journal.name + ".wish")
 
-    def leave(self, command: OperatorCommand) -> None:
-        """Leave a command in place of an earlier one. Raises OSError."""
+    def write(self, command: OperatorCommand) -> None:
+        """Write a command, in place of one that was not taken yet. Raises OSError."""
         replace_file(self.path, command.encode())
 
     def take(self) -> OperatorCommand | None:
-        """The command, once; none if there is none, or no known one."""
+        """Remove the command from the file and return it; none if there is none, or an unknown one."""
         try:
             word = self.path.read_text().strip()
             self.path.unlink()
--- a/quota_gateway/rollout/plan.py
+++ b/quota_gateway/rollout/plan.py
@@ -1,7 +1,8 @@
-"""The rollout plan: targets, what changes, stages. A TOML file that is read whole or rejected with its fault.
+"""The rollout plan: the gateways to change (targets), the change, and the stages.
 
-Times are seconds, shares are 0 to 1. Paths are relative to the plan's folder. The TOML keys are those that
-operators' plans and the stored fingerprints use; each class maps its fields to them.
+A plan is a TOML file; it is read completely, or rejected with its first fault. Times are seconds, shares are
+0 to 1. Paths are relative to the plan's folder. The TOML keys are those that operators' plans and the stored
+fingerprints use; each class maps its fields to them.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class PlanError(RolloutError):
-    """The file is no plan, or the plan can't be carried out; nothing more is touched."""
+    """The file is not a valid plan, or the plan can't be carried out; nothing more is changed."""
 
 
 class Target(
@@ -44,8 +45,9 @@
         admin_address: ``host:port`` of its admin endpoint.
         config_file: its configuration file.
         zone: its zone; the gateways of a zone are never changed all at once.
-        next_admin_address: of the other process, for another program: predecessor and successor take turns.
-        runtime_folder: the TMPDIR that both processes share, for another program.
+        next_admin_address: for a rollout of a program, ``host:port`` of a second admin endpoint. The
+            successor listens at whichever of the two addresses its predecessor does not use.
+        runtime_folder: for a rollout of a program, the TMPDIR that predecessor and successor share.
     """
 
     name: str
@@ -60,8 +62,9 @@
     """A version of the program.
 
     Attributes:
-        folder: where it stands.
-        command: the shell command that runs it there; ``--check FILE`` and ``--about`` are put behind it.
+        folder: the folder that it is installed in.
+        command: the shell command that runs it in that folder; ``--check FILE`` or ``--about`` is appended
+            to it.
     """
 
     folder: str
@@ -69,15 +72,16 @@
 
 
 class ProgramChange(Struct, forbid_unknown_fields=True, frozen=True):
-    """Another version of the program.
+    """A change from one version of the program to another.
 
     Attributes:
-        before: the version that runs.
+        before: the version that runs now.
         after: the version that is rolled out.
-        start: the platform's command that starts a target's process at an admin address of its own; its words
-            may hold the fields of `platform_commands.PlatformFields` in braces, see docs/on-call.md. Empty: a
-            process on this machine.
-        stop: the platform's command that ends the process at an admin address.
+        start: the platform's command that starts a target's process with a given admin address. Its words
+            may contain the fields of `platform_commands.PlatformFields` in braces, see docs/on-call.md.
+            Empty: the process is started on this machine.
+        stop: the platform's command that ends the process with a given admin address; its words may
+            contain the same fields. Given if and only if ``start`` is.
     """
 
     before: ProgramVersion
@@ -103,27 +107,32 @@
         "limits": "worse",
     },
 ):
-    """A rollout, either of settings or of a program.
+    """A rollout, either of settings or of a version of the program.
 
     Attributes:
         name: the rollout's name.
-        journal: the journal's file.
-        targets: in the order of the gateways' numbers.
-        settings: each target's new configuration file, with ``{name}`` in it.
-        program: the new version.
-        stage_sizes: targets changed by the end of each stage, as numbers or as shares of all.
-        stage_by: stages by `stage_sizes`, or a zone after the other.
-        max_concurrent: targets that are changed at the same time.
-        customer_set_size: consecutive gateways that serve the smallest customer; never all at the same time.
-        target_timeout_s: for a target to be changed.
-        watch_s: a stage is watched at least.
-        max_watch_s: a stage is watched at most; without a verdict by then the rollout halts.
-        min_requests: answered by either group before a stage passes.
-        trial_s: new settings last, unless they are confirmed or renewed.
-        poll_interval_s: between two reports of a target.
-        settle_s: at the beginning of a watch, not counted: what has just started is slower for a while.
+        journal: path of the journal file.
+        targets: the gateways to change, in the order of their numbers.
+        settings: path of each target's new configuration file; ``{name}`` stands for the target's name. Empty
+            for a rollout of a program.
+        program: the versions before and after; none for a rollout of settings.
+        stage_sizes: targets that are changed by the end of each stage: a number, or a share of all targets.
+        stage_by: ``share``: stages by `stage_sizes`; ``zone``: each zone is a stage.
+        max_concurrent: how many targets may be in the middle of a change at the same time.
+        customer_set_size: number of consecutive gateways that serve the smallest customer; these are never
+            all changed at the same time.
+        target_timeout_s: time in which a target must be changed or confirmed, and after which an unreachable
+            one halts the rollout.
+        watch_s: minimum time that a stage is watched after its targets are changed.
+        max_watch_s: maximum time that a stage is watched; without a verdict by then the rollout halts.
+        min_requests: requests that the judged targets, and that the others, must have answered before a stage
+            can pass.
+        trial_s: time after which a target reverts new settings that are neither confirmed nor renewed.
+        poll_interval_s: time between two reads of a target's figures.
+        settle_s: time at the beginning of a watch whose figures don't count, as a process that has just
+            started is slower for a while.
         limits: when a stage counts as worse.
-        folder: where the file stood.
+        folder: the folder of the plan's file; not read from the file.
     """
 
     name: str
@@ -146,7 +155,7 @@
     folder: str = ""
 
     def path(self, text: str, target: str = "") -> Path:
-        """A path of the plan, with a target's name filled in."""
+        """A path of the plan, relative to its folder, with the target's name in place of ``{name}``."""
         return Path(self.folder) / text.format(name=target)
 
     def target_names(self) -> list[str]:
@@ -154,23 +163,27 @@
         return [target.name for target in self.targets]
 
     def stages(self) -> list[list[str]]:
-        """Targets' names by stage; those of a stage are far apart in the customers' rings."""
+        """Targets' names by stage.
+
+        Stages by share consist of targets far apart in the order of the gateways, as consecutive gateways
+        serve the same customers.
+        """
         if self.stage_by == "zone":
             zones = dict.fromkeys(target.zone for target in self.targets)
             return [[target.name for target in self.targets if target.zone == zone] for zone in zones]
         order = bit_reversed_order(self.target_names())
         stages = []
-        done = 0
+        assigned = 0
         for size in self.stage_sizes:
             end = min(len(order), size if isinstance(size, int) else ceil(size * len(order)))
-            if end > done:
-                stages.append(order[done:end])
-                done = end
+            if end > assigned:
+                stages.append(order[assigned:end])
+                assigned = end
         return stages
 
 
 def bit_reversed_order(names: list[str]) -> list[str]:
-    """The same names, ordered so that consecutive ones were far apart: the first, the middle, a quarter.
+    """The names reordered so that neighbours were far apart: the first, the middle one, that at a quarter.
 
     This is the bit-reversal permutation of their positions.
     """
@@ -180,6 +193,9 @@
 
 
 def fingerprint(plan: Plan) -> str:
-    """SHA-256 of the plan but its place: a journal belongs to one plan, and may be moved with it."""
-    unplaced = msgspec.structs.replace(plan, journal="", folder="")
-    return hashlib.sha256(msgspec.json.encode(unplaced)).hexdigest()
+    """SHA-256 of the plan: a journal belongs to one plan.
+
+    Without the plan's folder and the journal's path, so that both files can be moved together.
+    """
+    without_location = msgspec.structs.replace(plan, journal="", folder="")
+    return hashlib.sha256(msgspec.json.encode(without_location)).hexdigest()
--- a/quota_gateway/rollout/program_rollout.py
+++ b/quota_gateway/rollout/program_rollout.py
@@ -1,13 +1,13 @@
-"""Rolls out another version of the program: a successor takes over, and its predecessor lives on for a while.
+"""Rolls out another version of the program: a successor takes over from its predecessor at each target.
 
   before        one process, the predecessor, at the address ``before``
-  side by side  the successor, at the address ``after``, has taken over; the predecessor lives until the stage
-                is confirmed, and takes back by itself if the successor dies or hangs
+  side by side  the successor, at the address ``after``, has taken over; the predecessor stays alive until the
+                stage is confirmed, and takes back by itself if the successor dies or hangs
   after         one process, the successor
 
 The rollback, from ``side by side`` and from ``after``, is the same step in the other direction: a process of
 the version before, called predecessor as well, is started at the address ``before`` and takes over the
-present state. The predecessor that has handed over is ended first, as it knows only the state of that time.
+present state. A predecessor that has handed over is ended first, as it knows only the state at that time.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 from quota_gateway.rollout.version_check import VersionCheck
 
 MAX_CONCURRENT_CHECKS = 8  # of targets: each runs the new version once
-# Of a target's time, for a successor that is there and does not serve: the change is rolled back before the
-# time is up, after which the rollout would halt.
-SERVING_PATIENCE_RATIO = 0.7
+# Part of a target's timeout that a live successor may take until it serves. Below 1, as a successor that does
+# not serve should be rolled back, and at the end of the timeout the rollout would halt instead.
+SERVING_TIMEOUT_RATIO = 0.7
 
 
 class ProgramRollout(ChangeStrategy):
     """Another version of the program for each target.
 
-    Keeps no second truth: every step asks both admin addresses which process serves, and does what is
-    missing.
+    Stores no state of the processes: every step asks both admin addresses which process serves, and does what
+    is missing.
     """
 
     def __init__(self, plan: Plan, clients: AdminClients, state: RolloutState) -> None:
@@ -45,9 +45,10 @@
         self.platform = PlatformCommands(plan, self.change, clients.token)
         self.versions = VersionCheck(plan)
         self.pairs = ProcessPairReader(clients)
-        # By target, since when a process of it is waited for, by the event loop's clock. Shared by apply,
+        # By target, the event loop's time since when one of its processes is waited for. Shared by `apply`,
         # which waits for the successor to serve, and by the rollback, which waits for it to hand over and
-        # begins anew when it starts a predecessor. Not stored: another controller counts from its first look.
+        # restarts the wait when it starts a predecessor. Not stored: another controller counts from its first
+        # check.
         self.waiting_since_s: dict[str, float] = {}
         if state.started:
             for name, address in state.started.after.items():
@@ -57,7 +58,7 @@
     # ---- Checks
 
     async def check(self) -> CheckedTargets:
-        """Check the versions, then that each target is one process of the version before."""
+        """Check the versions, and that each target is a single process of the version before."""
         await self.versions.require_compatible(self.change.before, self.change.after)
         concurrent_checks = asyncio.Semaphore(MAX_CONCURRENT_CHECKS)
 
@@ -74,9 +75,9 @@
         return CheckedTargets(before, after)
 
     async def _check_target(self, name: str) -> str:
-        """Check that one process of the version before serves, and that the version after takes its file.
+        """Check that one process of the version before serves, and that the version after accepts its file.
 
-        Returns its address.
+        Returns the admin address of the process.
         """
         target = self.targets[name]
         address = await self.pairs.only_serving_address(target)
@@ -90,32 +91,34 @@
         return address
 
     async def _require_version(self, name: str, version: ProgramVersion) -> None:
-        """Raises ChangeRejectedError where the process that is asked is known to be of another version."""
+        """Raises ChangeRejectedError if the target's process is known to be of another version."""
         folder = (await self.clients.figures(name)).program
         if folder and Path(folder).resolve() != self.plan.path(version.folder).resolve():
-            raise ChangeRejectedError(f"{name} is run from {folder}, not from {version.folder}")
+            raise ChangeRejectedError(f"{name} is run from {folder}, want {version.folder}")
 
     def is_outdated(self) -> bool:
-        """Never: versions are told by their folders, which stand in the plan."""
+        """Always false: versions are identified by their folders, which are part of the plan."""
         return False
 
     # ---- The change
 
     async def apply(self, target: str) -> int:
-        """Start the successor, or look whether it has taken over; see the base."""
+        """Start the successor, or check whether it has taken over; see the base class."""
         address = self.started.after[target]
         pair = await self._pair(target)
         if pair.successor is ProcessState.SILENT:
             if pair.predecessor is not ProcessState.SERVING:
-                raise NotYetError(f"{target}: {pair.predecessor.value}, and nobody answers at {address}")
+                raise NotYetError(
+                    f"{target}: its process: {pair.predecessor.value}; no process answers at {address}"
+                )
             await self._start_successor(target, address)
-            raise NotYetError(f"{target}: its next process starts")
+            raise NotYetError(f"{target}: its next process was started at {address}")
         if pair.successor is not ProcessState.SERVING:
-            self._require_patience(target)
-            raise NotYetError(f"{target}: its next process {pair.successor.value}")
+            self._require_serving_in_time(target)
+            raise NotYetError(f"{target}: its next process: {pair.successor.value}")
         if pair.predecessor is ProcessState.SERVING:
             raise ChangeRejectedError(
-                f"{target}: its next process serves beside the one before, it took nothing over"
+                f"{target}: its next process serves beside the one before and has not taken over from it"
             )
         self.clients.use_address(target, address)
         await self._require_version(target, self.change.after)
@@ -133,18 +136,18 @@
             raise ChangeRejectedError(f"{target}: its next process has ended")
         self.waiting_since_s.setdefault(target, asyncio.get_running_loop().time())
 
-    def _require_patience(self, target: str) -> None:
-        """Raises ChangeRejectedError where the successor has not served for too long."""
+    def _require_serving_in_time(self, target: str) -> None:
+        """Raises ChangeRejectedError if the process waited for has not served for too long."""
         now_s = asyncio.get_running_loop().time()
         waiting_s = now_s - self.waiting_since_s.setdefault(target, now_s)
-        if waiting_s > SERVING_PATIENCE_RATIO * self.plan.target_timeout_s:
-            raise ChangeRejectedError(f"{target}: its next process is there, and does not serve")
+        if waiting_s > SERVING_TIMEOUT_RATIO * self.plan.target_timeout_s:
+            raise ChangeRejectedError(f"{target}: its next process answers, but does not serve in time")
 
     async def renew_trial(self, targets: list[str]) -> None:
-        """Nothing to do: predecessor and successor live on by themselves."""
+        """Nothing to do: predecessor and successor stay alive without a time limit."""
 
     async def failure_of(self, target: str) -> str:
-        """Whether the successor has ended, as the predecessor serves again."""
+        """The failure that the successor has ended, if the predecessor serves again; otherwise empty."""
         return self._failure_in(target, await self._pair(target))
 
     def _failure_in(self, target: str, pair: ProcessPair) -> str:
@@ -153,13 +156,13 @@
         return ""
 
     async def confirm(self, target: str) -> bool:
-        """End the predecessor; see the base."""
+        """End the predecessor; see the base class."""
         pair = await self._pair(target)
         failure = self._failure_in(target, pair)
         if failure:
             raise ChangeRejectedError(failure)
         if pair.successor is not ProcessState.SERVING:
-            raise NotYetError(f"{target}: its next process {pair.successor.value}")
+            raise NotYetError(f"{target}: its next process: {pair.successor.value}")
         await self._retire_predecessor(target)
         return True
 
@@ -169,10 +172,10 @@
     # ---- The rollback
 
     async def roll_back(self, target: str) -> None:
-        """Make a predecessor serve, and end the successor; see the base."""
+        """Make a predecessor serve, and end the successor; see the base class."""
         address = self.started.before[target]
         pair = await self._pair(target)
-        if pair.predecessor is ProcessState.SERVING:  # never handed over, took back, or has taken over again
+        if pair.predecessor is ProcessState.SERVING:  # never handed over, took back, or took over again
             await self._stop_successor(target)
             self.clients.use_address(target, address)
             return
@@ -181,16 +184,18 @@
         if pair.predecessor is ProcessState.SILENT:
             result = await self.platform.start(self.targets[target], self.change.before, address)
             self.waiting_since_s[target] = asyncio.get_running_loop().time()
-            reason = "the version before starts" if result.succeeded else result.message
+            reason = "a process of the version before was started" if result.succeeded else result.message
             raise NotYetError(f"{target}: {reason}")
         if pair.predecessor is ProcessState.NOT_SERVING and pair.successor is not ProcessState.HANDED_OVER:
-            await self._stop_successor_that_hangs(target)
-        raise NotYetError(f"{target}: {pair.predecessor.value} as before, {pair.successor.value} as after")
+            await self._stop_overdue_successor(target)
+        raise NotYetError(
+            f"{target}: version before: {pair.predecessor.value}; version after: {pair.successor.value}"
+        )
 
-    async def _stop_successor_that_hangs(self, target: str) -> None:
-        """After some time end the successor: at least it frees its addresses for the predecessor."""
+    async def _stop_overdue_successor(self, target: str) -> None:
+        """End a successor that hangs: that frees its addresses for the predecessor."""
         try:
-            self._require_patience(target)
+            self._require_serving_in_time(target)
         except ChangeRejectedError:
             await self._stop_successor(target)
 
--- a/quota_gateway/rollout/rollback.py
+++ b/quota_gateway/rollout/rollback.py
@@ -1,4 +1,4 @@
-"""Rolls back all that a rollout has changed."""
+"""Rolls back all targets that a rollout has changed."""
 
 from __future__ import annotations
 
@@ -10,14 +10,17 @@
 
 
 class Rollback:
-    """The rollback, the last changed target first; a target that stays unreachable is given up by name."""
+    """The rollback, from the last changed target to the first.
+
+    A target that can't be rolled back in time is given up; the outcome names it.
+    """
 
     def __init__(self, context: RolloutContext) -> None:
         self.context = context
         self.state = context.state
 
     async def run(self) -> None:
-        """Roll back what is left, and end the rollout."""
+        """Roll back the targets that are not rolled back yet, and record the end of the rollout."""
         remaining = [
             name for name in reversed(self.state.attempted_targets) if name not in self.state.rollback_results
         ]
--- a/quota_gateway/rollout/rollout_context.py
+++ b/quota_gateway/rollout/rollout_context.py
@@ -1,4 +1,4 @@
-"""What the parts of the controller share."""
+"""The objects that the parts of the controller share."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from quota_gateway.rollout.step_runner import StepRunner
 from quota_gateway.rollout.trial_renewal import TrialRenewal
 
-BY_OPERATOR = "by hand"  # the reason of what an operator asked for
+BY_OPERATOR = "by hand"  # recorded reason for a halt or rollback that an operator asked for
 
 
 class RolloutContext:
-    """A plan under way: its journal and state, and the tools to carry it out."""
+    """A running rollout: its plan, journal and state, and the objects that carry it out."""
 
     def __init__(self, plan: Plan, journal: Journal) -> None:
         self.plan = plan
@@ -37,28 +37,31 @@
 
     @property
     def stages(self) -> list[list[str]]:
-        """Targets' names by stage, as the rollout began."""
+        """Targets' names by stage, as recorded at the rollout's start."""
         return self.strategy.started.stages
 
     def now_s(self) -> float:
-        """Unix time, as records have it."""
+        """Unix time in seconds, for the records."""
         return self.journal.clock()
 
     def record(self, record: JournalRecord) -> None:
-        """Write a record into the journal, then into the log."""
+        """Append a record to the journal, then log it."""
         self.journal.write(record)
         log_record(record)
 
     def halt(self, reason: str) -> None:
-        """Pause until an operator says how to go on."""
+        """Halt the rollout until an operator resumes it or rolls it back."""
         self.record(RolloutHalted(self.now_s(), reason))
 
     def start_rollback(self, reason: str) -> None:
-        """Roll back all that was changed."""
+        """Begin to roll back all changed targets."""
         self.record(RollbackStarted(self.now_s(), reason))
 
-    def interrupt_if_asked(self) -> bool:
-        """Carry out an operator's command, if there is one; whether the stage is to be left."""
+    def handle_operator_command(self) -> bool:
+        """Carry out an operator's command to pause or roll back, if there is one.
+
+        Returns whether the rollout is halted or being rolled back, so that the stage's phase has to end.
+        """
         command = self.commands.take()
         if command is OperatorCommand.ROLL_BACK:
             self.start_rollback(BY_OPERATOR)
--- a/quota_gateway/rollout/rollout_log.py
+++ b/quota_gateway/rollout/rollout_log.py
@@ -1,4 +1,4 @@
-"""The controller's log: a line of JSON for each step, with its cause; see docs/on-call.md."""
+"""The controller's log: one line of JSON for each event, with its cause; see docs/on-call.md."""
 
 from __future__ import annotations
 
@@ -26,38 +26,38 @@
 
 
 def log_record(record: JournalRecord) -> None:
-    """Log a record under its tag; a baseline is not logged."""
+    """Log a journal record, with its tag as the event; a baseline is not logged."""
     if isinstance(record, BaselineMeasured):
         return
-    _log_event(str(record.__struct_config__.tag), **_facts(record))
+    _log_event(str(record.__struct_config__.tag), **_record_fields(record))
 
 
 def log_result(event: str, stage: int, result: CanaryResult) -> None:
-    """Log why a stage does not pass, with the figures."""
-    facts: dict[str, Any] = {"stage": stage, "why": result.reason}
+    """Log why a stage does not pass, with the figures that the verdict rests on."""
+    fields: dict[str, Any] = {"stage": stage, "why": result.reason}
     if result.evidence:
-        facts["measure"] = result.evidence.measure
-        facts["changed"] = result.evidence.judged
-        facts["others"] = result.evidence.others
-        facts["error"] = result.evidence.standard_error
-    _log_event(event, **facts)
+        fields["measure"] = result.evidence.measure
+        fields["changed"] = result.evidence.judged
+        fields["others"] = result.evidence.others
+        fields["error"] = result.evidence.standard_error
+    _log_event(event, **fields)
 
 
 def log_target_reverted(target: str) -> None:
-    """Log that a target did not keep the change."""
+    """Log that a target has reverted the change by itself before it was confirmed."""
     _log_event("went back by itself", member=target)
 
 
 def log_rollback_given_up(target: str, reason: str) -> None:
-    """Log that a target could not be reached to roll it back."""
+    """Log that a target could not be rolled back in time."""
     _log_event("given up", member=target, why=reason)
 
 
-def _log_event(event: str, **facts: Any) -> None:
-    log.info("%s", json.dumps({"event": event, **facts}))
+def _log_event(event: str, **fields: Any) -> None:
+    log.info("%s", json.dumps({"event": event, **fields}))
 
 
-def _facts(record: JournalRecord) -> dict[str, Any]:
+def _record_fields(record: JournalRecord) -> dict[str, Any]:
     match record:
         case TargetChanging(target=target, rollback=rollback):
             return {"member": target, "back": True} if rollback else {"member": target}
@@ -70,11 +70,11 @@
         case StageConfirmed(stage=stage):
             return {"stage": stage}
         case _:
-            return _facts_of_course(record)
+            return _rollout_fields(record)
 
 
-def _facts_of_course(record: JournalRecord) -> dict[str, Any]:
-    """The facts of records about the rollout as a whole."""
+def _rollout_fields(record: JournalRecord) -> dict[str, Any]:
+    """The log fields of a record about the rollout as a whole."""
     match record:
         case RolloutStarted():
             return {
--- a/quota_gateway/rollout/rollout_state.py
+++ b/quota_gateway/rollout/rollout_state.py
@@ -1,4 +1,4 @@
-"""Where a rollout stands, as the records of its journal tell it."""
+"""The state of a rollout, computed from the records of its journal."""
 
 from __future__ import annotations
 
@@ -25,29 +25,29 @@
 class RolloutPhase(Enum):
     """What the controller is to do next."""
 
-    NOT_STARTED = "not started"  # check everything that can be checked without touching anything
-    MEASURING = "measuring"  # a stage's baseline
-    CHANGING = "changing"  # the stage's targets that are not changed yet
-    WATCHING = "watching"  # the changed targets, until the canary analysis has a verdict
-    CONFIRMING = "confirming"  # the change is made permanent at every target of the stage
-    HALTED = "halted"  # until an operator resumes it or rolls it back
-    ROLLING_BACK = "rolling back"  # all that was changed, the last first
-    COMPLETING = "completing"  # all stages are confirmed: the end is to be written down
+    NOT_STARTED = "not started"  # check everything that can be checked without changing a target
+    MEASURING = "measuring"  # measure the stage's baseline
+    CHANGING = "changing"  # change the stage's targets that are not changed yet
+    WATCHING = "watching"  # watch the changed targets until the canary analysis has a verdict
+    CONFIRMING = "confirming"  # make the change permanent at every target of the stage
+    HALTED = "halted"  # wait until an operator resumes the rollout or rolls it back
+    ROLLING_BACK = "rolling back"  # roll back all changed targets, the last changed one first
+    COMPLETING = "completing"  # all stages are confirmed: record the end
     ENDED = "ended"
 
 
 STAGE_PHASES = frozenset(
     {RolloutPhase.MEASURING, RolloutPhase.CHANGING, RolloutPhase.WATCHING, RolloutPhase.CONFIRMING}
 )
-STOPPED = frozenset({RolloutPhase.HALTED, RolloutPhase.ROLLING_BACK})
+INTERRUPTED_PHASES = frozenset({RolloutPhase.HALTED, RolloutPhase.ROLLING_BACK})
 
 TRANSITIONS: Transitions[RolloutPhase] = {
     RolloutPhase.NOT_STARTED: frozenset({RolloutPhase.MEASURING}),
-    RolloutPhase.MEASURING: STOPPED | {RolloutPhase.CHANGING},
-    RolloutPhase.CHANGING: STOPPED | {RolloutPhase.WATCHING},
-    RolloutPhase.WATCHING: STOPPED | {RolloutPhase.CONFIRMING},
-    # A target that went back by itself is changed again.
-    RolloutPhase.CONFIRMING: STOPPED
+    RolloutPhase.MEASURING: INTERRUPTED_PHASES | {RolloutPhase.CHANGING},
+    RolloutPhase.CHANGING: INTERRUPTED_PHASES | {RolloutPhase.WATCHING},
+    RolloutPhase.WATCHING: INTERRUPTED_PHASES | {RolloutPhase.CONFIRMING},
+    # To CHANGING: a target that has reverted by itself is changed again.
+    RolloutPhase.CONFIRMING: INTERRUPTED_PHASES
     | {RolloutPhase.CHANGING, RolloutPhase.MEASURING, RolloutPhase.COMPLETING},
     RolloutPhase.HALTED: STAGE_PHASES | {RolloutPhase.ROLLING_BACK},
     RolloutPhase.ROLLING_BACK: frozenset({RolloutPhase.ENDED}),
@@ -57,29 +57,29 @@
 
 
 class RollbackResult(Enum):
-    """What became of the rollback of a target."""
+    """How the rollback of a target ended."""
 
     DONE = "done"
-    GIVEN_UP = "given up"  # it stayed unreachable
+    GIVEN_UP = "given up"  # the target could not be rolled back in time, as it stayed unreachable
 
 
 class RolloutState:
-    """The sum of a journal's records.
+    """The state of a rollout after a journal's records.
 
     Attributes:
-        started: the first record; none before it.
-        token: of the controller that holds or held the journal last.
-        stage: that is under way.
-        attempted_targets: whose change was begun, in order.
+        started: the record of the rollout's start; none before it.
+        token: token of the last controller that has held the journal.
+        stage: number of the current stage.
+        attempted_targets: targets whose change was begun, in order.
         rollback_started: targets whose rollback was begun.
-        changed_pids: targets that have the change, with their processes.
-        rollback_results: by target whose rollback is over.
-        baselines: by stage.
-        passed_stage: the last one that the canary analysis passed.
-        halt_reason: why it is halted; empty if it is not.
-        rollback_reason: why it is rolled back; empty if it is not.
-        outcome: how it ended; empty before.
-        history: all records.
+        changed_pids: targets that have the change, each with its process id.
+        rollback_results: results of the rollbacks that have ended, by target.
+        baselines: baselines by stage.
+        passed_stage: the last stage that the canary analysis passed; none before the first.
+        halt_reason: why the rollout is halted; empty if it is not.
+        rollback_reason: why the rollout is rolled back; empty if it is not.
+        outcome: how the rollout ended; empty before.
+        history: all records, in order.
     """
 
     def __init__(self) -> None:
@@ -99,7 +99,7 @@
 
     @property
     def phase(self) -> RolloutPhase:
-        """What is to be done next."""
+        """What the controller is to do next."""
         if self.started is None:
             return RolloutPhase.NOT_STARTED
         if self.outcome:
@@ -126,10 +126,10 @@
         return RolloutPhase.WATCHING
 
     def apply(self, record: JournalRecord) -> None:
-        """Take in the next record.
+        """Update the state by the next record.
 
         Raises:
-            IllegalTransitionError: in tests, where a record leads to a phase that can't follow.
+            IllegalTransitionError: in tests, if the record leads to a phase that can't follow this one.
         """
         phase = self.phase
         self.history.append(record)
@@ -152,10 +152,10 @@
             case StageConfirmed(stage=stage):
                 self.stage = stage + 1
             case _:
-                self._apply_course(record)
+                self._apply_rollout_record(record)
 
-    def _apply_course(self, record: JournalRecord) -> None:
-        """Records of the rollout as a whole."""
+    def _apply_rollout_record(self, record: JournalRecord) -> None:
+        """Apply a record about the rollout as a whole."""
         match record:
             case RolloutStarted():
                 self.started = record
@@ -173,7 +173,7 @@
         if record.rollback:
             self.rollback_started.add(record.target)
             return
-        if self.has_passed(self.stage):  # changed again means watched again
+        if self.has_passed(self.stage):  # a target that is changed again has to be watched again
             self.passed_stage = self.stage - 1 if self.stage else None
         self.changed_pids.pop(record.target, None)
         if record.target not in self.attempted_targets:
--- a/quota_gateway/rollout/settings_rollout.py
+++ b/quota_gateway/rollout/settings_rollout.py
@@ -1,4 +1,4 @@
-"""Rolls out other configuration files, each on trial until its stage is confirmed."""
+"""Rolls out new configuration files; each is on trial until its stage is confirmed."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class SettingsRollout(ChangeStrategy):
-    """Another configuration file for each target.
+    """A new configuration file for each target.
 
-    A gateway goes back by itself where a trial is neither renewed nor confirmed in time. A copy of the file
-    of before is kept beside it.
+    A gateway reverts by itself if its trial is neither renewed nor confirmed in time. A backup of the
+    previous file is kept beside the file.
     """
 
     async def check(self) -> CheckedTargets:
-        """Check every new file against the present one, and that targets go by their files."""
+        """Check every new file against the present one, and that each target uses its file."""
         before = {}
         after = {}
         for name, target in self.targets.items():
@@ -42,14 +42,14 @@
         return CheckedTargets(before, after)
 
     def is_outdated(self) -> bool:
-        """Whether a new file is no longer the one that the rollout began with."""
+        """Whether a new file has changed since the rollout began."""
         return any(
             file_digest(self.read_file(self.plan.settings, name)) != digest
             for name, digest in self.started.after.items()
         )
 
     async def apply(self, target: str) -> int:
-        """Write the new file and have it loaded on trial; see the base."""
+        """Write the new file and have the gateway load it on trial; see the base class."""
         digest = self.started.after[target]
         self._write_new_file(target, digest)
         answer = await self.clients.reload_on_trial(target, self.plan.trial_s)
@@ -62,31 +62,33 @@
         config_path = self.config_path(self.targets[target])
         new = self.read_file(self.plan.settings, target)
         if file_digest(new) != digest:
-            raise ChangeRejectedError(f"{target}: its new file has changed under way")
+            raise ChangeRejectedError(
+                f"{target}: its new configuration file has changed since the rollout began"
+            )
         old = config_path.read_bytes()
         if file_digest(old) == self.started.before[target]:
-            replace_file(copy_path(config_path), old)
+            replace_file(backup_path(config_path), old)
         if old != new:
             replace_file(config_path, new)
 
     async def _require_in_force(self, target: str, digest: str) -> None:
         in_force = await self.clients.configuration(target)
         if in_force.digest != digest:
-            raise NotYetError(f"{target}: goes by {in_force.digest}")
+            raise NotYetError(f"{target}: configuration {in_force.digest} is in force, want {digest}")
 
     async def renew_trial(self, targets: list[str]) -> None:
-        """Begin the trials' time from now on; an unreachable target is left out."""
+        """Restart the time of the trials that still run; an unreachable target is skipped."""
         for target in targets:
             with suppress(UnreachableError):
                 if (await self.clients.configuration(target)).on_trial:
                     await self.clients.reload_on_trial(target, self.plan.trial_s)
 
     async def failure_of(self, target: str) -> str:  # noqa: ARG002 - of the base class
-        """None: a gateway that can't be reached may be well."""
+        """Always empty: a gateway that can't be reached may still work."""
         return ""
 
     async def confirm(self, target: str) -> bool:
-        """Confirm the trial; false where it has ended."""
+        """Confirm the trial; false if it has ended and the target has reverted."""
         in_force = await self.clients.configuration(target)
         if in_force.digest != self.started.after[target]:
             return False
@@ -97,7 +99,7 @@
         return True
 
     async def roll_back(self, target: str) -> None:
-        """Restore the file and have it loaded; see the base."""
+        """Restore the previous file and have the gateway load it; see the base class."""
         digest = self.started.before[target]
         self._restore_file(target)
         in_force = await self.clients.configuration(target)
@@ -109,17 +111,17 @@
             await self._require_in_force(target, digest)
 
     def _restore_file(self, target: str) -> None:
-        """Put the copy back, unless somebody else has written the file meanwhile."""
+        """Restore the file from its backup, unless somebody else has written the file since."""
         config_path = self.config_path(self.targets[target])
-        with suppress(FileNotFoundError):  # no copy: the file was not touched yet
-            old = copy_path(config_path).read_bytes()
-            is_copy = file_digest(old) == self.started.before[target]
-            if is_copy and file_digest(config_path.read_bytes()) == self.started.after[target]:
+        with suppress(FileNotFoundError):  # no backup: the file was not written yet
+            old = backup_path(config_path).read_bytes()
+            is_backup_valid = file_digest(old) == self.started.before[target]
+            if is_backup_valid and file_digest(config_path.read_bytes()) == self.started.after[target]:
                 replace_file(config_path, old)
 
 
 def config_change_fault(old: bytes, new: bytes) -> str:
-    """Why a gateway can't go from one configuration file to another; empty if it can."""
+    """Why a gateway can't change from one configuration file to another; empty if it can."""
     try:
         old_config = read_config(old, {})
         new_config = read_config(new, {})
@@ -128,9 +130,9 @@
     faults = new_config.faults_of_fixed_names(old_config)
     if faults:
         return "; ".join(faults[:MAX_FAULTS_SHOWN])
-    return "" if new_config.changes(old_config) else "its new settings change nothing"
+    return "" if new_config.changes(old_config) else "its new configuration file changes no setting"
 
 
-def copy_path(config_path: Path) -> Path:
-    """Where a target's configuration file of before is kept."""
+def backup_path(config_path: Path) -> Path:
+    """Path of the backup of a target's previous configuration file."""
     return config_path.with_name(config_path.name + ".before")
--- a/quota_gateway/rollout/stage_runner.py
+++ b/quota_gateway/rollout/stage_runner.py
@@ -1,4 +1,4 @@
-"""Takes a stage from its baseline to its confirmation, a phase at a time."""
+"""Runs the phases of a stage: baseline, change, watch and confirmation."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class StageRunner:
-    """Runs the phases of the present stage; each ends with a record that tells what follows."""
+    """Runs the phases of the current stage; each ends with a journal record that decides the next phase."""
 
     def __init__(self, context: RolloutContext) -> None:
         self.context = context
@@ -39,14 +39,14 @@
 
     @property
     def _targets(self) -> list[str]:
-        """The present stage's targets."""
+        """The current stage's targets."""
         return self.context.stages[self.state.stage]
 
     def _judged_targets(self) -> set[str]:
         """Targets that are compared with the others.
 
-        All changed targets, as harm may come late; once none are unchanged, only this stage's, against those
-        changed before.
+        These are all changed targets, as harm may show late. Once every target is changed, only this stage's
+        are compared, with those of the stages before.
         """
         changed = {name for targets in self.context.stages[: self.state.stage + 1] for name in targets}
         return changed if len(changed) < len(self.context.targets) else set(self._targets)
@@ -63,7 +63,7 @@
     # ---- Baseline
 
     async def measure(self) -> None:
-        """Measure the baseline, for as long as the stage is to be watched and until it is sufficient."""
+        """Measure the baseline until it is sufficient (at least `watch_s`, at most `max_watch_s`)."""
         stage = self.state.stage
         windows: dict[str, list[FiguresWindow]] = {name: [] for name in self.context.targets}
         await self.metrics.read()
@@ -78,7 +78,7 @@
                 if measured_s >= self.plan.max_watch_s or is_sufficient:
                     break
                 next_check_s = min(BASELINE_GROWTH_RATIO * measured_s, self.plan.max_watch_s)
-            if self.context.interrupt_if_asked():
+            if self.context.handle_operator_command():
                 return
             await asyncio.sleep(self.plan.poll_interval_s)
             for name, window in (await self.metrics.read()).items():
@@ -88,14 +88,17 @@
     # ---- Change
 
     async def change(self) -> None:
-        """Change the targets that are not changed yet; a stage that can't be completed stops here."""
+        """Change the targets that are not changed yet.
+
+        Begins the rollback where a target rejects the change; halts where one is not changed in time.
+        """
         missing = [name for name in self._targets if name not in self.state.changed_pids]
         try:
             await self.context.step_runner.run(missing, self._change_target)
         except ChangeRejectedError as error:
             self.context.start_rollback(str(error))
         except NotYetError as error:
-            self.context.halt(f"can't be changed: {error}")
+            self.context.halt(f"a member can't be changed in time: {error}")
 
     async def _change_target(self, name: str) -> None:
         if name not in self.state.attempted_targets:
@@ -110,13 +113,13 @@
     # ---- Watch
 
     async def watch(self) -> None:
-        """Poll all targets until the stage passes, does worse, or can't be judged."""
+        """Poll all targets until the stage passes, does worse, or has no verdict in time."""
         stage = self.state.stage
         analysis = self._analysis(self.state.baselines[stage])
         await self.metrics.begin_watch()
         loop = asyncio.get_running_loop()
         started_at_s = loop.time()
-        while not self.state.has_passed(stage) and not self.context.interrupt_if_asked():
+        while not self.state.has_passed(stage) and not self.context.handle_operator_command():
             await asyncio.sleep(self.plan.poll_interval_s)
             windows = await self.metrics.read()
             if loop.time() - started_at_s >= self.plan.settle_s:
@@ -127,23 +130,23 @@
             self._act_on(result, loop.time() - started_at_s - self.plan.settle_s)
 
     def _act_on(self, result: CanaryResult, watched_s: float) -> None:
-        """Record what a result leads to, if anything yet."""
+        """Record the decision that a result leads to, if it leads to one yet."""
         stage = self.state.stage
         if result.verdict is Verdict.WORSE:
             log_result("worse", stage, result)
             self.context.start_rollback(f"stage {stage}: {result.reason}")
         elif result.verdict is Verdict.COMMON_FAULT:
             log_result("trouble", stage, result)
-            self.context.halt(f"a trouble of all, or late harm of an earlier stage: {result.reason}")
+            self.context.halt(f"the cause may be common to all members, or an earlier stage: {result.reason}")
         elif result.verdict is Verdict.PASSED and watched_s >= self.plan.watch_s:
             self.context.record(StagePassed(self.context.now_s(), stage, result.reason))
         elif watched_s >= self.plan.max_watch_s:
-            self.context.halt(f"can't be judged: {result.reason}")
+            self.context.halt(f"no verdict on the stage within longest_watch_s: {result.reason}")
 
     # ---- Confirmation
 
     async def confirm(self) -> None:
-        """Make the change permanent at every target; one that went back by itself is changed again."""
+        """Make the change permanent at every target; one that has reverted by itself is changed again."""
         stage = self.state.stage
         reverted_targets: list[str] = []
 
@@ -160,7 +163,7 @@
             self.context.start_rollback(str(error))
             return
         except NotYetError as error:
-            self.context.halt(f"can't be told to keep it: {error}")
+            self.context.halt(f"a member does not confirm the change in time: {error}")
             return
         for name in reverted_targets:
             self._record_reverted(name)
--- a/quota_gateway/rollout/status.py
+++ b/quota_gateway/rollout/status.py
@@ -1,4 +1,4 @@
-"""Where a rollout stands, as ``status`` shows it."""
+"""The state of a rollout, as the command ``status`` prints it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def target_standings(plan: Plan, state: RolloutState) -> dict[str, str]:
-    """Each target's standing, by name."""
+    """Each target's state in the rollout, by name."""
     standings = dict.fromkeys(plan.target_names(), "as before")
     standings |= dict.fromkeys(state.attempted_targets, "being changed")
     standings |= dict.fromkeys(state.changed_pids, "changed")
@@ -23,7 +23,7 @@
 
 
 def rollout_standing(state: RolloutState) -> str:
-    """The rollout's standing in a word or two."""
+    """The rollout's state in a word or two, or its outcome."""
     if state.started is None:
         return "not begun"
     if state.outcome:
@@ -34,7 +34,7 @@
 
 
 def status_json(plan: Plan, state: RolloutState) -> bytes:
-    """The status for scripts."""
+    """The status as JSON, for scripts."""
     return msgspec.json.encode(
         {
             "rollout": plan.name,
@@ -47,7 +47,7 @@
 
 
 def status_table(plan: Plan, state: RolloutState) -> Table:
-    """The status for people."""
+    """The status as a table, for people."""
     reason = state.halt_reason or state.rollback_reason
     title = f"{plan.name}: {rollout_standing(state)}{f', {reason}' if reason else ''}"
     table = Table("member", "zone", "standing", title=title)
--- a/quota_gateway/rollout/step_runner.py
+++ b/quota_gateway/rollout/step_runner.py
@@ -1,4 +1,4 @@
-"""Runs a step at many targets, some of them at the same time."""
+"""Runs a step of a rollout at many targets, some of them concurrently."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 
 from quota_gateway.rollout.concurrency_rule import ConcurrencyRule
 
-START_DELAY_RATIO = 0.2  # of the poll interval at most, between two targets' starts
+START_DELAY_RATIO = 0.2  # of the poll interval: maximum delay between two targets' starts
 
 Step = Callable[[str], Coroutine[None, None, None]]
 
 
 class StepRunner:
-    """Runs steps at targets, as many at a time as the plan allows."""
+    """Runs steps at targets, as many concurrently as the plan allows."""
 
     def __init__(self, rule: ConcurrencyRule, poll_interval_s: float) -> None:
         self.rule = rule
         self.poll_interval_s = poll_interval_s
 
     async def run(self, targets: Sequence[str], step: Step) -> None:
-        """Run a step at each target. Where one fails, those under way finish, then its error is raised.
+        """Run a step at each target.
 
-        A target whose step is being repeated takes up a place, but others go on as far as the rule allows.
+        If a step fails, no more are started; those that run are awaited, then the first error is raised. A
+        target whose step is being repeated counts as running, and others go on as far as the rule allows.
         """
         waiting = list(targets)
         running = dict[asyncio.Task[None], str]()
--- a/quota_gateway/rollout/trial_renewal.py
+++ b/quota_gateway/rollout/trial_renewal.py
@@ -6,19 +6,19 @@
 
 from quota_gateway.rollout.change_strategy import ChangeStrategy
 
-RENEWALS = 3  # within a trial's time, so that one that fails is followed by another in time
+RENEWALS_PER_TRIAL = 3  # so that a failed renewal is followed by another before the trial ends
 
 
 class TrialRenewal:
-    """Renews trials now and then, so that none ends while its stage is watched."""
+    """Renews trials several times within their time, so that none ends while its stage is watched."""
 
     def __init__(self, strategy: ChangeStrategy, trial_s: float) -> None:
         self.strategy = strategy
-        self.interval_s = trial_s / RENEWALS
+        self.interval_s = trial_s / RENEWALS_PER_TRIAL
         self.renewed_at_s = 0.0  # by the event loop's clock
 
     async def renew(self, targets: list[str]) -> None:
-        """Renew the targets' trials if it is time to."""
+        """Renew the targets' trials if the renewal interval has passed."""
         now_s = asyncio.get_running_loop().time()
         if now_s - self.renewed_at_s < self.interval_s:
             return
--- a/tests/test_rollout_journal.py
+++ b/tests/test_rollout_journal.py
@@ -1,11 +1,13 @@
 """Stored data of rollouts and of the supervisor, written by an earlier version and read by this one.
 
-What happens: operators upgrade the controller while a rollout is under way, or a supervisor's gateway. What a
-user would lose: a rollout that is begun anew or not rolled back, requests that nobody answers. What must hold
-instead: every record, at every cut, means the same to this version.
+Operators may upgrade the controller while a rollout runs, or a gateway under its supervisor. If this version
+read the data differently, the rollout would start again or not be rolled back, and requests would go
+unanswered. So each record, wherever the journal is cut, has to be read to the same state.
 
-`tests/data` holds files that commit 2b28dd0 wrote, and in `expected.json` what it read from them: a row for
+`tests/data` has files that commit 2b28dd0 wrote, and in `expected.json` what it read from them: a row for
 each record, with only the values that differ from the row before.
+
+The second part tests the phases of a rollout.
 """
 
 import json
@@ -45,8 +47,8 @@
 JOURNALS = ("settings-back", "settings-halted", "program-done")
 
 
-def meaning(state: RolloutState) -> dict[str, Any]:
-    """The state of a rollout by the names of the earlier version."""
+def state_by_earlier_names(state: RolloutState) -> dict[str, Any]:
+    """The state of a rollout, under the names of the earlier version."""
     found = {
         "begun": state.started,
         "token": state.token,
@@ -70,14 +72,14 @@
 
 
 @pytest.mark.parametrize("name", JOURNALS)
-def test_journal_of_an_earlier_version_cut_at_any_record_means_the_same(name, tmp_path):
+def test_earlier_journal_cut_after_any_record_is_read_to_the_same_state(name, tmp_path):
     raw = (DATA / "rollout" / f"{name}.journal").read_bytes()
     path = tmp_path / "journal"
     expected: dict[str, Any] = {}
     for row in EXPECTED[name]:
         expected |= row
         path.write_bytes(raw[: expected["end_bytes"]])
-        assert meaning(journal.read(path)) == {
+        assert state_by_earlier_names(journal.read(path)) == {
             key: value for key, value in expected.items() if key != "end_bytes"
         }
     assert expected["end_bytes"] == len(raw)
@@ -85,7 +87,7 @@
 
 
 @pytest.mark.parametrize("name", JOURNALS)
-def test_journal_of_an_earlier_version_is_written_to_the_same_bytes(name):
+def test_records_of_an_earlier_journal_are_encoded_to_the_same_bytes(name):
     raw = (DATA / "rollout" / f"{name}.journal").read_bytes()
     start = 0
     for end, record in journal.records(raw):
@@ -94,14 +96,14 @@
     assert start == len(raw)
 
 
-def test_fingerprints_of_the_example_plans_are_those_of_the_earlier_version():
+def test_example_plans_have_the_same_fingerprints_as_in_the_earlier_version():
     found = {
         path.name: fingerprint(load(path)) for path in sorted((ROOT / "examples" / "rollout").glob("*.toml"))
     }
     assert found == EXPECTED["fingerprints"]
 
 
-def test_connection_record_of_an_earlier_version_means_the_same():
+def test_earlier_connection_record_is_read_to_the_same_rows_and_holder():
     folder = DATA / "connection_record"
     expected = json.loads((folder / "expected.json").read_text())
     file = os.memfd_create("record")
@@ -153,29 +155,29 @@
         (TO_CHANGING, RolloutPhase.CHANGING),
         (TO_WATCHING, RolloutPhase.WATCHING),
         (TO_CONFIRMING, RolloutPhase.CONFIRMING),
-        ((*TO_CONFIRMING, "changing"), RolloutPhase.CHANGING),  # it went back by itself
+        ((*TO_CONFIRMING, "changing"), RolloutPhase.CHANGING),  # the target reverted by itself
         ((*TO_CONFIRMING, "confirmed"), RolloutPhase.MEASURING),
         ((*TO_WATCHING, "halted"), RolloutPhase.HALTED),
-        ((*TO_WATCHING, "halted", "changed"), RolloutPhase.HALTED),  # restarted, and accepted by an operator
+        ((*TO_WATCHING, "halted", "changed"), RolloutPhase.HALTED),  # restarted, then accepted by an operator
         ((*TO_WATCHING, "halted", "resumed"), RolloutPhase.WATCHING),
         ((*TO_WATCHING, "halted", "rollback"), RolloutPhase.ROLLING_BACK),
         ((*TO_CONFIRMING, "rollback", "ended"), RolloutPhase.ENDED),
     ],
 )
-def test_phase_follows_from_the_records(names, phase):
+def test_phase_is_derived_from_the_records(names, phase):
     assert state_after(*names).phase is phase
 
 
-def test_every_phase_can_be_left_or_is_the_end():
+def test_every_phase_but_ended_has_a_next_phase():
     assert set(TRANSITIONS) == set(RolloutPhase)
     assert [phase for phase, following in TRANSITIONS.items() if not following] == [RolloutPhase.ENDED]
 
 
-def test_record_that_can_not_follow_is_raised_in_tests_and_counted_in_service(monkeypatch):
-    """A fault of the controller writes an end in the middle of a watch.
+def test_illegal_transition_raises_in_tests_and_is_counted_in_service(monkeypatch):
+    """A fault of the controller records the end of the rollout in the middle of a watch.
 
-    Shown by a rollout that is over while targets are on trial. In service the journal stays readable, so that
-    operators see where it stands, and the fault is counted.
+    The rollout would then be over while targets are still on trial. In service the journal stays readable, so
+    that operators can see the rollout's state, and the fault is counted.
     """
     with pytest.raises(IllegalTransitionError):
         state_after(*TO_WATCHING, "ended")
