--- a/quota_gateway/fault_bench/bench.py
+++ b/quota_gateway/fault_bench/bench.py
@@ -98,13 +98,13 @@
         self.discovery = Discovery(
             self.clock,
             self.history,
-            world.list_late,
+            world.discovery_delay_ms,
             self._draw(4),
             lambda gateway, server: self.links[f"{gateway}>{server}"].at,
         )
         for number, name in enumerate(self.scenario.servers(), 1):
             machines = world.machines
-            speed = float(speeds.uniform(machines.slowest, machines.fastest))
+            speed = float(speeds.uniform(machines.min_speed, machines.max_speed))
             entry = api.ServerEntry(number, world.zones[number % len(world.zones)])
             model = Server(self.clock, machines, entry, speed)
             server = StandIn(name, model, meters, self.history, self._draw(100 + number))
--- a/quota_gateway/fault_bench/load.py
+++ b/quota_gateway/fault_bench/load.py
@@ -28,7 +28,7 @@
 from quota_gateway.fault_bench.relay import Link
 from quota_gateway.fault_bench.scenario import Scenario
 from quota_gateway.fault_bench.stand_ins import Clock
-from quota_gateway.simulation.world import Kind, Tariff
+from quota_gateway.simulation.world import ClassConfig, PlanConfig
 
 PATIENCE_MS = 1000.0  # after its deadline a client gives a request up
 RETRY_PAUSE_MS = 150.0  # the mean before a client retries where it is advised nothing
@@ -43,7 +43,7 @@
     """A customer, with its plan and the first gateway of its set."""
 
     name: str
-    tariff: Tariff
+    tariff: PlanConfig
     first_gateway: int
     weight: float  # share of the load, not normalized
 
@@ -54,7 +54,7 @@
 
     operation_id: str
     customer: Customer
-    request_class: Kind
+    request_class: ClassConfig
     idempotency_key: str
 
 
@@ -77,7 +77,7 @@
             self.request_id,
             ",".join([*self.fields, f"d={remaining_ms:.0f}"]),
         ]
-        if self.operation.request_class.effect == SAFE:
+        if self.operation.request_class.idempotency == SAFE:
             return encode_command("CALL.GET", *words)
         return encode_command("CALL.POST", *words, "body")
 
@@ -140,10 +140,10 @@
 
     def _draw_customers(self) -> list[Customer]:
         customers: list[Customer] = []
-        for tariff in self.world.tariffs:
+        for tariff in self.world.plans:
             for _ in range(tariff.customers):
-                is_heavy = float(self._arrivals.random()) < tariff.heavy
-                weight = tariff.rate * (tariff.heavy_use if is_heavy else tariff.use)
+                is_heavy = float(self._arrivals.random()) < tariff.heavy_probability
+                weight = tariff.rate * (tariff.heavy_demand_ratio if is_heavy else tariff.demand_ratio)
                 first_gateway = int(self._arrivals.integers(self.world.gateways))
                 customers.append(Customer(f"{len(customers) + 1:016x}", tariff, first_gateway, weight))
         return customers
@@ -151,7 +151,7 @@
     async def run(self) -> None:
         """Request for the world's seconds, by the clock; what is late is requested at once."""
         customer_shares = _shares([customer.weight for customer in self._customers])
-        class_shares = _shares([request_class.weight for request_class in self.world.kinds])
+        class_shares = _shares([request_class.weight for request_class in self.world.classes])
         begin_ms = self.clock.now
         at_ms = 0.0
         while True:
@@ -159,7 +159,7 @@
             if at_ms >= 1000.0 * self.world.seconds or self._is_stopped:
                 break
             customer = self._customers[int(self._arrivals.choice(len(self._customers), p=customer_shares))]
-            request_class = self.world.kinds[int(self._arrivals.choice(len(class_shares), p=class_shares))]
+            request_class = self.world.classes[int(self._arrivals.choice(len(class_shares), p=class_shares))]
             wait_ms = begin_ms + at_ms - self.clock.now
             if wait_ms > 0.0:
                 await asyncio.sleep(wait_ms / 1000.0)
@@ -188,12 +188,12 @@
 
     # ---- An operation
 
-    async def _perform(self, customer: Customer, request_class: Kind, intended_ms: float) -> None:
+    async def _perform(self, customer: Customer, request_class: ClassConfig, intended_ms: float) -> None:
         """Request, and retry as clients do."""
         number = self._next_number()
-        key = f"{number:016x}" if request_class.effect == KEYED else ""
+        key = f"{number:016x}" if request_class.idempotency == KEYED else ""
         operation = Operation(f"w{number}", customer, request_class, key)
-        for attempt in range(self.world.tries):
+        for attempt in range(self.world.max_tries):
             gateway = self._choose_gateway(customer)
             if gateway is None:
                 self.no_gateway += 1
@@ -212,15 +212,15 @@
 
     def _retries(self, operation: Operation, outcome: RequestOutcome) -> bool:
         """Whether the client retries: a rejection always may be, a failure unless it must not run twice."""
-        is_unsafe = operation.request_class.effect == UNSAFE
+        is_unsafe = operation.request_class.idempotency == UNSAFE
         is_harmless = outcome is RequestOutcome.REJECTED or (
             not is_unsafe and outcome is not RequestOutcome.SERVED
         )
-        return is_harmless and float(self._choices.random()) < self.world.again
+        return is_harmless and float(self._choices.random()) < self.world.retry_probability
 
     def _choose_gateway(self, customer: Customer) -> str | None:
         """One of the customer's set that is up; where none is, the load balancer moves on to the others."""
-        width = min(customer.tariff.spread, self.world.gateways)
+        width = min(customer.tariff.gateways_per_customer, self.world.gateways)
         names = [f"g{(customer.first_gateway + n) % self.world.gateways}" for n in range(width)]
         up = [name for name in names if self.load_balancer.is_up(name)]
         up = up or [name for name in self.links if self.load_balancer.is_up(name)]
@@ -234,14 +234,14 @@
             f"c={operation.request_class.name}",
             f"t={customer.tariff.name}",
             "units=1",
-            f"spread={min(customer.tariff.spread, self.world.gateways)}",
+            f"spread={min(customer.tariff.gateways_per_customer, self.world.gateways)}",
             f"first={customer.first_gateway}",
         ]
         if operation.idempotency_key:
             fields.append(f"k={operation.idempotency_key}")
         if is_retry:
             fields.append("r=1")
-        deadline_ms = self.clock.now + operation.request_class.deadline
+        deadline_ms = self.clock.now + operation.request_class.deadline_ms
         request_id = f"{self._next_number():016x}"
         return ClientRequest(operation, request_id, gateway, intended_ms, deadline_ms, fields)
 
@@ -254,7 +254,7 @@
         self.open[request.gateway] += 1
         result = RequestResult(RequestOutcome.NO_REPLY)
         try:
-            patience_ms = request.operation.request_class.deadline + PATIENCE_MS
+            patience_ms = request.operation.request_class.deadline_ms + PATIENCE_MS
             async with asyncio.timeout(patience_ms / 1000.0):
                 result = await self._exchange(request)
         except TimeoutError:
@@ -279,7 +279,7 @@
             try:
                 return self._read(request, await self._reply(request, connection))
             except ConnectionEndedError as ended:
-                if not ended.was_used or request.operation.request_class.effect == UNSAFE:
+                if not ended.was_used or request.operation.request_class.idempotency == UNSAFE:
                     break
         return RequestResult(RequestOutcome.CONNECTION_ENDED)
 
--- a/quota_gateway/fault_bench/referee.py
+++ b/quota_gateway/fault_bench/referee.py
@@ -16,9 +16,9 @@
 from quota_gateway.fault_bench import records
 from quota_gateway.fault_bench.fault_windows import AFTERMATH_MS, Excuse, FaultWindows
 from quota_gateway.fault_bench.records import RequestOutcome
-from quota_gateway.simulation.models import Server, Store
-from quota_gateway.simulation.referee import Referee, Try
-from quota_gateway.simulation.world import SLACK, World
+from quota_gateway.simulation.models import Server, TokenBucket
+from quota_gateway.simulation.referee import ObservedRequest, Referee
+from quota_gateway.simulation.world import ANSWER_SLACK_MS, World
 
 SOCKETS_MS = 50.0  # every time limit is so much longer on sockets
 NOTIFIED_MS = 6000.0  # what discovery has to tell counts as told by then, whether it arrived or not
@@ -61,7 +61,7 @@
     def __init__(self, sent: records.RequestSent, request_class: api.RequestClass) -> None:
         self.sent = sent
         name = f"{sent.request_id} at {sent.gateway}"
-        self.judged = Try(name, request_class, sent.time_ms, sent.deadline_ms, sent.units)
+        self.judged = ObservedRequest(name, request_class, sent.time_ms, sent.deadline_ms, sent.units)
         # The simulation's number of an attempt, by its server and its number there.
         self.attempt_numbers: dict[tuple[str, int], int] = {}
         self.arrived_attempts = 0
@@ -84,12 +84,12 @@
         self.clock = HistoryClock()
         settings = world.settings(0)
         self.classes = {request_class.name: request_class for request_class in settings.classes}
-        self.tariffs = {plan.name: plan for plan in world.tariffs}
+        self.tariffs = {plan.name: plan for plan in world.plans}
         self.requests: dict[str, JudgedRequest] = {}
         self.servers: dict[str, Server] = {}
         self.drained_ms: dict[tuple[str, str], float] = {}  # by gateway and server: notified since
-        self.quotas: dict[str, Store] = {}
-        self.ceilings: dict[str, Store] = {}
+        self.quotas: dict[str, TokenBucket] = {}
+        self.ceilings: dict[str, TokenBucket] = {}
         self.faults = FaultWindows()
         self.process_ends: dict[str, list[float]] = {}  # by gateway
         self.resent_after_arrival: list[ResentRequest] = []
@@ -163,7 +163,7 @@
         request = self.requests[record.request_id]
         if request.arrived_attempts:
             self.resent_after_arrival.append(ResentRequest(request, record.time_ms))
-        request.judged.copies.clear()
+        request.judged.possible_runs.clear()
 
     def _on_attempt_arrived(self, record: records.AttemptArrived) -> None:
         self.attempts += 1
@@ -174,7 +174,7 @@
         if request.arrived_attempts == 0:
             self._charge(request)
         request.arrived_attempts += 1
-        request.attempt_numbers[record.server, record.number] = request.judged.sends
+        request.attempt_numbers[record.server, record.number] = request.judged.attempts_sent
         drained_ms = self.drained_ms.get((record.gateway, record.server), inf)
         self.referee.sent(
             request.judged,
@@ -195,15 +195,15 @@
         """Draw a request's units from its customer's quota and ceiling."""
         sent = request.sent
         tariff = self.tariffs[sent.plan]
-        quota = self.quotas.setdefault(sent.customer, Store(tariff.rate, tariff.burst))
+        quota = self.quotas.setdefault(sent.customer, TokenBucket(tariff.rate, tariff.burst))
         if not quota.take(sent.units, self.clock.now):
             self.beyond_quota_units += sent.units
         if tariff.ceiling_rate:
             ceiling = self.ceilings.setdefault(
-                sent.customer, Store(tariff.ceiling_rate, tariff.ceiling_burst)
+                sent.customer, TokenBucket(tariff.ceiling_rate, tariff.ceiling_burst)
             )
             slack = tariff.ceiling_slack + tariff.ceiling_rate * 3.0 * SOCKETS_MS / 1000.0
-            self.referee.drawn(request.judged, ceiling, slack, self.clock.now)
+            self.referee.ceiling_charged(request.judged, ceiling, slack, self.clock.now)
 
     def _on_request_ended(self, record: records.RequestEnded) -> None:
         request = self.requests[record.request_id]
@@ -220,11 +220,13 @@
         judged = request.judged
         if record.outcome is RequestOutcome.FOREIGN_VALUE:
             self.referee.breach("answers", f"{judged.name}: another's value")
-        limit_ms = judged.deadline + SOCKETS_MS + self._recent_delay_ms(record.time_ms)
-        if record.time_ms > limit_ms + SLACK and self._is_excused(request, record.time_ms, Excuse.LATE):
+        limit_ms = judged.deadline_ms + SOCKETS_MS + self._recent_delay_ms(record.time_ms)
+        if record.time_ms > limit_ms + ANSWER_SLACK_MS and self._is_excused(
+            request, record.time_ms, Excuse.LATE
+        ):
             self.excused[Excuse.LATE.value] += 1
             limit_ms = record.time_ms
-        judged.deadline = max(judged.deadline, limit_ms)
+        judged.deadline_ms = max(judged.deadline_ms, limit_ms)
         self.referee.answered(judged, record.outcome is RequestOutcome.REJECTED, record.time_ms)
 
     def _judge_lost(self, request: JudgedRequest, record: records.RequestEnded) -> None:
@@ -260,7 +262,7 @@
     def verdict(self) -> Verdict:
         """The end of the history."""
         for request in self.requests.values():
-            self.referee.over(request.judged)
+            self.referee.check_answered(request.judged)
         for resent in self.resent_after_arrival:
             self._judge_resent(resent)
         outcomes = Counter(str(request.outcome or NOT_ENDED) for request in self.requests.values())
@@ -271,7 +273,7 @@
             attempts=self.attempts,
             beyond=self.beyond_quota_units,
             broken=dict(self.referee.broken),
-            told=self.referee.told,
+            told=self.referee.breach_messages,
             late_ms=max((delay.delay_ms for delay in self.loop_delays), default=0.0),
         )
 
--- a/quota_gateway/fault_bench/scenario.py
+++ b/quota_gateway/fault_bench/scenario.py
@@ -13,7 +13,14 @@
 import msgspec
 from msgspec import Struct
 
-from quota_gateway.simulation.world import Above, Amount, World, WorldError, check, read_file
+from quota_gateway.simulation.world import (
+    NonNegativeFloat,
+    PositiveFloat,
+    World,
+    WorldError,
+    check,
+    read_file,
+)
 
 MOST_GATEWAYS = 50
 CONDITION = re.compile(r"(asked|answered|open|ready)(?: (g\d+))? >= (\d+)")
@@ -50,12 +57,12 @@
 
     do: Act
     on: tuple[str, ...] = ()
-    at_s: Amount = 0.0
+    at_s: NonNegativeFloat = 0.0
     when: str = ""
-    for_s: Amount = 0.0
+    for_s: NonNegativeFloat = 0.0
     way: Literal["both", "up", "down"] = "both"
-    amount: Amount = 0.0
-    jitter: Amount = 0.0
+    amount: NonNegativeFloat = 0.0
+    jitter: NonNegativeFloat = 0.0
     groups: tuple[tuple[str, ...], ...] = ()
     line: str = ""
 
@@ -76,7 +83,7 @@
     """A play. ``rate``: first tries a second by all clients, whose pace waits for nothing."""
 
     world: World
-    rate: Above = 100.0
+    rate: PositiveFloat = 100.0
     steps: tuple[Step, ...] = ()
     rollouts: tuple[Rolling, ...] = ()
 
@@ -130,7 +137,7 @@
     check(scenario.world, path)
     if scenario.world.gateways > MOST_GATEWAYS:
         raise WorldError(f"{path}: at most {MOST_GATEWAYS} gateways - at `$.world.gateways`")
-    if scenario.world.troubles:
+    if scenario.world.disturbances:
         raise WorldError(f"{path}: troubles are the lab's, here it is steps - at `$.world.troubles`")
     for number, step in enumerate(scenario.steps):
         if fault := _fault(scenario, step):
--- a/quota_gateway/fault_bench/server_faults.py
+++ b/quota_gateway/fault_bench/server_faults.py
@@ -16,7 +16,7 @@
     for server in servers:
         match step.do:
             case "slow":
-                server.model.slow = step.amount
+                server.model.slowdown = step.amount
             case "failing":
                 server.model.failing = True
             case "mute":
@@ -28,7 +28,7 @@
 
     async def restore() -> None:
         for server in servers:
-            server.model.slow = 1.0
+            server.model.slowdown = 1.0
             server.model.failing = False
             server.mute = False
             if step.do == "release":
--- a/quota_gateway/fault_bench/stand_ins.py
+++ b/quota_gateway/fault_bench/stand_ins.py
@@ -21,7 +21,7 @@
 from quota_gateway.fault_bench.history import History
 from quota_gateway.fault_bench.relay import Address, pair_of
 from quota_gateway.simulation.models import Job, Meter, Server
-from quota_gateway.simulation.world import Tariff, World
+from quota_gateway.simulation.world import PlanConfig, World
 
 log = logging.getLogger(__name__)
 
@@ -58,7 +58,7 @@
     def __init__(self, world: World, clock: Clock) -> None:
         self.world = world
         self.clock = clock
-        self.tariffs = {plan.name: plan for plan in world.tariffs}
+        self.tariffs = {plan.name: plan for plan in world.plans}
         self.of: dict[str, Meter] = {}
         self.counted: set[str] = set()  # ids: a request's first attempt takes its units
 
@@ -66,12 +66,12 @@
         """The figure that the answer carries."""
         meter = self.of.get(customer)
         if meter is None:
-            tariff: Tariff = self.tariffs[plan]
-            meter = self.of[customer] = Meter(tariff, self.world.meter_period, self.world.meter_late)
+            tariff: PlanConfig = self.tariffs[plan]
+            meter = self.of[customer] = Meter(tariff, self.world.meter_period_ms, self.world.meter_delay_ms)
         if request not in self.counted:
             self.counted.add(request)
             meter.add(units, self.clock.now)
-        return meter.told(self.clock.now)
+        return meter.reported_percent(self.clock.now)
 
 
 class StandIn:
@@ -85,7 +85,7 @@
         self.meters = meters
         self.history = history
         self.draw = draw
-        self.kinds = {kind.name: kind for kind in meters.world.kinds}
+        self.kinds = {kind.name: kind for kind in meters.world.classes}
         self.attempts: dict[str, int] = {}  # numbers given, by request
         self.connections: set[Wire] = set()
         self.server: asyncio.Server | None = None
@@ -108,7 +108,7 @@
             answer(b"-SYNTAX\r\n")
             return None
         number = self.attempts[request] = self.attempts.get(request, 0) + 1
-        work = kind.work * float(self.draw.exponential())
+        work = kind.mean_work_ms * float(self.draw.exponential())
         clock = self.model.clock
         pair = pair_of(wire.transport) if wire.transport else None
         gateway = pair.link.name.partition(">")[0] if pair else ""
@@ -190,7 +190,7 @@
         """Called by the event loop once the connection has ended."""
         self.server.connections.discard(self)
         for job in self.jobs:
-            job.gone = True  # nobody waits: what has not begun never will
+            job.is_abandoned = True  # nobody waits: what has not begun never will
 
 
 class Discovery:
--- a/quota_gateway/simulation/__init__.py
+++ b/quota_gateway/simulation/__init__.py
@@ -1,4 +1,5 @@
-"""The simulation: a model of the fleet in virtual time, judged by the rules, with a ledger of value lost.
+"""Simulates a fleet of gateways in virtual time, checks the platform's rules and accounts for the value lost.
 
-An extra (``pip install .[lab]``), written from the public pages; the gateway imports none of it.
+Needs the extra ``pip install .[simulation]``. It is written from the public documentation, and the
+gateway itself imports nothing from it.
 """
--- a/quota_gateway/simulation/baselines.py
+++ b/quota_gateway/simulation/baselines.py
@@ -1,4 +1,7 @@
-"""Plain policies to measure against: everything is let in, one attempt, no limits and no health."""
+"""Simple policies to compare the gateway with: they admit every request and make one attempt.
+
+They apply no limits and do not watch the servers' health.
+"""
 
 from __future__ import annotations
 
@@ -6,41 +9,41 @@
 
 from quota_gateway import api
 
-MARGIN = 5.0  # ms before the deadline at which a request still out is answered as failed
+DEADLINE_MARGIN_MS = 5.0  # a request still in flight so long before its deadline is answered as failed
 
 
-class AllIn:
-    """Lets everything in and sends it to a server drawn at random."""
+class RandomPolicy:
+    """Admits every request and sends it to a random server."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
         self.random = Random(seed)
         self.ready: dict[int, api.ServerEntry] = {}
-        self.out: dict[int, int] = {}  # attempts out from here, by server
-        self.open: dict[int, str] = {}  # by the timer that ends its wait
-        self.where: dict[str, int] = {}
-        self.tokens = 0
+        self.in_flight: dict[int, int] = {}  # this gateway's attempts, by server
+        self.request_by_timer: dict[int, str] = {}  # by the token of the timer at its deadline
+        self.server_by_request: dict[str, int] = {}
+        self.last_token = 0
 
     def choose(self) -> int:
-        """One of the ready servers."""
+        """Choose one of the ready servers."""
         return self.random.choice(list(self.ready))
 
     def handle(self, _now_ms: float, event: api.Event) -> list[api.Action]:
-        """As ``Gateway.handle``."""
+        """Handle an event as ``Gateway.handle`` does."""
         match event:
             case api.ServerList():
-                self._take(event)
+                self._update_servers(event)
             case api.Request():
-                return self._request(event)
-            case api.TimerFired() if event.token in self.open:
-                return self._late(self.open.pop(event.token))
-            case api.AttemptEnded() if event.request_id in self.where:
-                self.out[event.server] = self.out.get(event.server, 0) - 1
-                del self.where[event.request_id]
+                return self._send(event)
+            case api.TimerFired() if event.token in self.request_by_timer:
+                return self._cancel(self.request_by_timer.pop(event.token))
+            case api.AttemptEnded() if event.request_id in self.server_by_request:
+                self.in_flight[event.server] = self.in_flight.get(event.server, 0) - 1
+                del self.server_by_request[event.request_id]
                 return [] if event.request_answered else [api.Fail(event.request_id)]
         return []
 
-    def _take(self, event: api.ServerList) -> None:
+    def _update_servers(self, event: api.ServerList) -> None:
         if event.kind is not api.ListKind.CHANGES:
             self.ready = {}
         for entry in event.entries:
@@ -48,29 +51,31 @@
             if entry.state is api.ServerState.READY:
                 self.ready[entry.server] = entry
 
-    def _request(self, event: api.Request) -> list[api.Action]:
+    def _send(self, event: api.Request) -> list[api.Action]:
         if not self.ready:
             return [api.Reject(event.request_id)]
         server = self.choose()
-        self.tokens += 1
-        self.open[self.tokens] = event.request_id
-        self.where[event.request_id] = server
-        self.out[server] = self.out.get(server, 0) + 1
+        self.last_token += 1
+        self.request_by_timer[self.last_token] = event.request_id
+        self.server_by_request[event.request_id] = server
+        self.in_flight[server] = self.in_flight.get(server, 0) + 1
         return [
             api.Send(event.request_id, server),
-            api.SetTimer(self.tokens, event.client_timeout_ms - MARGIN),
+            api.SetTimer(self.last_token, event.client_timeout_ms - DEADLINE_MARGIN_MS),
         ]
 
-    def _late(self, request_id: str) -> list[api.Action]:
-        return [api.Cancel(request_id, 0)] if request_id in self.where else []
+    def _cancel(self, request_id: str) -> list[api.Action]:
+        return [api.Cancel(request_id, 0)] if request_id in self.server_by_request else []
 
 
-class TwoChoices(AllIn):
-    """As above, but of two servers drawn it takes the one with fewer attempts out from here."""
+class TwoChoicesPolicy(RandomPolicy):
+    """Draws two random servers and takes the one with fewer attempts in flight from this gateway."""
 
     def choose(self) -> int:
-        """The less busy of two."""
-        return min((super(TwoChoices, self).choose() for _ in range(2)), key=lambda n: self.out.get(n, 0))
+        """Choose the less loaded of two random servers."""
+        return min(
+            (super(TwoChoicesPolicy, self).choose() for _ in range(2)), key=lambda n: self.in_flight.get(n, 0)
+        )
 
 
-BASELINES = {"random": AllIn, "two": TwoChoices}
+BASELINES = {"random": RandomPolicy, "two": TwoChoicesPolicy}
--- a/quota_gateway/simulation/referee.py
+++ b/quota_gateway/simulation/referee.py
@@ -1,4 +1,4 @@
-"""The rules, judged from outside over all gateways, and the ledger: where each unit of worth went."""
+"""Checks the platform's rules from outside, over all gateways, and accounts for the value of requests."""
 
 from __future__ import annotations
 
@@ -6,137 +6,189 @@
 from dataclasses import dataclass, field
 
 from quota_gateway import api
-from quota_gateway.simulation.models import Server, Store
-from quota_gateway.simulation.world import DRAIN_GRACE, SLACK, World
+from quota_gateway.simulation.models import Server, TokenBucket
+from quota_gateway.simulation.world import ANSWER_SLACK_MS, DRAIN_GRACE_MS, World
 
-MOST_TOLD = 20  # breaches that are told in words; all are counted
+MAX_BREACH_MESSAGES = 20  # breaches beyond that are counted, but not described
 NEVER_RAN = (api.Status.OVERLOADED, api.Status.CONNECT_FAILED, api.Status.NOT_SENT)
 
 
 @dataclass(slots=True)
-class Try:
-    """One request as a gateway took it; ``copies`` are its attempts that may have run, or still may."""
+class ObservedRequest:
+    """One request as a gateway received it, with the attempts and answers seen so far.
+
+    ``possible_runs`` has the attempts that may have run or may still run, by number: the server and when it
+    was sent.
+    """
 
     name: str
-    kind: api.RequestClass
-    taken: float
-    deadline: float
+    request_class: api.RequestClass
+    received_ms: float
+    deadline_ms: float
     units: float
     answers: int = 0
-    lost: bool = False  # with its gateway, which was killed
-    inside: bool = True
-    sends: int = 0
-    ended: int = 0
-    copies: dict[int, tuple[Server, float]] = field(default_factory=dict)
+    lost: bool = False  # because its gateway was killed
+    within_quota: bool = True
+    attempts_sent: int = 0
+    attempts_ended: int = 0
+    possible_runs: dict[int, tuple[Server, float]] = field(default_factory=dict)
 
 
 class Referee:
-    """Counts breaches by rule: answers, deadline, resends, drains, cold servers, ceilings."""
+    """Counts breaches by rule: answers, deadline, resends, refusals, drains, cold servers, ceilings."""
 
     def __init__(self, world: World) -> None:
         self.world = world
         self.broken: Counter[str] = Counter()
-        self.told: list[str] = []
-        self.work: dict[int, deque[tuple[float, float]]] = {}  # by server: when work was sent there, how much
+        self.breach_messages: list[str] = []
+        self.work_sent: dict[int, deque[tuple[float, float]]] = {}  # by server: when work was sent, how much
 
-    def breach(self, rule: str, text: str) -> None:
-        """A rule was broken."""
+    def breach(self, rule: str, message: str) -> None:
+        """Count a breach of a rule, and describe it if it is one of the first."""
         self.broken[rule] += 1
-        if len(self.told) < MOST_TOLD:
-            self.told.append(f"{rule}: {text}")
-
-    def sent(self, one: Try, server: Server, work: float, drained_at: float | None, now: float) -> None:
-        """An attempt goes out; ``drained_at``: when this gateway was told that the server drains."""
-        for first, at in one.copies.values():
-            if not self._may_repeat(one, first, at, server, now):
-                self.breach("resends", f"{one.name} again at {server.entry.server} at {now:.0f}")
+        if len(self.breach_messages) < MAX_BREACH_MESSAGES:
+            self.breach_messages.append(f"{rule}: {message}")
+
+    def sent(
+        self,
+        request: ObservedRequest,
+        server: Server,
+        work_ms: float,
+        drained_ms: float | None,
+        now_ms: float,
+    ) -> None:
+        """An attempt is sent; ``drained_ms``: when this gateway was notified that the server drains."""
+        for first_server, first_sent_ms in request.possible_runs.values():
+            if not self._may_repeat(request, first_server, first_sent_ms, server, now_ms):
+                self.breach(
+                    "resends",
+                    f"{request.name} was sent again to server {server.entry.server} at {now_ms:.0f} ms,"
+                    " though an earlier attempt may have run",
+                )
                 break
-        if drained_at is not None and now > drained_at + DRAIN_GRACE:
-            self.breach("drains", f"{one.name} to {server.entry.server}, told at {drained_at:.0f}")
-        self._tip(one, server, work, now)
-        one.copies[one.sends] = (server, now)
-        one.sends += 1
-
-    def _may_repeat(self, one: Try, first: Server, at: float, server: Server, now: float) -> bool:
-        if one.kind.idempotency is api.Idempotency.IDEMPOTENT:
+        if drained_ms is not None and now_ms > drained_ms + DRAIN_GRACE_MS:
+            self.breach(
+                "drains",
+                f"{request.name} was sent at {now_ms:.0f} ms to server {server.entry.server},"
+                f" which was known to drain since {drained_ms:.0f} ms",
+            )
+        self._check_overload(request, server, work_ms, now_ms)
+        request.possible_runs[request.attempts_sent] = (server, now_ms)
+        request.attempts_sent += 1
+
+    def _may_repeat(
+        self,
+        request: ObservedRequest,
+        first_server: Server,
+        first_sent_ms: float,
+        server: Server,
+        now_ms: float,
+    ) -> bool:
+        if request.request_class.idempotency is api.Idempotency.IDEMPOTENT:
             return True
         if (
-            one.kind.idempotency is api.Idempotency.NOT_IDEMPOTENT
-            or now - at >= one.kind.idempotency_window_ms
+            request.request_class.idempotency is api.Idempotency.NOT_IDEMPOTENT
+            or now_ms - first_sent_ms >= request.request_class.idempotency_window_ms
         ):
             return False
-        a = first.entry
-        b = server.entry
-        return one.kind.idempotency_scope is api.IdempotencyScope.ALL or (
-            a.zone == b.zone and (one.kind.idempotency_scope is api.IdempotencyScope.ZONE or a.cell == b.cell)
+        first = first_server.entry
+        second = server.entry
+        return request.request_class.idempotency_scope is api.IdempotencyScope.ALL or (
+            first.zone == second.zone
+            and (
+                request.request_class.idempotency_scope is api.IdempotencyScope.ZONE
+                or first.cell == second.cell
+            )
         )
 
-    def _tip(self, one: Try, server: Server, work: float, now: float) -> None:
-        """The work sent to a cold server in a window stays under multiple x capacity x window."""
+    def _check_overload(
+        self, request: ObservedRequest, server: Server, work_ms: float, now_ms: float
+    ) -> None:
+        """The work sent to a server that warms up must stay within multiple x capacity x window."""
         machines = self.world.machines
         if server.capacity() >= 1.0:
             return
-        sent = self.work.setdefault(server.entry.server, deque())
-        sent.append((now, work))
-        while sent[0][0] < max(now - machines.tip_window, server.started):
-            sent.popleft()
-        could = machines.cores * server.speed * server.capacity() * machines.tip_window
-        if sum(amount for _, amount in sent) > machines.tip_multiple * could:
-            self.breach("cold servers", f"{one.name} to {server.entry.server} at {now:.0f}")
-
-    def ended(self, one: Try, number: int, status: api.Status) -> None:
-        """An attempt has ended; one that never ran is no copy."""
+        recent = self.work_sent.setdefault(server.entry.server, deque())
+        recent.append((now_ms, work_ms))
+        while recent[0][0] < max(now_ms - machines.overload_window_ms, server.started):
+            recent.popleft()
+        capacity_ms = machines.cores * server.speed * server.capacity() * machines.overload_window_ms
+        if sum(amount for _, amount in recent) > machines.overload_multiple * capacity_ms:
+            self.breach(
+                "cold servers",
+                f"{request.name} overloaded server {server.entry.server}, which warms up, at {now_ms:.0f} ms",
+            )
+
+    def ended(self, request: ObservedRequest, attempt: int, status: api.Status) -> None:
+        """An attempt has ended; forget it if it certainly never ran."""
         if status in NEVER_RAN:
-            one.copies.pop(number, None)
-
-    def answered(self, one: Try, refused: bool, now: float) -> None:
-        """A final answer."""
-        one.answers += 1
-        if one.answers > 1:
-            self.breach("answers", f"{one.name}: answer {one.answers}")
-        if now > one.deadline + SLACK:
-            self.breach("deadline", f"{one.name}: {now - one.deadline:.0f} ms late")
-        keyed = (
-            one.kind.idempotency is api.Idempotency.WITH_KEY
-            and one.kind.idempotency_scope is api.IdempotencyScope.ALL
+            request.possible_runs.pop(attempt, None)
+
+    def answered(self, request: ObservedRequest, refused: bool, now_ms: float) -> None:
+        """A gateway has given a final answer."""
+        request.answers += 1
+        if request.answers > 1:
+            self.breach("answers", f"{request.name} was answered {request.answers} times")
+        if now_ms > request.deadline_ms + ANSWER_SLACK_MS:
+            self.breach(
+                "deadline",
+                f"{request.name} was answered {now_ms - request.deadline_ms:.0f} ms after its deadline",
+            )
+        has_global_key = (
+            request.request_class.idempotency is api.Idempotency.WITH_KEY
+            and request.request_class.idempotency_scope is api.IdempotencyScope.ALL
         )
-        if refused and one.copies and one.kind.idempotency is not api.Idempotency.IDEMPOTENT and not keyed:
-            self.breach("refusals", f"{one.name} may have run")
+        if (
+            refused
+            and request.possible_runs
+            and request.request_class.idempotency is not api.Idempotency.IDEMPOTENT
+            and not has_global_key
+        ):
+            self.breach("refusals", f"{request.name} was rejected, though it may have run")
+
+    def ceiling_charged(
+        self, request: ObservedRequest, bucket: TokenBucket, slack: float, now_ms: float
+    ) -> None:
+        """Take a request's units from a ceiling, below 0 if it does not hold them."""
+        bucket.refill(now_ms)
+        bucket.level -= request.units
+        if bucket.level < -slack - 1e-9:
+            self.breach(
+                "ceilings",
+                f"{request.name} brought its customer's ceiling to {bucket.level:.1f} units,"
+                f" with a slack of {slack:.1f}",
+            )
 
-    def drawn(self, one: Try, store: Store, slack: float, now: float) -> None:
-        """Units are drawn from a ceiling, whether it holds them or not."""
-        store.refill(now)
-        store.level -= one.units
-        if store.level < -slack - 1e-9:
-            self.breach("ceilings", f"{one.name}: {store.level:.1f} units")
+    def check_answered(self, request: ObservedRequest) -> None:
+        """At the end: a request without an answer is a breach, unless its gateway was killed."""
+        if not request.answers and not request.lost:
+            self.breach("answers", f"{request.name} was never answered")
 
-    def over(self, one: Try) -> None:
-        """The day is over."""
-        if not one.answers and not one.lost:
-            self.breach("answers", f"{one.name}: none")
 
+class ValueAccount:
+    """Accounts for the value of each operation once, by its outcome, in thousandths.
 
-class Ledger:
-    """Worth in thousandths, booked once for each wish of a client: the lines add up to what was offered."""
+    The values by outcome add up to what was offered.
+    """
 
     def __init__(self) -> None:
         self.offered = 0
-        self.lines: Counter[str] = Counter()
+        self.by_outcome: Counter[str] = Counter()
         self._open: dict[str, int] = {}
 
-    def wish(self, name: str, worth: float) -> None:
-        """A client's first try; its further tries belong to it."""
-        amount = round(1000.0 * worth)
+    def offer(self, operation_id: str, value: float) -> None:
+        """A client begins an operation; its retries belong to the same operation."""
+        amount = round(1000.0 * value)
         self.offered += amount
-        self._open[name] = amount
+        self._open[operation_id] = amount
 
-    def book(self, name: str, line: str) -> None:
-        """Book a wish's worth, unless it was booked before or was none of the offer."""
-        amount = self._open.pop(name, None)
+    def book(self, operation_id: str, outcome: str) -> None:
+        """Book an operation's value, unless it has been booked already or was never offered."""
+        amount = self._open.pop(operation_id, None)
         if amount is not None:
-            self.lines[line] += amount
+            self.by_outcome[outcome] += amount
 
     def close(self) -> None:
-        """What is still open at the end is given up."""
-        for name in list(self._open):
-            self.book(name, "given up: no answer in the day")
+        """Book the operations that are still open at the end as given up."""
+        for operation_id in list(self._open):
+            self.book(operation_id, "given up: no answer in the day")
--- a/tests/test_fault_bench.py
+++ b/tests/test_fault_bench.py
@@ -35,7 +35,7 @@
 from quota_gateway.fault_bench.scenario import Scenario, Step, load
 from quota_gateway.fault_bench.timeline import Timeline
 from quota_gateway.settings_reader import settings_document, settings_from
-from quota_gateway.simulation.world import Kind, Machines, Tariff, World, WorldError
+from quota_gateway.simulation.world import ClassConfig, Machines, PlanConfig, World, WorldError
 
 
 def run(test):
@@ -50,14 +50,22 @@
     machines=Machines(4),
     seconds=2.0,
     zones=("a", "b"),
-    kinds=(
-        Kind("read", 300.0, 1500.0, 5.0, weight=4.0),
-        Kind("order", 300.0, 1500.0, 5.0, effect="keyed", key_scope="zone", key_memory=3000.0),
-        Kind("pay", 300.0, 1500.0, 5.0, effect="unsafe"),
+    classes=(
+        ClassConfig("read", 300.0, 1500.0, 5.0, weight=4.0),
+        ClassConfig(
+            "order",
+            300.0,
+            1500.0,
+            5.0,
+            idempotency="keyed",
+            idempotency_scope="zone",
+            idempotency_window_ms=3000.0,
+        ),
+        ClassConfig("pay", 300.0, 1500.0, 5.0, idempotency="unsafe"),
     ),
-    tariffs=(
-        Tariff("basis", customers=20, rate=20.0, burst=40.0),
-        Tariff("hard", 1, 1.0, 1.0, ceiling_rate=1.0, ceiling_burst=1.0),
+    plans=(
+        PlanConfig("basis", customers=20, rate=20.0, burst=40.0),
+        PlanConfig("hard", 1, 1.0, 1.0, ceiling_rate=1.0, ceiling_burst=1.0),
     ),
 )
 SCENARIO = Scenario(WORLD, rate=120.0)
