--- a/quota_gateway/failover/__init__.py
+++ b/quota_gateway/failover/__init__.py
@@ -1,4 +1,6 @@
-"""Work in hand that outlives its process: what is written down before each effect, and who may go on with it.
+"""Connection failover: client connections that stay open when the gateway process that serves them dies.
 
-An extra, off unless it is configured; docs/design.md says what is built of it.
+The package contains the supervisor, the record in shared memory that a process writes before each effect,
+the claim that decides which process may use the record next, and a model that checks this protocol. Optional
+and off unless configured; docs/design.md says which parts of the design are implemented.
 """
--- a/quota_gateway/failover/connection_record.py
+++ b/quota_gateway/failover/connection_record.py
@@ -1,11 +1,11 @@
-"""The connections' record: rows in shared memory that outlives its writer, each complete or absent.
+"""The connection record: a row per client connection, in shared memory that outlives its writer.
 
-One process writes, without a system call; its successor reads after its end. What finds no free row is not
-protected, and counted. Who may go on with the record is settled by a claim: its number grows with each
-holder, and nobody gets one while the holder before may live.
+A row is either complete or absent. One process writes the record, without a system call; its successor reads
+it after that process has ended. A connection that finds no free row is not protected by failover, and is
+counted. A claim decides which process may use the record: its number grows with each holder, and no process
+gets one while the previous holder may still run.
 
-The layout is that of all versions since the first: a header, the claim, then the rows; claim and rows are
-double buffers.
+All versions share one layout: a header, the claim, then the rows. The claim and each row are double buffers.
 """
 
 from __future__ import annotations
@@ -33,19 +33,19 @@
 MAX_BODY_BYTES = 1024 * 1024
 NO_ROW = -1
 NO_CLAIM = 0
-ENDED_STATES = ("Z", "X")  # of a process, as /proc has them: zombie, dead
+ENDED_STATES = ("Z", "X")  # process states in /proc/PID/stat: zombie, dead
 
 
 class ConnectionRecordError(GatewayError):
-    """No record, or one of another version; nothing of it can be used."""
+    """The memory file has no usable record: none, a damaged one, or one of another version."""
 
 
 class DoubleBuffer:
     """A value in shared memory that is replaced as a whole.
 
     Guards against a writer that is killed in the middle of a store, which would leave a mixture of two
-    values. Holds because two buffers are written in turn, each with a growing number and a checksum: the one
-    that holds the value is never touched, and a torn one does not match its checksum.
+    values. Two buffers are written alternately, each with a growing sequence number and a checksum: the one
+    that holds the current value is never written, and a torn one does not match its checksum.
     """
 
     __slots__ = ("memory", "offset", "max_body_bytes", "sequence")
@@ -71,7 +71,7 @@
                 yield sequence, body
 
     def read(self) -> bytes:
-        """The value that was written last; empty where there was none."""
+        """The value that was written last; empty if none was written."""
         _, body = max(self._complete_buffers(), default=(0, b""))
         return body
 
@@ -92,12 +92,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Who may go on with the record; a number and a process of 0 before the first.
+    """Which process may use the record; number and process id are 0 before the first claim.
 
     Attributes:
         number: grows with each holder.
-        pid: the holder's process.
-        started_ticks: when that process started, see `started_ticks`.
+        pid: process id of the holder.
+        started_ticks: when the holder's process started, see `started_ticks`.
     """
 
     number: int
@@ -106,32 +106,40 @@
 
 
 class ConnectionRecord:
-    """Rows in a memory file, by its descriptor, which stays the caller's."""
+    """The claim and the rows in a memory file. The caller keeps ownership of the file's descriptor."""
 
     def __init__(self, file: int, memory: mmap.mmap) -> None:
-        """Use a record. Raises ConnectionRecordError where it is none of this version."""
+        """Use the record in this memory. Raises ConnectionRecordError if it is not one of this version."""
         self.file = file
         self.memory = memory
         magic, version, row_count, max_body_bytes = HEADER.unpack_from(memory, 0)
         if magic != MAGIC or version != VERSION:
-            raise ConnectionRecordError("no record of this version's")
+            raise ConnectionRecordError(
+                f"not a connection record of version {VERSION}: it begins with {magic!r}, version {version}"
+            )
         if not _is_valid_size(row_count, max_body_bytes) or len(memory) < record_bytes(
             row_count, max_body_bytes
         ):
-            raise ConnectionRecordError("a record that breaks off")
+            raise ConnectionRecordError(
+                f"the connection record is damaged: {row_count} rows of {max_body_bytes} bytes in a memory"
+                f" file of {len(memory)} bytes"
+            )
         self.max_body_bytes = max_body_bytes
         row_bytes = 2 * (BUFFER_HEADER.size + max_body_bytes)
         self.rows = [
             DoubleBuffer(memory, ROWS_OFFSET + row * row_bytes, max_body_bytes) for row in range(row_count)
         ]
         self.free_rows = [row for row in range(row_count - 1, -1, -1) if not self.rows[row].read()]
-        self.unprotected = 0  # bodies that found no room
+        self.unprotected = 0  # bodies for which no row was free, or that were too long
 
     @classmethod
     def create(cls, file: int, row_count: int, max_body_bytes: int) -> ConnectionRecord:
         """Make an empty record in an empty memory file (``os.memfd_create``)."""
         if not _is_valid_size(row_count, max_body_bytes):
-            raise ConnectionRecordError(f"{row_count} rows of {max_body_bytes} bytes")
+            raise ConnectionRecordError(
+                f"cannot create a connection record of {row_count} rows of {max_body_bytes} bytes: 1 to"
+                f" {MAX_ROWS} rows of 1 to {MAX_BODY_BYTES} bytes are possible"
+            )
         size_bytes = record_bytes(row_count, max_body_bytes)
         os.ftruncate(file, size_bytes)
         memory = mmap.mmap(file, size_bytes)
@@ -143,13 +151,15 @@
         """Use a record that another process has written. Raises ConnectionRecordError or OSError."""
         size_bytes = os.fstat(file).st_size
         if size_bytes < ROWS_OFFSET:
-            raise ConnectionRecordError("a record that breaks off")
+            raise ConnectionRecordError(
+                f"the connection record is cut off: its memory file has {size_bytes} bytes"
+            )
         return cls(file, mmap.mmap(file, size_bytes))
 
     # ---- Rows
 
     def add_row(self, body: bytes) -> int:
-        """Write a new row; its number, or `NO_ROW` where there is no room, which is counted."""
+        """Write a new row and return its index; without room, count that and return `NO_ROW`."""
         if not self.free_rows or not 0 < len(body) <= self.max_body_bytes:
             self.unprotected += 1
             return NO_ROW
@@ -158,7 +168,7 @@
         return row
 
     def replace_row(self, row: int, body: bytes) -> bool:
-        """Replace a row's body; false where it is too long: then the row is freed, and that is counted."""
+        """Replace a row's body. If it is too long, free the row, count that and return false."""
         if len(body) > self.max_body_bytes:
             self.unprotected += 1
             self.free_row(row)
@@ -172,21 +182,21 @@
         self.free_rows.append(row)
 
     def read_rows(self) -> dict[int, bytes]:
-        """The bodies of all rows in use, by row."""
+        """The bodies of all rows in use, by the index of the row."""
         bodies = {row: buffer.read() for row, buffer in enumerate(self.rows)}
         return {row: body for row, body in bodies.items() if body}
 
     # ---- Claims
 
     def claim(self) -> int:
-        """Claim the record: a number above all before it, or `NO_CLAIM` while the holder may live."""
+        """Claim the record: a number above all earlier ones, or `NO_CLAIM` while the holder may still run."""
         with self._lock():
             buffer = self._claim_buffer()
-            held = _decode_claim(buffer)
-            if held.pid and not has_ended(held.pid, held.started_ticks):
+            current = _decode_claim(buffer)
+            if current.pid and not has_ended(current.pid, current.started_ticks):
                 return NO_CLAIM
             pid = os.getpid()
-            number = held.number + 1
+            number = current.number + 1
             buffer.write(CLAIM_BODY.pack(number, pid, started_ticks(pid) or 0))
             return number
 
@@ -195,12 +205,12 @@
         return _decode_claim(self._claim_buffer())
 
     def _claim_buffer(self) -> DoubleBuffer:
-        """The claim as it stands now: other processes write it, too."""
+        """The claim's buffer, opened anew for each use because other processes write it too."""
         return DoubleBuffer(self.memory, CLAIM_OFFSET, CLAIM_BODY.size)
 
     @contextmanager
     def _lock(self) -> Iterator[None]:
-        """Admit one process at a time; the kernel unlocks if it dies within."""
+        """Exclude other processes; the kernel releases the lock if this process dies while it holds it."""
         fcntl.lockf(self.file, fcntl.LOCK_EX)
         try:
             yield
@@ -222,12 +232,12 @@
 
 
 def record_bytes(row_count: int, max_body_bytes: int) -> int:
-    """Size of a record."""
+    """Size of a record's memory file in bytes."""
     return ROWS_OFFSET + row_count * 2 * (BUFFER_HEADER.size + max_body_bytes)
 
 
 def started_ticks(pid: int) -> int | None:
-    """When a process started, in the kernel's ticks since boot; none where it has ended, reaped or not."""
+    """When a process started, in clock ticks since boot; None if it has ended, whether reaped or not."""
     try:
         line = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
@@ -237,5 +247,5 @@
 
 
 def has_ended(pid: int, started: int) -> bool:
-    """Whether a process has ended: a number that the kernel has reused since is another process."""
+    """Whether the process that started then has ended. Its id may be that of another process by now."""
     return started_ticks(pid) != started
--- a/quota_gateway/failover/connection_row.py
+++ b/quota_gateway/failover/connection_row.py
@@ -1,4 +1,4 @@
-"""A connection's row in the record that a supervised gateway leaves behind."""
+"""The row of a client connection in a supervised gateway's connection record."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionRow:
-    """A client's connection as it was last at rest: all that was read on it had been answered."""
+    """State of a client connection when it was last at rest: everything read on it had been answered."""
 
-    number: int  # in the order in which its process opened connections
-    read_bytes: int  # by the kernel's count
+    number: int  # counts the connections that the process has opened or adopted
+    read_bytes: int  # both byte counts are the kernel's, see net/tcp_info.py
     written_bytes: int
-    has_requested: bool  # whether a request had come on it
+    has_requested: bool  # whether a request has arrived on the connection
 
     def encode(self) -> bytes:
         """The row's body in the record."""
@@ -23,7 +23,7 @@
 
     @classmethod
     def decode(cls, body: bytes) -> ConnectionRow:
-        """The row with this body. Raises struct.error if it is none."""
+        """The row with this body. Raises struct.error if the body has another size."""
         return cls(*LAYOUT.unpack(body))
 
 
--- a/quota_gateway/failover/gateway.py
+++ b/quota_gateway/failover/gateway.py
@@ -1,10 +1,11 @@
-"""A gateway's end of connection failover: what it leaves behind, and what it takes from a dead process.
-
-Loaded only where EDGE_KEEPER names the supervisor's socket. Each client connection has a row in a shared
-record: how many bytes had been read from it and written to it as it was last at rest, with nothing in flight.
-Where the kernel's own counts are the same after the death, nothing was read that was not answered, and all
-answers went out: the connection goes on at the next process, with what waits in it. On any other something
-may have been lost; it is closed, as all of them were without a supervisor.
+"""The gateway's side of connection failover: records its connections and takes over those of a dead process.
+
+Loaded only if the environment variable EDGE_KEEPER names the supervisor's socket. Each client connection has
+a row in a record in shared memory: how many bytes had been read from it and written to it when it was last at
+rest, with nothing in flight. If the kernel's counts still equal these after the process died, everything that
+was read was answered and all answers were written: the next process continues the connection, together with
+the unread bytes in its receive queue. On any other connection something may have been lost; it is closed, as
+every connection would be without a supervisor.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 from quota_gateway.failover.inherited_connections import InheritedConnections
 from quota_gateway.failover.messages import (
     Alive,
-    Arrived,
     ConnectionCopy,
     ConnectionEnded,
     LeftRecord,
     ListenerCopy,
     Message,
+    Registered,
     Serves,
     TakeTurn,
     decode,
@@ -38,13 +39,13 @@
 
 log = logging.getLogger(__name__)
 
-RECONNECT_INTERVAL_S = 0.25  # before a supervisor that is away is looked for again
-RECORD_NAME = "work"  # of the shared memory, as the kernel lists it
+RECONNECT_INTERVAL_S = 0.25  # between attempts to connect to the supervisor
+RECORD_NAME = "work"  # name of the shared memory file in the kernel's lists, as /proc/PID/maps
 
 
 @dataclass(frozen=True, slots=True)
 class RecordedConnection:
-    """A connection that is in the record: the index of its row, and the row as it was opened."""
+    """A connection that has a row in the record: the row's index, and its content when it was added."""
 
     row_index: int
     opened: ConnectionRow
@@ -68,10 +69,10 @@
         self.link: Link | None = None
         self.task = self.loop.create_task(self._stay_connected(), name="link to the supervisor")
 
-    # ---- The supervisor
+    # ---- Link to the supervisor
 
     async def _stay_connected(self) -> None:
-        """Keep a link to the supervisor, or to the next one after its death, and send heartbeats on it."""
+        """Keep a link to the supervisor and send heartbeats on it; after its death, link to the next one."""
         while True:
             if self.link is None:
                 self._connect()
@@ -83,12 +84,12 @@
         if sock is None:
             return
         self.link = Link(sock, self._on_message, self._on_link_ended)
-        self._send(Arrived(self.is_serving), self.record_descriptor)
+        self._send(Registered(self.is_serving), self.record_descriptor)
         if self.is_serving:
-            self._report_all()
+            self._report_everything()
 
     def _send(self, message: Message, descriptor: int = NO_DESCRIPTOR) -> None:
-        """Send a message where there is a link; without one everything is reported at the next."""
+        """Send a message if there is a link; without one, everything is reported once the next is open."""
         if self.link:
             self.link.send(encode(message), descriptor)
 
@@ -97,7 +98,8 @@
         if self.link is link:
             self.link = None
             log.error(
-                "the supervisor has ended: this process %s", "serves on" if self.is_serving else "stands by"
+                "the link to the supervisor has ended: this process %s and reconnects",
+                "continues to serve" if self.is_serving else "stays on standby",
             )
 
     def _on_message(self, _link: Link, data: bytes, descriptors: list[int]) -> None:
@@ -116,7 +118,7 @@
     # ---- This process's turn
 
     async def wait_for_turn(self, stop: asyncio.Event) -> bool:
-        """Wait for this process's turn, then record connections; false if it is to end before."""
+        """Wait for this process's turn and begin to record connections; false if ``stop`` is set."""
         waits = [self.loop.create_task(event.wait()) for event in (self.turn_has_come, stop)]
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
@@ -127,7 +129,7 @@
         return not stop.is_set()
 
     def listener(self) -> socket.socket | None:
-        """The clients' listener, if a dead process has left one."""
+        """The clients' listener that a dead process has left; None if there is none."""
         listener = self.inherited.listener
         if listener:
             listener.setblocking(False)
@@ -148,14 +150,15 @@
                 sock.close()
         if inherited.descriptors:
             log.info(
-                "gone on from a process that died: %d connections at rest, %d with work in flight closed",
+                "took over from a process that died: %d connections at rest adopted, "
+                "%d with work in flight closed",
                 adopted,
                 len(inherited.descriptors) - adopted,
             )
         self.inherited = InheritedConnections()
-        self._report_all()
+        self._report_everything()
 
-    def _report_all(self) -> None:
+    def _report_everything(self) -> None:
         """Give the supervisor a copy of everything that must outlive this process."""
         self._send(Serves())
         if self.clients.listener:
@@ -173,7 +176,7 @@
             row = ConnectionRow(
                 self.last_number, bytes_consumed(descriptor), bytes_written(descriptor), client.has_requested
             )
-        except OSError:  # it has ended already
+        except OSError:  # the connection has ended already
             return
         row_index = self.record.add_row(row.encode())
         if row_index == NO_ROW:
@@ -182,7 +185,7 @@
         self._send(ConnectionCopy(row.number), descriptor)
 
     def _on_all_answered(self, client: Client) -> None:
-        """Record that everything read is answered, and all answers are on their way into the kernel."""
+        """Record that everything read is answered, and that all answers are being written to the kernel."""
         recorded = self.recorded.get(client)
         if recorded is None:
             return
@@ -202,7 +205,7 @@
             self._send(ConnectionEnded(recorded.opened.number))
 
     def close(self) -> None:
-        """End the link, at the end of the process."""
+        """Close the link to the supervisor, because this process ends."""
         self.task.cancel()
         if self.link:
             self.link.end("this process ends")
--- a/quota_gateway/failover/inherited_connections.py
+++ b/quota_gateway/failover/inherited_connections.py
@@ -1,4 +1,4 @@
-"""What a process that died has left, as the supervisor passes it on to the next one."""
+"""The connections, listener and record of a process that died, as the supervisor passes them on."""
 
 from __future__ import annotations
 
@@ -13,31 +13,37 @@
 
 log = logging.getLogger(__name__)
 
-MAX_READS = 3  # of both counts, between which an acknowledgement may arrive
+MAX_READS = 3  # of both byte counts; an acknowledgement may arrive between the reads of the two
 
 
 class InheritedConnections:
-    """Descriptors and rows of a dead process; owned until the connections are adopted or closed."""
+    """Descriptors and rows of a dead process. Owns the descriptors until they are adopted or closed."""
 
     def __init__(self) -> None:
-        self.rows: dict[int, ConnectionRow] = {}  # by number
-        self.descriptors: dict[int, int] = {}  # by number
+        self.rows: dict[int, ConnectionRow] = {}  # by ConnectionRow.number
+        self.descriptors: dict[int, int] = {}  # by ConnectionRow.number
         self.listener: socket.socket | None = None
 
     def read_record(self, descriptor: int) -> None:
-        """Take over the rows of a record; without a valid one no connection can go on."""
+        """Take over the rows of a record. Without a valid record, no connection can be adopted."""
         try:
             record = ConnectionRecord.open(descriptor)
         except (ConnectionRecordError, OSError, ValueError) as error:
-            log.error("the record that was left can't be read: %r", error)
+            log.error(
+                "can't read the dead process's connection record, so its connections are closed: %r", error
+            )
             return
         if not record.claim():
-            log.error("the record that was left is another's")
+            log.error(
+                "another process holds the dead process's connection record; its connections are closed"
+            )
             return
         try:
             rows = [ConnectionRow.decode(body) for body in record.read_rows().values()]
         except struct.error as error:  # rows of another version
-            log.error("the record that was left can't be read: %r", error)
+            log.error(
+                "can't read the dead process's connection record, so its connections are closed: %r", error
+            )
             return
         self.rows = {row.number: row for row in rows}
         record.close()
--- a/quota_gateway/failover/messages.py
+++ b/quota_gateway/failover/messages.py
@@ -1,6 +1,6 @@
-"""Messages between a supervisor and its gateways: a letter, some with a number, some with a descriptor.
+"""Messages between a supervisor and its gateways: one letter, in some with a number or a file descriptor.
 
-The bytes are those of every version: a supervisor and a gateway may be of different ones.
+All versions use the same bytes, because a supervisor and its gateways may be of different versions.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
-    """Gateway: this process is here, standing by or serving. Carries its connection record."""
+class Registered:
+    """Gateway: registers its process, standing by or serving. Carries its connection record's descriptor."""
 
     serving: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Serves:
-    """Gateway: it serves from now on, and has taken over what was left."""
+    """Gateway: it serves from now on, and has taken over what a dead process left."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,37 +32,42 @@
 
 @dataclass(frozen=True, slots=True)
 class ListenerCopy:
-    """Both ways: the clients' listener, as a descriptor."""
+    """Either side: carries a descriptor of the clients' listener."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionCopy:
-    """Both ways: a client's connection, as a descriptor, by the number of the process that opened it."""
+    """Either side: carries a descriptor of a client connection.
+
+    The number is ``ConnectionRow.number`` in the record of the process that opened or adopted it.
+    """
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionEnded:
-    """Gateway: a connection has ended; its copy is closed."""
+    """Gateway: a connection has ended, so that the supervisor closes its copy of the descriptor."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeftRecord:
-    """Supervisor: the connection record that a dead process has left, as a descriptor."""
+    """Supervisor: carries the descriptor of the connection record that a dead process has left."""
 
 
 @dataclass(frozen=True, slots=True)
 class TakeTurn:
-    """Supervisor: it is this process's turn to serve."""
+    """Supervisor: tells a standby that it is its turn to serve."""
 
 
-Message = Arrived | Serves | Alive | ListenerCopy | ConnectionCopy | ConnectionEnded | LeftRecord | TakeTurn
+Message = (
+    Registered | Serves | Alive | ListenerCopy | ConnectionCopy | ConnectionEnded | LeftRecord | TakeTurn
+)
 
 LETTERS: dict[type, bytes] = {
-    Arrived: b"H",
+    Registered: b"H",
     Serves: b"S",
     Alive: b"B",
     ListenerCopy: b"L",
@@ -84,7 +89,7 @@
     """The message's bytes."""
     letter = LETTERS[type(message)]
     match message:
-        case Arrived(serving=serving):
+        case Registered(serving=serving):
             return letter + (SERVING if serving else STANDING_BY)
         case ConnectionCopy(number=number) | ConnectionEnded(number=number):
             return letter + b"%d" % number
@@ -93,11 +98,14 @@
 
 
 def decode(data: bytes) -> Message | None:
-    """The message in these bytes; None for one that a later version has. Raises PeerProcessError."""
+    """The message in these bytes; None if its letter is unknown, as one of a later version.
+
+    Raises PeerProcessError for an invalid number.
+    """
     letter = data[:1]
     rest = data[1:]
-    if letter == LETTERS[Arrived]:
-        return Arrived(rest == SERVING)
+    if letter == LETTERS[Registered]:
+        return Registered(rest == SERVING)
     if letter == LETTERS[ConnectionCopy]:
         return ConnectionCopy(decode_number(rest))
     if letter == LETTERS[ConnectionEnded]:
--- a/quota_gateway/failover/supervisor.py
+++ b/quota_gateway/failover/supervisor.py
@@ -1,8 +1,9 @@
-"""The supervisor: starts gateways, holds copies of what must not end with them, and knows when they end.
+"""The supervisor: starts gateway processes, holds copies of their descriptors, and notices when they end.
 
-It decides nothing and parses nothing. One process serves, the others stand by; when the one that serves has
-ended, as the kernel says, the next one is given the listener, the connections and the record that it left. A
-supervisor that dies takes nobody along: gateways serve on and report everything to the next supervisor.
+It makes no decision on requests and parses no client data. One process serves, the others stand by; when the
+kernel reports that the serving process has ended, the next one gets the listener, the connections and the
+record that it left. The death of the supervisor ends no gateway: they continue to serve and report everything
+to the next supervisor.
 """
 
 from __future__ import annotations
@@ -25,12 +26,12 @@
 
 from quota_gateway.errors import PeerProcessError
 from quota_gateway.failover.messages import (
-    Arrived,
     ConnectionCopy,
     ConnectionEnded,
     LeftRecord,
     ListenerCopy,
     Message,
+    Registered,
     Serves,
     TakeTurn,
     decode,
@@ -42,13 +43,13 @@
 
 log = logging.getLogger("quota_gateway.failover")
 
-# So many deaths in such a time are no accident: another process is started only after a pause.
+# This many deaths in this time are a crash loop: the next process is started only after a pause.
 CRASH_LOOP_DEATHS = 5
 CRASH_LOOP_S = 60.0
 CRASH_LOOP_BACKOFF_S = 5.0
 
-TAKEOVER_TIMEOUT_S = 2.0  # for a next process to take what was left: clients wait no longer
-ARRIVAL_WAIT_S = 1.5  # for gateways to come to a supervisor that follows another
+TAKEOVER_TIMEOUT_S = 2.0  # until a process takes over; clients of a dead one wait no longer
+REGISTRATION_WAIT_S = 1.5  # for running gateways to register with a replacement supervisor
 TERMINATION_GRACE_S = 5.0  # from SIGTERM to SIGKILL
 CHECK_INTERVAL_S = 0.5
 EXIT_POLL_INTERVAL_S = 0.02
@@ -56,9 +57,9 @@
 
 
 class Job(Struct, forbid_unknown_fields=True, frozen=True):
-    """What is supervised: the command of ``run`` in its folder, the supervisor's socket, the standbys.
+    """The job file: the command that runs a gateway and its folder, the supervisor's socket, the standbys.
 
-    The socket's path may name variables of the environment.
+    The socket's path may contain environment variables. ``standbys`` processes stand by.
     """
 
     command: str
@@ -68,22 +69,22 @@
 
 
 class Supervisor:
-    """Keeps one process serving and some standing by until SIGTERM."""
+    """Keeps one process serving and ``standbys`` processes standing by until SIGTERM."""
 
     def __init__(self, job: Job) -> None:
         self.job = job
         self.socket_path = os.path.expandvars(job.socket)
         self.loop = asyncio.get_running_loop()
-        self.processes: dict[Link, SupervisedProcess] = {}  # the longest standing by first
+        self.processes: dict[Link, SupervisedProcess] = {}  # in order of registration
         self.dead_predecessor: SupervisedProcess | None = None  # served and died; not taken over yet
-        self.children: dict[int, asyncio.subprocess.Process] = {}  # that have not come yet, or are here
+        self.children: dict[int, asyncio.subprocess.Process] = {}  # by process id, registered or not
         self.deaths: deque[float] = deque(maxlen=CRASH_LOOP_DEATHS)
-        self.ending = asyncio.Event()
-        self.changed = asyncio.Event()  # something that may want another process
+        self.stop_requested = asyncio.Event()
+        self.check_needed = asyncio.Event()  # a process may have to be started
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Supervise until SIGTERM. Raises OSError where another supervisor has the socket."""
+        """Supervise until SIGTERM. Raises OSError if another supervisor uses the socket."""
         path = Path(self.socket_path)
         with _exclusive(path):
             is_replacement = path.exists()
@@ -91,12 +92,12 @@
             listener = self._listen(path)
             self._handle_signals()
             if is_replacement:
-                await asyncio.sleep(ARRIVAL_WAIT_S)
-            while not self.ending.is_set():
+                await asyncio.sleep(REGISTRATION_WAIT_S)
+            while not self.stop_requested.is_set():
                 await self._start_missing()
-                self.changed.clear()
+                self.check_needed.clear()
                 with suppress(TimeoutError):
-                    await asyncio.wait_for(self.changed.wait(), CHECK_INTERVAL_S)
+                    await asyncio.wait_for(self.check_needed.wait(), CHECK_INTERVAL_S)
             self.loop.remove_reader(listener.fileno())
             await self._shut_down()
             path.unlink(missing_ok=True)
@@ -117,14 +118,14 @@
     # ---- Processes
 
     async def _start_missing(self) -> None:
-        """Start a process if one is missing of those that serve and stand by."""
-        self._give_turn()
-        arrived = {process.pid for process in self.processes.values()}
-        starting = len(self.children.keys() - arrived)
+        """Start a process if there are fewer than one that serves and ``standbys`` that stand by."""
+        self._promote_standby_if_none_serves()
+        registered = {process.pid for process in self.processes.values()}
+        starting = len(self.children.keys() - registered)
         missing = 1 + self.job.standbys - len(self.processes) - starting
         if missing > 0 and not self._must_back_off():
             await self._start_process()
-            self.changed.set()
+            self.check_needed.set()
 
     def _must_back_off(self) -> bool:
         now = time.monotonic()
@@ -146,11 +147,11 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _reap(self, child: asyncio.subprocess.Process) -> None:
-        code = await child.wait()
+        exit_code = await child.wait()
         del self.children[child.pid]
         self.deaths.append(time.monotonic())
-        _log_event("ended", pid=child.pid, code=code)
-        self.changed.set()
+        _log_event("ended", pid=child.pid, code=exit_code)
+        self.check_needed.set()
 
     # ---- Messages
 
@@ -165,10 +166,10 @@
             process.heartbeat.received()
         try:
             message = decode(data)
-            if isinstance(message, Arrived) and process is None and descriptors:
-                self._on_arrived(link, descriptors.pop(), message.serving)
+            if isinstance(message, Registered) and process is None and descriptors:
+                self._on_registered(link, descriptors.pop(), message.serving)
             elif process is None:
-                raise PeerProcessError("a message before the process has arrived")
+                raise PeerProcessError("the process sent another message before the one that registers it")
             else:
                 self._on_report(process, message, descriptors)
         finally:
@@ -185,20 +186,20 @@
             case ConnectionEnded(number=number):
                 process.close_connection(number)
 
-    def _on_arrived(self, link: Link, record: int, is_serving: bool) -> None:
+    def _on_registered(self, link: Link, record: int, is_serving: bool) -> None:
         pid = link.peer_process.pid
-        for earlier in [one for one in self.processes.values() if one.pid == pid]:
-            self._forget(earlier)  # the same process, over a new link: it reports all that it has again
-            earlier.close_all()
+        for previous in [other for other in self.processes.values() if other.pid == pid]:
+            self._forget(previous)  # the same process over a new link, on which it reports everything again
+            previous.close_all()
         process = SupervisedProcess(link, record, is_serving)
         self.processes[link] = process
         process.heartbeat = Heartbeat(lambda: None, link.peer_process.kill)  # sends nothing; see _on_death
         process.heartbeat.start()
         _log_event("here", pid=pid, serving=is_serving)
-        self.changed.set()
+        self.check_needed.set()
 
     def _on_serving(self, process: SupervisedProcess) -> None:
-        """It has taken over what was left: the copies of before are closed."""
+        """The process has taken over what the dead one left: close the copies."""
         process.is_serving = True
         if self.dead_predecessor:
             self.dead_predecessor.close_all()
@@ -207,7 +208,10 @@
     # ---- Deaths
 
     def _on_link_ended(self, link: Link) -> None:
-        """A link that ends is no death: the kernel tells that, and until then nothing is passed on."""
+        """Wait until the kernel reports the process's end: a process may live after its link has ended.
+
+        Until then nothing is passed on.
+        """
         process = self.processes.get(link)
         if process is None:
             link.peer_process.close()
@@ -225,28 +229,28 @@
             return
         self._forget(process)
         _log_event("died", pid=process.pid, serving=process.is_serving, connections=len(process.connections))
-        if not process.is_serving or self.ending.is_set() or self.dead_predecessor:
+        if not process.is_serving or self.stop_requested.is_set() or self.dead_predecessor:
             process.close_all()
         else:
             self.dead_predecessor = process
-            self.loop.call_later(TAKEOVER_TIMEOUT_S, self._on_nobody_came, process)
-        self._give_turn()
-        self.changed.set()
+            self.loop.call_later(TAKEOVER_TIMEOUT_S, self._on_takeover_timeout, process)
+        self._promote_standby_if_none_serves()
+        self.check_needed.set()
 
-    def _on_nobody_came(self, process: SupervisedProcess) -> None:
-        """Close the connections: their clients are owed an end. The listener stays for the next process."""
+    def _on_takeover_timeout(self, process: SupervisedProcess) -> None:
+        """Close the connections so that clients wait no longer; keep the listener for the next process."""
         if self.dead_predecessor is process:
             process.close_connections()
 
-    def _give_turn(self) -> None:
-        """Where no process serves, let the one serve that has stood by longest."""
-        if self.ending.is_set() or any(process.is_serving for process in self.processes.values()):
+    def _promote_standby_if_none_serves(self) -> None:
+        """If no process serves, let the one serve that has stood by longest."""
+        if self.stop_requested.is_set() or any(process.is_serving for process in self.processes.values()):
             return
-        longest = next(iter(self.processes.values()), None)
-        if longest:
-            self._hand_over_to(longest)
+        standby = next(iter(self.processes.values()), None)
+        if standby:
+            self._promote(standby)
 
-    def _hand_over_to(self, process: SupervisedProcess) -> None:
+    def _promote(self, process: SupervisedProcess) -> None:
         process.is_serving = True
         link = process.link
         if self.dead_predecessor:
@@ -257,18 +261,18 @@
                 link.send(encode(ListenerCopy()), self.dead_predecessor.listener)
         link.send(encode(TakeTurn()))
 
-    # ---- The end
+    # ---- Shutdown
 
     def _stop(self) -> None:
-        self.ending.set()
-        self.changed.set()
+        self.stop_requested.set()
+        self.check_needed.set()
 
     def _signal_all(self, number: int) -> None:
         for process in self.processes.values():
             process.link.peer_process.signal(number)
 
     async def _shut_down(self) -> None:
-        """End every process, by SIGKILL after a while."""
+        """End every process: SIGTERM, then SIGKILL after TERMINATION_GRACE_S."""
         self._signal_all(signal.SIGTERM)
         for child in list(self.children.values()):
             with suppress(ProcessLookupError):
@@ -283,18 +287,18 @@
 
 @contextmanager
 def _exclusive(path: Path) -> Iterator[None]:
-    """Hold the lock beside the socket. Raises FileExistsError where another supervisor holds it."""
+    """Hold the lock file next to the socket. Raises FileExistsError if another supervisor holds it."""
     lock = os.open(path.with_name(path.name + ".lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     try:
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            raise FileExistsError(f"another supervisor has {path}") from None
+            raise FileExistsError(f"another supervisor has the lock of the socket {path}") from None
         yield
     finally:
         os.close(lock)
 
 
 def _log_event(name: str, **fields: Any) -> None:
-    """One line of JSON."""
+    """Log an event as one line of JSON."""
     log.info("%s", json.dumps({"event": name, **fields}))
--- a/quota_gateway/recording/__init__.py
+++ b/quota_gateway/recording/__init__.py
@@ -1,6 +1,7 @@
-"""Recordings of what the decisions were told and did, and their player: a tool, never loaded by ``run``.
+"""Records the events and actions of gateways, and replays recordings to compare versions.
 
-Two versions of the decisions are the same when one answers the other's recordings action by action. A
-recording is lines of JSON: a head, ``open`` for each gateway with its settings and seed, one line for each
-event with its actions, and an ``end`` that says how many there were, so that one cut off is known as such.
+A development tool, never loaded by ``run``. Two versions of the decision code are the same if each returns
+the recorded actions for every event when it replays the other's recordings. A recording is lines of JSON: a
+head, ``open`` for each gateway with its settings and seed, one line for each event with its actions, and an
+``end`` with the number of events, without which a recording is known to be cut off.
 """
--- a/quota_gateway/recording/benchmark.py
+++ b/quota_gateway/recording/benchmark.py
@@ -1,4 +1,8 @@
-"""CPU that the decisions take: of a recording, against another version in turn; by the size of a fleet."""
+"""Measures the CPU time of decisions.
+
+Times the events of a recording, alone or in alternation with another version of the code, and single
+decisions by the number of servers and customers.
+"""
 
 from __future__ import annotations
 
@@ -18,14 +22,14 @@
 from quota_gateway.recording.codec import Recording
 from quota_gateway.recording.random_driver import draw_settings
 
-SIZES = (10, 100, 1_000, 20_000)  # servers listed
-CUSTOMERS = (100, 10_000, 100_000)
-TRIES = 3_000  # decisions measured at each size
+SIZES = (10, 100, 1_000, 20_000)  # numbers of servers in the list
+CUSTOMERS = (100, 10_000, 100_000)  # numbers of customers
+DECISIONS = 3_000  # decisions measured at each size
 T = TypeVar("T")
 
 
-def seconds(file: Path) -> float:
-    """CPU seconds of all events of a recording, without reading it. Raises RecordingError."""
+def cpu_seconds(file: Path) -> float:
+    """CPU seconds that all events of a recording take, without those to read it. Raises RecordingError."""
     with open(file, "rb") as source:
         steps = list(Recording(iter(source)).steps())
     start = time.process_time()
@@ -34,68 +38,87 @@
     return time.process_time() - start
 
 
-def against(file: Path, tree: Path, rounds: int) -> tuple[float, float]:
-    """Median CPU seconds here and in another version's tree, played in turn by processes of their own."""
-    took: dict[Path, list[float]] = {Path.cwd(): [], tree: []}
+def compare_trees(file: Path, tree: Path, rounds: int) -> tuple[float, float]:
+    """Median CPU seconds in this tree and another version's; each run is a process, the trees alternate."""
+    cpu_seconds_by_tree: dict[Path, list[float]] = {Path.cwd(): [], tree: []}
     for _ in range(rounds):
-        for where, found in took.items():
-            call = [sys.executable, "-m", f"{package_in(where)}.recording", "time", str(file.resolve())]
-            done = subprocess.run(call, cwd=where, capture_output=True, text=True, check=True)
-            found.append(float(done.stdout.split()[0]))
-    here, there = (median(found) for found in took.values())
+        for tree_path, measured in cpu_seconds_by_tree.items():
+            command = [
+                sys.executable,
+                "-m",
+                f"{package_in(tree_path)}.recording",
+                "time",
+                str(file.resolve()),
+            ]
+            result = subprocess.run(command, cwd=tree_path, capture_output=True, text=True, check=True)
+            measured.append(float(result.stdout.split()[0]))
+    here, there = (median(measured) for measured in cpu_seconds_by_tree.values())
     return here, there
 
 
-class Crowd:
-    """A gateway before many servers, asked by many customers; each attempt ends before the next begins."""
+class DecisionBenchmark:
+    """A gateway with many servers and customers; each attempt ends before the next begins.
+
+    ``cold`` is the share of servers that have just started.
+    """
 
     def __init__(self, servers: int, customers: int, cold: float) -> None:
-        draw = random.Random(1)
+        rng = random.Random(1)
         limits = api.Limits(max_attempts=3, can_cancel=True)
-        settings = replace(draw_settings(draw), limits=limits, gateways=4)
+        settings = replace(draw_settings(rng), limits=limits, gateways=4)
         self.gateway = Gateway(settings, 1)
-        self.now = 1e6
-        self.asked = 0
+        self.now_ms = 1e6
+        self.request_count = 0
         self.customers = customers
-        self.draw = draw
+        self.rng = rng
         entries = tuple(
-            api.ServerEntry(n, "abc"[n % 3], cell=n % 50, started_ms=self.now * (draw.random() < cold))
+            api.ServerEntry(n, "abc"[n % 3], cell=n % 50, started_ms=self.now_ms * (rng.random() < cold))
             for n in range(servers)
         )
-        self.gateway.handle(self.now, api.ServerList(api.ListKind.COMPLETE, entries))
-
-    def ask(self, customer: int, kind: str = "k0") -> tuple[str, list[api.Action]]:
-        """One request of the plan without a quota."""
-        self.asked = self.asked + 1
-        self.now = self.now + 0.1
-        name = f"r{self.asked}"
-        return name, self.gateway.handle(self.now, api.Request(name, kind, "free", f"c{customer}", 3000.0))
+        self.gateway.handle(self.now_ms, api.ServerList(api.ListKind.COMPLETE, entries))
+
+    def request(self, customer: int, class_name: str = "k0") -> tuple[str, list[api.Action]]:
+        """Send a request under the plan without a quota; return its id and the gateway's actions."""
+        self.request_count = self.request_count + 1
+        self.now_ms = self.now_ms + 0.1
+        request_id = f"r{self.request_count}"
+        return request_id, self.gateway.handle(
+            self.now_ms, api.Request(request_id, class_name, "free", f"c{customer}", 3000.0)
+        )
 
-    def end(self, name: str, actions: list[api.Action], number: int, status: api.Status) -> list[api.Action]:
-        """The outcome of the attempt that these actions began; a request with none is let go."""
+    def end_attempt(
+        self, request_id: str, actions: list[api.Action], number: int, status: api.Status
+    ) -> list[api.Action]:
+        """End the attempt that these actions began; without one, disconnect the request's client."""
         sent = [action for action in actions if isinstance(action, api.Send)]
         if not sent:
-            return self.gateway.handle(self.now, api.ClientDisconnected(name))
+            return self.gateway.handle(self.now_ms, api.ClientDisconnected(request_id))
         return self.gateway.handle(
-            self.now, api.AttemptEnded(name, number, sent[0].server, status, 20.0, status is api.Status.OK)
+            self.now_ms,
+            api.AttemptEnded(request_id, number, sent[0].server, status, 20.0, status is api.Status.OK),
         )
 
     def measure(self) -> tuple[float, float]:
-        """Median microseconds of a first decision, and of one after an attempt that may have run."""
+        """Median microseconds of the first decision on a request, and of that after a reset attempt.
+
+        A reset attempt may have been executed by the server.
+        """
         for customer in range(self.customers):
-            name, actions = self.ask(customer)
-            self.end(name, actions, 0, api.Status.OK)
-        first: list[float] = []
-        again: list[float] = []
-        for n in range(TRIES):
-            kind = ("k0", "k1", "k2", "k3")[n % 4]  # safe, and keyed in every scope
-            (name, actions), took = _timed(partial(self.ask, self.draw.randrange(self.customers), kind))
-            first.append(took)
-            actions, took = _timed(partial(self.end, name, actions, 0, api.Status.RESET))
-            if any(isinstance(action, api.Send) for action in actions):  # the budget allows one in five
-                again.append(took)
-            self.end(name, actions, 1, api.Status.OK)
-        return median(first), median(again)
+            request_id, actions = self.request(customer)
+            self.end_attempt(request_id, actions, 0, api.Status.OK)
+        first_us: list[float] = []
+        retry_us: list[float] = []
+        for n in range(DECISIONS):
+            class_name = ("k0", "k1", "k2", "k3")[n % 4]  # idempotency: safe, and with a key in each scope
+            (request_id, actions), elapsed = _timed(
+                partial(self.request, self.rng.randrange(self.customers), class_name)
+            )
+            first_us.append(elapsed)
+            actions, elapsed = _timed(partial(self.end_attempt, request_id, actions, 0, api.Status.RESET))
+            if any(isinstance(action, api.Send) for action in actions):  # the retry budget allows one in five
+                retry_us.append(elapsed)
+            self.end_attempt(request_id, actions, 1, api.Status.OK)
+        return median(first_us), median(retry_us)
 
 
 def _timed(call: Callable[[], T]) -> tuple[T, float]:
--- a/quota_gateway/recording/codec.py
+++ b/quota_gateway/recording/codec.py
@@ -1,4 +1,4 @@
-"""Lines of a recording, version 1: events, actions and settings as JSON and back; and their comparison.
+"""Writes, reads and replays recordings of version 1, with events, actions and settings as JSON.
 
 The first line is the head. Each further line is a JSON array: ``["open", gateway, seed, settings]``,
 ``["event", gateway, now_ms, type, event, actions]`` or, at the end, ``["end", events]``.
@@ -18,11 +18,11 @@
 from quota_gateway.errors import GatewayError
 from quota_gateway.recording.names import from_recorded, recorded_name, to_recorded
 
-EVENT_TYPES: dict[str, type] = {recorded_name(kind): kind for kind in get_args(api.Event)}
+EVENT_TYPES: dict[str, type] = {recorded_name(event_type): event_type for event_type in get_args(api.Event)}
 
 
 class RecordingError(GatewayError):
-    """A file is no recording, or damaged before its last line; the message names the line, from 1."""
+    """A file is no recording, or is damaged before its last line; the message gives the line, from 1."""
 
 
 def recorded_actions(actions: Sequence[api.Action]) -> list[list[Any]]:
@@ -39,19 +39,19 @@
         self._write_line(RECORDING_HEAD)
 
     def open(self, name: str, settings: api.Settings, seed: int) -> RecordedGateway:
-        """A new gateway whose events are recorded under this name. A name opened again begins anew."""
+        """Create a gateway whose events are recorded under this name. A name used again begins anew."""
         self._write_line(msgspec.json.encode(["open", name, seed, to_recorded(settings)]))
         return RecordedGateway(Gateway(settings, seed), name, self)
 
     def event(self, name: str, now_ms: float, event: api.Event, actions: Sequence[api.Action]) -> None:
-        """Write one event with the actions that it gave rise to."""
+        """Write one event with the actions that the gateway returned for it."""
         self.events += 1
-        kind = recorded_name(type(event))
-        row = ["event", name, now_ms, kind, to_recorded(event), recorded_actions(actions)]
+        type_name = recorded_name(type(event))
+        row = ["event", name, now_ms, type_name, to_recorded(event), recorded_actions(actions)]
         self._write_line(msgspec.json.encode(row))
 
     def close(self) -> None:
-        """Write the end. The file stays open."""
+        """Write the ``end`` line. The file stays open."""
         self._write_line(msgspec.json.encode(["end", self.events]))
         self.sink.flush()
 
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One recorded event, the gateway as it stands before it, and the actions as they were written."""
+    """One recorded event, the gateway in its state before the event, and the recorded actions."""
 
     line: int  # counted from 1
     gateway: Gateway
@@ -86,7 +86,7 @@
 
 
 class Recording:
-    """A recording's events in order; complete once its end was read, which a cut off one lacks."""
+    """A recording's events in order; complete once its ``end`` line was read."""
 
     def __init__(self, lines: Iterator[bytes]) -> None:
         self.lines = lines
@@ -109,36 +109,36 @@
                 return
 
     def _read(self, number: int, row: list[Any]) -> Step | None:
-        """The event of a line; None for the other kinds of lines. Raises as ``_errors_of_line`` maps."""
+        """The event of a line; None for the other kinds of lines. Raises what ``_errors_of_line`` maps."""
         match row:
             case ["open", name, seed, settings]:
                 self.gateways[name] = Gateway(from_recorded(settings, api.Settings), seed)
-            case ["event", name, now_ms, kind, recorded_event, actions]:
+            case ["event", name, now_ms, type_name, recorded_event, actions]:
                 self.events += 1
-                event: api.Event = from_recorded(recorded_event, EVENT_TYPES[kind])
+                event: api.Event = from_recorded(recorded_event, EVENT_TYPES[type_name])
                 return Step(number, self.gateways[name], now_ms, event, actions)
             case ["end", count]:
                 if count != self.events:
-                    raise ValueError(f"{self.events} events, the end says {count}")
+                    raise ValueError(f"{self.events} events before the end line, which says {count}")
                 self.is_complete = True
             case _:
-                raise ValueError(f"{str(row)[:80]} is no line of a recording")
+                raise ValueError(f"{str(row)[:80]} is not a line of a recording")
         return None
 
 
 @contextmanager
 def _errors_of_line(number: int) -> Iterator[None]:
-    """Raise RecordingError with the line's number for what is wrong with it."""
+    """Convert an error in a line to a RecordingError with the line's number."""
     try:
         yield
     except (msgspec.DecodeError, KeyError, TypeError, ValueError) as error:
-        # no JSON; a gateway or type that is not known; a field too many; a value that settings reject
+        # not JSON; an unknown gateway or type; a field too many; a value that the settings reject
         raise RecordingError(f"line {number}: {type(error).__name__}: {error}") from None
 
 
 @dataclass(slots=True)
 class Comparison:
-    """What playing a recording found. ``difference`` names line, event and both lists of actions."""
+    """Result of replaying a recording. ``difference`` names the line, the event and both lists of actions."""
 
     events: int = 0
     actions: int = 0
@@ -152,23 +152,23 @@
 
 
 def play(lines: Iterator[bytes]) -> Comparison:
-    """Feed a recording's events to the decisions and compare the actions, up to the first difference.
+    """Feed a recording's events to its gateways and compare the actions, up to the first difference.
 
-    One that is cut off is compared as far as it goes, and is not complete. Raises RecordingError as
-    ``Recording.steps``.
+    A recording that is cut off is compared as far as it goes, and is not complete. Raises RecordingError as
+    ``Recording.steps`` does.
     """
     comparison = Comparison()
     recording = Recording(lines)
     for step in recording.steps():
         with _errors_of_line(step.line):
             actions = step.gateway.handle(step.now_ms, step.event)
-        # encoded and decoded as the recording was, in which an infinite number is null
-        found = msgspec.json.decode(msgspec.json.encode(recorded_actions(actions)))
+        # encoded and decoded as in the recording, where an infinite number is null
+        actual = msgspec.json.decode(msgspec.json.encode(recorded_actions(actions)))
         comparison.events = recording.events
-        comparison.actions += len(found)
-        if found != step.recorded_actions:
+        comparison.actions += len(actual)
+        if actual != step.recorded_actions:
             where = f"line {step.line}: {type(step.event).__name__} at {step.now_ms}"
-            comparison.difference = f"{where}: recorded {step.recorded_actions}, now {found}"
+            comparison.difference = f"{where}: recorded {step.recorded_actions}, now {actual}"
             return comparison
     comparison.is_complete = recording.is_complete
     return comparison
--- a/quota_gateway/recording/names.py
+++ b/quota_gateway/recording/names.py
@@ -1,7 +1,7 @@
 """Names of events, actions and settings in recordings of version 1, which every version reads and writes.
 
-The code's names and the texts of its log lines may change; a recording's may not. Enum values are written as
-they are.
+The code's names and the texts of its log lines may change, so this module maps them to the recordings' names
+and texts, which may not. Enum values are written as they are.
 """
 
 from __future__ import annotations
@@ -67,17 +67,13 @@
     api.SetServing: {"keep_idle_ms": "linger_ms"},
     api.IdleConnectionChanged: {"has_idle": "idle"},
 }
-# A log line of the decisions, and its text in a recording.
+# Pattern of a log line of the decision code, and the line's text in a recording.
 RECORDED_LOG_TEXTS = (
     (
         r"(given up: .*); concurrency limit (\S+), attempts within threshold (\d+), queued (\d+)",
         r"\1; pool \2, out \3, parked \4",
     ),
-    (r"(server \S+) suspected((?: for .*)?: \w+)", r"\1 doubted\2"),
-    (r"drained by an operator", "drained by hand"),
     (r"drain ended by an operator", "takes clients again"),
-    (r"(handed over with \d+) requests pending", r"\1 requests in hand"),
-    (r"rejected: (unknown class .*)", r"refused: \1"),
     (r"(server \S+) is a suspected outlier((?: for .*)?: \w+)", r"\1 doubted\2"),
     (r"drain begun by an operator", "drained by hand"),
     (r"handed over to the next process with (\d+) requests pending", r"handed over with \1 requests in hand"),
@@ -99,7 +95,7 @@
 
 
 def recorded_log_text(text: str) -> str:
-    """A log line of the decisions as it stands in a recording."""
+    """The text in a recording of a log line of the decision code."""
     for pattern, replacement in RECORDED_LOG_TEXTS:
         match = re.fullmatch(pattern, text, re.DOTALL)
         if match:
@@ -108,7 +104,7 @@
 
 
 def to_recorded(value: Any) -> Any:
-    """A dataclass, and what it holds, as plain values by the recording's field names."""
+    """A dataclass and the values in it as plain values, under the recording's field names."""
     if isinstance(value, api.Log):
         return {"text": recorded_log_text(value.text)}
     if is_dataclass(value) and not isinstance(value, type):
@@ -122,9 +118,9 @@
 
 
 def from_recorded(value: Any, kind: Any) -> Any:
-    """A recorded value as one of this type; fields that the type lacks are skipped.
+    """Convert a recorded value to this type; fields that the type lacks are skipped.
 
-    Raises msgspec.ValidationError, TypeError or ValueError if it is no such value.
+    Raises msgspec.ValidationError, TypeError or ValueError if the value does not match the type.
     """
     if isinstance(kind, type) and is_dataclass(kind) and isinstance(value, dict):
         recorded_fields = _recorded_fields(kind)
@@ -140,7 +136,7 @@
 
 @cache
 def _recorded_fields(kind: Any) -> dict[str, RecordedField]:
-    """The fields of a dataclass, in their order, by their names in a recording."""
+    """A dataclass's fields in their order, by their names in a recording."""
     types = get_type_hints(kind)
     recorded_names = RECORDED_FIELD_NAMES.get(kind, {})
     return {
--- a/quota_gateway/recording/random_driver.py
+++ b/quota_gateway/recording/random_driver.py
@@ -1,8 +1,8 @@
-"""A driver of random events: legal whatever it draws, and meant to reach what a standard day seldom does.
+"""Drives gateways with random but legal events, to reach states that are rare in normal operation.
 
-It keeps what a driver owes the decisions (one outcome for each send, timers when due, times that never go
-back) and leaves everything else to chance: servers that fail, change and come back, customers over their
-quota, settings that change in between, operators, a handover.
+It obeys the rules for drivers of a gateway (one outcome for each attempt sent, timers when due, times that
+never go back) and leaves everything else to chance: servers that fail, change and come back, customers over
+their quota, settings that change in between, operators' commands, a hot restart.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 ZONES = "abc"
 CUSTOMERS = 40
-MOST_SERVERS = 120
-ENDS = (*[api.Status.OK] * 12, *(status for status in api.Status if status is not api.Status.OK))
-Key = tuple[str, int]
+MAX_SERVERS = 120
+STATUSES = (*[api.Status.OK] * 12, *(status for status in api.Status if status is not api.Status.OK))
+AttemptKey = tuple[str, int]
 T = TypeVar("T")
 
 
-def draw_settings(draw: random.Random) -> api.Settings:
-    """Settings with every kind of class, quota and permission."""
+def draw_settings(rng: random.Random) -> api.Settings:
+    """Random settings with every kind of idempotency, quota and permission."""
     kinds = [
         (effect, scope)
         for effect in api.Idempotency
@@ -35,206 +35,220 @@
     classes = tuple(
         api.RequestClass(
             f"k{n}",
-            draw.choice((200.0, 500.0, 2000.0)),
+            rng.choice((200.0, 500.0, 2000.0)),
             deadline_ms=4000.0,
             idempotency=effect,
-            priority_weight=draw.choice((0.5, 1.0, 3.0)),
+            priority_weight=rng.choice((0.5, 1.0, 3.0)),
             idempotency_scope=scope,
             idempotency_window_ms=1500.0,
         )
         for n, (effect, scope) in enumerate(kinds)
     )
     plans = (
-        api.Plan("rate", rate=draw.uniform(2.0, 40.0), burst=draw.uniform(2.0, 40.0)),
+        api.Plan("rate", rate=rng.uniform(2.0, 40.0), burst=rng.uniform(2.0, 40.0)),
         api.Plan("thin", rate=1.0, burst=2.0, price=2.0),
-        api.Plan("cap", max_in_flight=draw.randint(1, 8)),
+        api.Plan("cap", max_in_flight=rng.randint(1, 8)),
         api.Plan(
             "both",
             rate=20.0,
             burst=20.0,
             max_in_flight=6,
-            ceiling_rate=draw.uniform(5.0, 30.0),
+            ceiling_rate=rng.uniform(5.0, 30.0),
             ceiling_burst=30.0,
         ),
         api.Plan("free"),
     )
     limits = api.Limits(
-        max_attempts=draw.randint(1, 4),
-        may_duplicate=draw.random() < 0.5,
-        can_cancel=draw.random() < 0.7,
-        can_advise_retry=draw.random() < 0.7,
+        max_attempts=rng.randint(1, 4),
+        may_duplicate=rng.random() < 0.5,
+        can_cancel=rng.random() < 0.7,
+        can_advise_retry=rng.random() < 0.7,
         max_retry_after_ms=800.0,
     )
-    contract = api.Contract(8.0, 500.0, draw.choice((0.2, 1.0)), 5000.0, 3.0, 2000.0, 10_000.0)
+    contract = api.Contract(8.0, 500.0, rng.choice((0.2, 1.0)), 5000.0, 3.0, 2000.0, 10_000.0)
     return api.Settings(
-        gateways=draw.randint(1, 6),
+        gateways=rng.randint(1, 6),
         index=0,
         zone="a",
         classes=classes,
         plans=plans,
         limits=limits,
         contract=contract,
-        discovery=draw.choice(list(api.DiscoveryMode)),
+        discovery=rng.choice(list(api.DiscoveryMode)),
         load_fields=("util", "queue"),
         meter_period_ms=1000.0,
         largest_units=6.0,
         settles=True,
         tick_ms=2.0,
-        cross_zone_price=draw.choice((0.0, 0.05)),
-        handshake_price=draw.choice((0.0, 0.02)),
+        cross_zone_price=rng.choice((0.0, 0.05)),
+        handshake_price=rng.choice((0.0, 0.02)),
     )
 
 
-class World:
-    """One gateway and what is around it, all drawn from one source of chance."""
+class RandomDriver:
+    """Drives one gateway: clients, servers, operators and time, all drawn from one random generator."""
 
-    def __init__(self, target: EventHandler, settings: api.Settings, draw: random.Random) -> None:
+    def __init__(self, target: EventHandler, settings: api.Settings, rng: random.Random) -> None:
         self.target = target
         self.settings = settings
-        self.first = settings
-        self.draw = draw
-        self.now = 1000.0
-        self.asked = 0
+        self.initial_settings = settings
+        self.rng = rng
+        self.now_ms = 1000.0
+        self.request_count = 0
         self.timers: list[tuple[float, int]] = []
-        self.sends: dict[str, int] = {}
-        self.out: dict[Key, tuple[int, float]] = {}
-        self.closed: set[str] = set()
-        self.servers = draw.choice((2, 8, 25, MOST_SERVERS))
-        self.handed = False
+        self.sent_count: dict[str, int] = {}  # attempts sent, by request
+        self.attempts: dict[AttemptKey, tuple[int, float]] = {}  # in flight: server, time of sending
+        self.finished: set[str] = set()  # requests with an answer begun or no client left
+        self.servers = rng.choice((2, 8, 25, MAX_SERVERS))
+        self.handed_over = False
         self.steps: list[tuple[int, Callable[[], None]]] = [
-            (40, self._ask),
-            (40, self._end),
-            (12, self._wait),
-            (3, self._list),
-            (2, self._leave),
-            (2, self._link),
-            (1, self._stream),
-            (1, self._by_hand),
-            (1, self._change),
-            (1, self._upgrade),
-            (1, self._odd),
+            (40, self._send_request),
+            (40, self._end_attempt),
+            (12, self._advance_time),
+            (3, self._update_server_list),
+            (2, self._disconnect_client),
+            (2, self._change_idle_connection),
+            (1, self._start_stream),
+            (1, self._act_as_operator),
+            (1, self._change_settings),
+            (1, self._hot_restart),
+            (1, self._send_unexpected_event),
         ]
-        self._do(api.ServerList(api.ListKind.CACHED, tuple(map(self._entry, range(self.servers)))))
+        self._send_event(api.ServerList(api.ListKind.CACHED, tuple(map(self._entry, range(self.servers)))))
 
     def step(self) -> None:
-        """One of the things that may happen; some give rise to no event at all."""
+        """Take one random step; some steps send no event."""
         weights, steps = zip(*self.steps, strict=True)
-        self.draw.choices(steps, weights)[0]()
+        self.rng.choices(steps, weights)[0]()
 
-    def _do(self, event: api.Event) -> None:
-        for action in self.target.handle(self.now, event):
+    def _send_event(self, event: api.Event) -> None:
+        for action in self.target.handle(self.now_ms, event):
             if isinstance(action, api.SetTimer):
-                heappush(self.timers, (self.now + action.delay_ms, action.token))
+                heappush(self.timers, (self.now_ms + action.delay_ms, action.token))
             elif isinstance(action, api.Send):
-                number = self.sends.get(action.request_id, 0)
-                self.sends[action.request_id] = number + 1
-                self.out[action.request_id, number] = (action.server, self.now)
+                number = self.sent_count.get(action.request_id, 0)
+                self.sent_count[action.request_id] = number + 1
+                self.attempts[action.request_id, number] = (action.server, self.now_ms)
             elif isinstance(action, (api.Reject, api.Fail)):
-                self.closed.add(action.request_id)
+                self.finished.add(action.request_id)
 
-    def _ask(self) -> None:
-        self.asked += 1
-        plan = self.draw.choice(self.first.plans)
-        kind = self.draw.choice(self.first.classes)
-        number = min(int(self.draw.expovariate(0.2)), CUSTOMERS)
-        self._do(
+    def _send_request(self) -> None:
+        self.request_count += 1
+        plan = self.rng.choice(self.initial_settings.plans)
+        kind = self.rng.choice(self.initial_settings.classes)
+        number = min(int(self.rng.expovariate(0.2)), CUSTOMERS)
+        self._send_event(
             api.Request(
-                f"r{self.asked}",
+                f"r{self.request_count}",
                 kind.name,
                 plan.name,
                 f"c{number}",
-                self.draw.uniform(20.0, 4000.0),
-                self.draw.choice((1.0, 1.0, 2.0, 6.0)),
-                self.draw.randint(1, 6),
+                self.rng.uniform(20.0, 4000.0),
+                self.rng.choice((1.0, 1.0, 2.0, 6.0)),
+                self.rng.randint(1, 6),
                 0,
-                self.draw.random() < 0.1,
+                self.rng.random() < 0.1,
             )
         )
 
-    def _end(self) -> None:
-        if not self.out:
+    def _end_attempt(self) -> None:
+        if not self.attempts:
             return
-        key = self.draw.choice(list(self.out)[:20])
-        server, sent = self.out.pop(key)
-        status = self.draw.choice(ENDS)
-        name = key[0]
+        key = self.rng.choice(list(self.attempts)[:20])
+        server, sent_ms = self.attempts.pop(key)
+        status = self.rng.choice(STATUSES)
+        request_id = key[0]
         if status is api.Status.OK:
-            self.closed.add(name)
-        used = self.draw.choice((None, 20.0, 90.0, 180.0))
-        cost = self.draw.choice((None, 1.0, 50.0)) if status is api.Status.OK else None
-        load = (0.5, self.draw.choice((0.0, 4.0))) if self.draw.random() < 0.3 else None
-        took = self.draw.choice((1.0, 1.0, 20.0)) * (self.now - sent)
-        self._do(api.AttemptEnded(name, key[1], server, status, took, name in self.closed, used, cost, load))
+            self.finished.add(request_id)
+        used_percent = self.rng.choice((None, 20.0, 90.0, 180.0))
+        cost = self.rng.choice((None, 1.0, 50.0)) if status is api.Status.OK else None
+        load = (0.5, self.rng.choice((0.0, 4.0))) if self.rng.random() < 0.3 else None
+        latency_ms = self.rng.choice((1.0, 1.0, 20.0)) * (self.now_ms - sent_ms)
+        self._send_event(
+            api.AttemptEnded(
+                request_id,
+                key[1],
+                server,
+                status,
+                latency_ms,
+                request_id in self.finished,
+                used_percent,
+                cost,
+                load,
+            )
+        )
 
-    def _wait(self) -> None:
-        self.now += self.draw.choice((1.0, 15.0, 15.0, 120.0, 900.0))
-        while self.timers and self.timers[0][0] <= self.now:
-            self._do(api.TimerFired(heappop(self.timers)[1]))
+    def _advance_time(self) -> None:
+        self.now_ms += self.rng.choice((1.0, 15.0, 15.0, 120.0, 900.0))
+        while self.timers and self.timers[0][0] <= self.now_ms:
+            self._send_event(api.TimerFired(heappop(self.timers)[1]))
 
     def _entry(self, number: int) -> api.ServerEntry:
-        started = self.draw.choice((0.0, 0.0, 0.0, max(0.0, self.now - self.draw.uniform(0.0, 6000.0))))
-        state = self.draw.choice((*[api.ServerState.READY] * 8, *api.ServerState))
+        started_ms = self.rng.choice((0.0, 0.0, 0.0, max(0.0, self.now_ms - self.rng.uniform(0.0, 6000.0))))
+        state = self.rng.choice((*[api.ServerState.READY] * 8, *api.ServerState))
         return api.ServerEntry(
-            number, ZONES[number % len(ZONES)], cell=number % 5, state=state, started_ms=started
+            number, ZONES[number % len(ZONES)], cell=number % 5, state=state, started_ms=started_ms
         )
 
-    def _list(self) -> None:
-        kind = self.draw.choice((*[api.ListKind.CHANGES] * 5, *api.ListKind))
+    def _update_server_list(self) -> None:
+        kind = self.rng.choice((*[api.ListKind.CHANGES] * 5, *api.ListKind))
         numbers = range(self.servers)
-        some = self.draw.sample(numbers, min(3, self.servers)) if kind is api.ListKind.CHANGES else numbers
-        entries = () if kind is api.ListKind.FAILED else tuple(map(self._entry, some))
-        self._do(api.ServerList(kind, entries))
+        subset = self.rng.sample(numbers, min(3, self.servers)) if kind is api.ListKind.CHANGES else numbers
+        entries = () if kind is api.ListKind.FAILED else tuple(map(self._entry, subset))
+        self._send_event(api.ServerList(kind, entries))
 
-    def _leave(self) -> None:
-        if self.asked:
-            name = f"r{self.draw.randint(max(1, self.asked - 30), self.asked)}"
-            self.closed.add(name)
-            self._do(api.ClientDisconnected(name))
+    def _disconnect_client(self) -> None:
+        if self.request_count:
+            request_id = f"r{self.rng.randint(max(1, self.request_count - 30), self.request_count)}"
+            self.finished.add(request_id)
+            self._send_event(api.ClientDisconnected(request_id))
 
-    def _stream(self) -> None:
-        if self.out:
-            name, number = self.draw.choice(list(self.out))
-            server, sent = self.out[name, number]
-            self.closed.add(name)
-            self._do(api.StreamStarted(name, number, server, self.now - sent))
+    def _start_stream(self) -> None:
+        if self.attempts:
+            request_id, number = self.rng.choice(list(self.attempts))
+            server, sent_ms = self.attempts[request_id, number]
+            self.finished.add(request_id)
+            self._send_event(api.StreamStarted(request_id, number, server, self.now_ms - sent_ms))
 
-    def _link(self) -> None:
-        self._do(api.IdleConnectionChanged(self.draw.randrange(self.servers), self.draw.random() < 0.6))
+    def _change_idle_connection(self) -> None:
+        self._send_event(api.IdleConnectionChanged(self.rng.randrange(self.servers), self.rng.random() < 0.6))
 
-    def _by_hand(self) -> None:
-        if self.draw.random() < 0.7:
-            self._do(api.ServerAdminDown(self.draw.randrange(self.servers), self.draw.random() < 0.5))
+    def _act_as_operator(self) -> None:
+        if self.rng.random() < 0.7:
+            self._send_event(api.ServerAdminDown(self.rng.randrange(self.servers), self.rng.random() < 0.5))
         else:
-            self._do(api.DrainChanged(self.draw.random() < 0.4))
+            self._send_event(api.DrainChanged(self.rng.random() < 0.4))
 
-    def _change(self) -> None:
-        """Other numbers, and some classes and plans gone or back; the first of each stays."""
+    def _change_settings(self) -> None:
+        """Change numbers, and remove or restore classes and plans; the first of each stays."""
 
-        def other(plan: api.Plan) -> api.Plan:
-            factor = self.draw.choice((0.5, 1.0, 2.0))
-            cap = max(1, int(plan.max_in_flight * factor)) if plan.max_in_flight else 0
+        def scaled(plan: api.Plan) -> api.Plan:
+            factor = self.rng.choice((0.5, 1.0, 2.0))
+            max_in_flight = max(1, int(plan.max_in_flight * factor)) if plan.max_in_flight else 0
             return replace(
                 plan,
                 rate=plan.rate * factor,
-                max_in_flight=cap,
+                max_in_flight=max_in_flight,
                 ceiling_rate=plan.ceiling_rate * factor,
                 ceiling_burst=plan.ceiling_burst * factor,
             )
 
-        def some(items: tuple[T, ...]) -> tuple[T, ...]:
-            return tuple(item for n, item in enumerate(items) if not n or self.draw.random() < 0.8)
+        def subset(items: tuple[T, ...]) -> tuple[T, ...]:
+            return tuple(item for n, item in enumerate(items) if not n or self.rng.random() < 0.8)
 
-        plans = tuple(map(other, some(self.first.plans)))
-        kinds = some(self.first.classes)
-        self.settings = replace(self.first, gateways=self.draw.randint(1, 6), plans=plans, classes=kinds)
-        self._do(api.SettingsChanged(self.settings))
+        plans = tuple(map(scaled, subset(self.initial_settings.plans)))
+        kinds = subset(self.initial_settings.classes)
+        self.settings = replace(
+            self.initial_settings, gateways=self.rng.randint(1, 6), plans=plans, classes=kinds
+        )
+        self._send_event(api.SettingsChanged(self.settings))
 
-    def _odd(self) -> None:
-        """What nobody should send, or nobody asked for: it must neither crash nor count."""
-        server = self.draw.randrange(2 * self.servers)
-        name = f"r{max(1, self.asked)}"
-        self._do(
-            self.draw.choice(
+    def _send_unexpected_event(self) -> None:
+        """Send an invalid or unrequested event, which must neither crash the gateway nor be counted."""
+        server = self.rng.randrange(2 * self.servers)
+        request_id = f"r{max(1, self.request_count)}"
+        self._send_event(
+            self.rng.choice(
                 (
                     api.HealthCheckResult(server, api.Status.OK, 5.0, (0.1, 3.0)),
                     api.GatewayMessage(1, b"x"),
@@ -242,38 +256,40 @@
                     api.TimerFired(10**9),
                     api.AttemptEnded("nobody", 0, server, api.Status.OK, 5.0),
                     api.StreamStarted("nobody", 0, server, 5.0),
-                    api.Request(name, "k0", "free", "c1", 500.0),
+                    api.Request(request_id, "k0", "free", "c1", 500.0),
                     api.Request("x", "unknown", "free", "c1", 500.0),
                 )
             )
         )
 
     def stop(self) -> None:
-        """The gateway is to end, and requests go on coming for a while."""
-        self._do(api.ShutdownBegun(1500.0))
+        """Begin the gateway's shutdown, while requests keep arriving for some steps."""
+        self._send_event(api.ShutdownBegun(1500.0))
         for _ in range(50):
             self.step()
         for _ in range(10):
-            self._wait()
+            self._advance_time()
 
-    def _upgrade(self) -> None:
-        """The next process takes over, or this one hears of the one before; then it goes on alone."""
-        if not self.handed:
-            self._do(api.HotRestartBegun())
-        elif self.draw.random() < 0.5:
-            self._do(api.PeerUsage("rate", f"c{self.draw.randrange(5)}", self.draw.randrange(3), 1.5, 60.0))
+    def _hot_restart(self) -> None:
+        """Begin a hot restart; during one, report the other process's usage, or its exit, which ends it."""
+        if not self.handed_over:
+            self._send_event(api.HotRestartBegun())
+        elif self.rng.random() < 0.5:
+            self._send_event(
+                api.PeerUsage("rate", f"c{self.rng.randrange(5)}", self.rng.randrange(3), 1.5, 60.0)
+            )
             return
         else:
-            self._do(api.PeerExited())
-        self.handed = not self.handed
+            self._send_event(api.PeerExited())
+        self.handed_over = not self.handed_over
 
 
-def drive(make: GatewayFactory, seed: int, gateways: int, steps: int) -> None:
-    """Drive so many gateways, one after the other, so many steps each."""
+def drive(create_gateway: GatewayFactory, seed: int, gateways: int, steps: int) -> None:
+    """Drive this many gateways, one after the other, with this many steps each."""
     for number in range(gateways):
-        draw = random.Random(seed * 1_000_003 + number)
-        settings = draw_settings(draw)
-        world = World(make(f"g{number}", settings, draw.getrandbits(32)), settings, draw)
+        rng = random.Random(seed * 1_000_003 + number)
+        settings = draw_settings(rng)
+        driver = RandomDriver(create_gateway(f"g{number}", settings, rng.getrandbits(32)), settings, rng)
         for _ in range(steps):
-            world.step()
-        world.stop()
+            driver.step()
+        driver.stop()
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""Requests in flight that outlive their process: the model holds, and finds each planted fault."""
+"""Connection failover: its model, the connection record, and the supervisor with real processes."""
 
 import json
 import os
@@ -22,44 +22,50 @@
     ConnectionRecordError,
     DoubleBuffer,
 )
-from quota_gateway.failover.model import FAULTS, HALVES, UNSAFE, Model, World, explore
+from quota_gateway.failover.model import FAULTS, PARTS_PER_ANSWER, UNSAFE, Model, World, explore
 from quota_gateway.failover.supervisor import Job, Supervisor
 from quota_gateway.fault_bench.bench import FaultBench
 from quota_gateway.fault_bench.processes import Program
 
 
 @pytest.mark.parametrize(("deaths", "standbys"), [(0, 1), (1, 1), (1, 2), (2, 1), (2, 2)])
-def test_record_claim_and_delivery_hold_wherever_anybody_dies(deaths, standbys):
+def test_model_without_a_fault_breaks_no_guarantee(deaths, standbys):
     result = explore("", deaths, standbys)
     assert result.broken is None
     assert result.states > 100
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_each_planted_fault_is_found_and_its_way_can_be_walked(fault):
+def test_model_finds_each_planted_fault_and_its_trace_can_be_replayed(fault):
     broken = explore(fault).broken
     assert broken
-    model, world = Model(fault), Model(fault).first()
-    for what in broken.way:
-        world = dict(model.steps(world))[what]
-    assert model.broken(world) == broken.rule or (broken.rule == "end" and model.unfinished(world))
+    model, world = Model(fault), Model(fault).initial_world()
+    for label in broken.trace:
+        world = dict(model.steps(world))[label]
+    assert model.broken(world) == broken.guarantee or (
+        broken.guarantee == "end" and model.has_unanswered(world)
+    )
 
 
-def test_without_a_mishap_all_is_answered_by_whoever_took_it():
-    model, world = Model(deaths=0), Model(deaths=0).first()
+def test_first_gateway_answers_all_requests_if_nothing_fails():
+    model, world = Model(deaths=0), Model(deaths=0).initial_world()
     while steps := [
-        to for what, to in model.steps(world) if what.startswith("gateway 0") and "stopped" not in what
+        next_world
+        for label, next_world in model.steps(world)
+        if label.startswith("gateway 0") and "stopped" not in label
     ]:
         world = steps[0]
-    whole = tuple((request, part, 1) for request in range(len(UNSAFE)) for part in range(HALVES))
-    assert world.stream == whole
-    assert world.ran == (1, 1)
+    all_parts = tuple(
+        (request, part, 1) for request in range(len(UNSAFE)) for part in range(PARTS_PER_ANSWER)
+    )
+    assert world.stream == all_parts
+    assert world.run_counts == (1, 1)
     assert isinstance(world, World)
 
 
-def test_command_tells_by_its_exit_code():
-    done = CliRunner().invoke(main, ["model", "--standbys", "1"])
-    assert done.exit_code == 1  # one standby is too few for the fault that needs two
+def test_model_command_exits_with_1_if_a_planted_fault_is_not_found():
+    result = CliRunner().invoke(main, ["model", "--standbys", "1"])
+    assert result.exit_code == 1  # one planted fault shows only with two standbys
     assert CliRunner().invoke(main, ["model"]).exit_code == 0
 
 
@@ -67,42 +73,42 @@
 
 
 class KilledError(Exception):
-    """The writer ends here."""
+    """The writer is killed at this point."""
 
 
-class Torn(bytearray):
-    """Memory whose writer is killed after so many bytes, in the middle of a store."""
+class MemoryOfKilledWriter(bytearray):
+    """Memory whose writer is killed after ``writable_bytes`` more bytes, also in the middle of a store."""
 
-    left = 1 << 60
+    writable_bytes = 1 << 60
 
-    def __setitem__(self, place, value):
-        value = bytes(value)[: self.left]
-        super().__setitem__(slice(place.start, place.start + len(value)), value)
-        self.left -= len(value)
-        if self.left <= 0:
+    def __setitem__(self, index, value):
+        value = bytes(value)[: self.writable_bytes]
+        super().__setitem__(slice(index.start, index.start + len(value)), value)
+        self.writable_bytes -= len(value)
+        if self.writable_bytes <= 0:
             raise KilledError
 
 
 @given(st.lists(st.binary(min_size=0, max_size=24), min_size=1, max_size=5), st.data())
 @settings(max_examples=150, deadline=None)
-def test_row_is_the_last_whole_one_wherever_its_writer_is_killed(bodies, data):
-    memory = Torn(2 * (BUFFER_HEADER.size + 24))
-    pair, held = DoubleBuffer(memory, 0, 24), b""
+def test_buffer_keeps_its_last_complete_value_wherever_its_writer_is_killed(bodies, data):
+    memory = MemoryOfKilledWriter(2 * (BUFFER_HEADER.size + 24))
+    buffer, stored_body = DoubleBuffer(memory, 0, 24), b""
     for body in bodies[:-1]:
-        pair.write(body)
-        held = body
-    memory.left = cut = data.draw(st.integers(1, BUFFER_HEADER.size + len(bodies[-1])))
+        buffer.write(body)
+        stored_body = body
+    memory.writable_bytes = kill_at = data.draw(st.integers(1, BUFFER_HEADER.size + len(bodies[-1])))
     with pytest.raises(KilledError):
-        pair.write(bodies[-1])
-    after = DoubleBuffer(memory, 0, 24)
-    assert after.read() in (held, bodies[-1])
-    assert after.read() == held or cut == BUFFER_HEADER.size + len(bodies[-1])
-    memory.left = 1 << 60
-    after.write(b"the next one goes on"[:24])
+        buffer.write(bodies[-1])
+    reopened = DoubleBuffer(memory, 0, 24)
+    assert reopened.read() in (stored_body, bodies[-1])
+    assert reopened.read() == stored_body or kill_at == BUFFER_HEADER.size + len(bodies[-1])
+    memory.writable_bytes = 1 << 60
+    reopened.write(b"the next one goes on"[:24])
     assert DoubleBuffer(memory, 0, 24).read() == b"the next one goes on"
 
 
-WRITES = """
+WRITER_SCRIPT = """
 import sys
 from quota_gateway.failover.connection_record import ConnectionRecord
 record = ConnectionRecord.open(int(sys.argv[1]))
@@ -117,18 +123,21 @@
 """
 
 
-def test_record_of_a_process_that_is_killed_is_whole_and_claimed_once():
+def test_record_of_a_killed_process_is_complete_and_can_be_claimed_once():
     for _ in range(8):
         file = os.memfd_create("work")
         ConnectionRecord.create(file, 8, 400).close()
         with subprocess.Popen(
-            [sys.executable, "-c", WRITES, str(file)], pass_fds=(file,), cwd=ROOT, stdout=subprocess.PIPE
+            [sys.executable, "-c", WRITER_SCRIPT, str(file)],
+            pass_fds=(file,),
+            cwd=ROOT,
+            stdout=subprocess.PIPE,
         ) as writer:
             assert writer.stdout
             assert writer.stdout.readline() == b"up\n"
             record = ConnectionRecord.open(file)
             try:
-                # it lives
+                # the writer still runs
                 assert record.claim() == 0
                 assert (record.holder().number, record.holder().pid) == (1, writer.pid)
             finally:
@@ -149,7 +158,7 @@
         os.close(file)
 
 
-CLAIMS = """
+CLAIMER_SCRIPT = """
 import sys
 from quota_gateway.failover.connection_record import ConnectionRecord
 record = ConnectionRecord.open(int(sys.argv[1]))
@@ -159,13 +168,13 @@
 """
 
 
-def test_of_standbys_that_race_one_gets_the_claim_and_its_successor_the_next():
+def test_one_of_several_racing_processes_gets_the_claim_and_later_ones_the_next_number():
     file = os.memfd_create("work")
     ConnectionRecord.create(file, 1, 8).close()
     for number in (1, 2, 3):
         racers = [
             subprocess.Popen(
-                [sys.executable, "-c", CLAIMS, str(file)],
+                [sys.executable, "-c", CLAIMER_SCRIPT, str(file)],
                 pass_fds=(file,),
                 cwd=ROOT,
                 stdin=subprocess.PIPE,
@@ -185,7 +194,7 @@
     os.close(file)
 
 
-def test_record_that_is_foreign_of_another_version_or_cut_off_is_refused_and_full_ones_count():
+def test_invalid_record_is_rejected_and_bodies_without_room_are_counted():
     file = os.memfd_create("work")
     record = ConnectionRecord.create(file, 2, 4)
     assert [record.add_row(body) for body in (b"a", b"b", b"c", b"too long")] == [0, 1, -1, -1]
@@ -194,12 +203,12 @@
     assert not record.replace_row(0, b"too long")
     assert record.read_rows() == {1: b"b"}
     assert record.add_row(b"d") == 0
-    for place, value in ((0, b"x"), (8, b"\x09"), (12, b"\xff\xff")):
-        whole = os.pread(file, 64, 0)
-        os.pwrite(file, value, place)
+    for index, value in ((0, b"x"), (8, b"\x09"), (12, b"\xff\xff")):
+        original = os.pread(file, 64, 0)
+        os.pwrite(file, value, index)
         with pytest.raises(ConnectionRecordError):
             ConnectionRecord.open(file)
-        os.pwrite(file, whole, 0)
+        os.pwrite(file, original, 0)
     assert ConnectionRecord.open(file).read_rows() == {0: b"d", 1: b"b"}
     os.ftruncate(file, 100)
     with pytest.raises(ConnectionRecordError):
@@ -207,63 +216,63 @@
     os.close(file)
 
 
-# ---- The supervisor, over several processes
+# ---- The supervisor, with several processes
 
-BOUND = """
+GATEWAY_SCRIPT = """
 import os, runpy, sys, threading
 sys.path.insert(0, os.getcwd())
-def last(file):
-    os.read(file, 1)  # ends with the test, however that ends; at once, where it has ended
+def exit_with_the_test(file):
+    os.read(file, 1)  # returns when the test process ends, in whatever way, or has ended already
     os._exit(9)
 file = os.open(sys.argv[1], os.O_RDONLY | os.O_NONBLOCK)
 os.set_blocking(file, True)
-threading.Thread(target=last, args=(file,), daemon=True).start()
+threading.Thread(target=exit_with_the_test, args=(file,), daemon=True).start()
 sys.argv[1:] = []
 runpy.run_module("quota_gateway", run_name="__main__", alter_sys=True)
 """
 
 
-class Kept:
-    """One gateway under a supervisor, whichever process serves."""
+class SupervisedGateway:
+    """One gateway under a supervisor: whichever of its processes serves."""
 
     def __init__(self, rig, member) -> None:
         self.rig, self.member = rig, member
 
     async def pid(self) -> int:
-        """Of the process that serves."""
+        """Process id of the process that serves."""
         return int(json.loads((await self.rig.call_admin("g0", "FIGURES")).removeprefix("YES "))["pid"])
 
-    async def next_serves(self, before: int) -> int:
-        """Wait until another process than this one does."""
+    async def next_serving_pid(self, before: int) -> int:
+        """Wait until another process than this one serves, and return its process id."""
         while True:
             text = await self.rig.call_admin("g0", "FIGURES")
             now = int(json.loads(text.removeprefix("YES "))["pid"]) if text.startswith("YES") else before
             if now != before:
                 return now
 
-    async def standby(self) -> None:
-        """Wait until as many stand by as serve."""
-        await self.rig.until(lambda: self.member.log().count('"here"') >= self.seen + 1)
-        self.seen = self.member.log().count('"here"')
+    async def wait_for_registration(self) -> None:
+        """Wait until one more process has registered with the supervisor."""
+        await self.rig.until(lambda: self.member.log().count('"here"') >= self.registered_count + 1)
+        self.registered_count = self.member.log().count('"here"')
 
-    seen = 1
+    registered_count = 1  # processes that have registered
 
     def mute(self, on: bool) -> None:
-        """Whether the servers say nothing."""
+        """Make the servers leave all requests unanswered, or answer again."""
         for server in self.rig.servers.values():
             server.mute = on
 
-    async def in_hand(self) -> None:
-        """Wait until a request is."""
+    async def wait_for_request_in_flight(self) -> None:
+        """Wait until the gateway has exactly one request in flight."""
         while '"in_hand":1' not in await self.rig.call_admin("g0", "FIGURES"):
             pass
 
-    async def peer(self) -> Peer:
+    async def connect(self) -> Peer:
         return await Peer().open(self.rig.links["clients>g0"].at[1], self.rig.host)
 
 
-def kept(tmp_path, case, seconds=30.0):
-    (tmp_path / "bound.py").write_text(BOUND)
+def run_supervised(tmp_path, case, seconds=30.0):
+    (tmp_path / "bound.py").write_text(GATEWAY_SCRIPT)
     os.mkfifo(tmp_path / "end")
     python = f"exec {sys.executable}"
     (tmp_path / "supervisor.toml").write_text(
@@ -276,60 +285,60 @@
         scenario = msgspec.structs.replace(SCENARIO, world=world, rate=80.0)
         program = Program(ROOT, f"{python} -m quota_gateway.failover run {tmp_path}/supervisor.toml")
         async with FaultBench(scenario, tmp_path / "rig", program=program) as rig:
-            made = Kept(rig, rig.managed_gateways["g0"])
+            gateway = SupervisedGateway(rig, rig.managed_gateways["g0"])
             try:
-                await case(made)
+                await case(gateway)
             except BaseException:
-                print(made.member.log())
+                print(gateway.member.log())
                 raise
 
-    held = os.open(tmp_path / "end", os.O_RDWR)
+    write_end = os.open(tmp_path / "end", os.O_RDWR)
     try:
         run(test())
     finally:
-        os.close(held)
+        os.close(write_end)
 
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGSTOP])
-def test_connections_at_rest_go_on_at_the_standby_and_others_end(tmp_path, number):
-    async def case(made: Kept):
-        rest = await made.peer()
-        for turn in range(2):  # also what was gone on with goes on, and ends
-            await made.standby()
-            busy, half = await made.peer(), await made.peer()
-            for place, peer in enumerate((rest, busy, half)):
-                assert await peer.ask(call_of(place)) == b"%016x" % place
-            made.mute(True)
-            busy.send(call_of(4))
-            half.send(call_of(5)[:30])
-            before = await made.pid()
-            await made.in_hand()
+def test_standby_continues_connections_at_rest_and_closes_the_others(tmp_path, number):
+    async def case(gateway: SupervisedGateway):
+        client_at_rest = await gateway.connect()
+        for turn in range(2):  # an adopted connection can be adopted again, or closed
+            await gateway.wait_for_registration()
+            client_with_request, client_mid_request = await gateway.connect(), await gateway.connect()
+            for index, peer in enumerate((client_at_rest, client_with_request, client_mid_request)):
+                assert await peer.ask(call_of(index)) == b"%016x" % index
+            gateway.mute(True)
+            client_with_request.send(call_of(4))
+            client_mid_request.send(call_of(5)[:30])
+            before = await gateway.pid()
+            await gateway.wait_for_request_in_flight()
             os.kill(before, number)
-            made.mute(False)
-            rest.send(call_of(6))
-            assert await rest.reply() == b"0000000000000006"
-            assert await busy.reply() is None
-            assert await half.reply() is None
-            assert await made.next_serves(before) != before
-            assert made.member.log().count("gone on from a process that died") == turn + 1
-        busy = await made.peer()
-        assert await busy.ask(call_of(7)) == b"0000000000000007"
-        await made.standby()
-        made.mute(True)
-        rest.send(call_of(8))  # it has been gone on with twice
-        await made.in_hand()
-        os.kill(await made.pid(), signal.SIGKILL)
-        assert await rest.reply() is None
-
-    kept(tmp_path, case)
-
-
-def test_supervisor_that_dies_takes_nobody_along_and_the_next_one_keeps_all(tmp_path):
-    async def case(made: Kept):
-        await made.standby()
-        rest = await made.peer()
-        assert await rest.ask(call_of(1)) == b"0000000000000001"
-        before, member = await made.pid(), made.member
+            gateway.mute(False)
+            client_at_rest.send(call_of(6))
+            assert await client_at_rest.reply() == b"0000000000000006"
+            assert await client_with_request.reply() is None
+            assert await client_mid_request.reply() is None
+            assert await gateway.next_serving_pid(before) != before
+            assert gateway.member.log().count("took over from a process that died") == turn + 1
+        client_with_request = await gateway.connect()
+        assert await client_with_request.ask(call_of(7)) == b"0000000000000007"
+        await gateway.wait_for_registration()
+        gateway.mute(True)
+        client_at_rest.send(call_of(8))  # this connection has been adopted twice
+        await gateway.wait_for_request_in_flight()
+        os.kill(await gateway.pid(), signal.SIGKILL)
+        assert await client_at_rest.reply() is None
+
+    run_supervised(tmp_path, case)
+
+
+def test_gateways_outlive_the_supervisor_and_the_next_one_supervises_them(tmp_path):
+    async def case(gateway: SupervisedGateway):
+        await gateway.wait_for_registration()
+        client_at_rest = await gateway.connect()
+        assert await client_at_rest.ask(call_of(1)) == b"0000000000000001"
+        before, member = await gateway.pid(), gateway.member
         second = subprocess.run(
             [sys.executable, "-m", "quota_gateway.failover", "run", tmp_path / "supervisor.toml"],
             cwd=ROOT,
@@ -342,20 +351,20 @@
         assert "another supervisor has" in second.stderr
         member.process.signal(signal.SIGKILL)
         await member.process.child.wait()
-        assert await rest.ask(call_of(2)) == b"0000000000000002"
+        assert await client_at_rest.ask(call_of(2)) == b"0000000000000002"
         await member.start(place=0)
-        await made.rig.until(lambda: '"serving": true' in member.log())
-        assert await made.pid() == before
+        await gateway.rig.until(lambda: '"serving": true' in member.log())
+        assert await gateway.pid() == before
         os.kill(before, signal.SIGKILL)
-        assert await rest.ask(call_of(3)) == b"0000000000000003"
-        assert await made.next_serves(before) != before
+        assert await client_at_rest.ask(call_of(3)) == b"0000000000000003"
+        assert await gateway.next_serving_pid(before) != before
 
-    kept(tmp_path, case)
+    run_supervised(tmp_path, case)
 
 
-def test_process_that_comes_over_a_new_link_leaves_no_copy_of_the_old_one(tmp_path):
-    class Fake:
-        """A link, and the process at its other end."""
+def test_process_that_registers_over_a_new_link_leaves_no_copies_of_the_old_one(tmp_path):
+    class FakeLink:
+        """A link and the process at its other end, in one object."""
 
         pid = 7
 
@@ -369,37 +378,37 @@
     async def test():
         supervisor = Supervisor(Job("true", ".", str(tmp_path / "sock")))
         before = len(os.listdir("/proc/self/fd"))
-        first, second = Fake(), Fake()
+        first, second = FakeLink(), FakeLink()
         for link in (first, second):
             supervisor._on_message(link, b"H1", [os.memfd_create("record")])
             supervisor._on_message(link, b"C1", [os.memfd_create("connection")])
         assert list(supervisor.processes) == [second]
         assert len(os.listdir("/proc/self/fd")) == before + 2
         supervisor._on_message(second, b"D1", [])
-        assert len(os.listdir("/proc/self/fd")) == before + 1  # nothing keeps it from ending
+        assert len(os.listdir("/proc/self/fd")) == before + 1  # the last copy of the connection is closed
         supervisor.processes[second].close_all()
 
     run(test())
 
 
-def test_under_load_a_kill_loses_no_more_than_was_in_flight(tmp_path):
-    async def case(made: Kept):
-        load = made.rig.load
-        asking = made.rig.clock.loop.create_task(load.run())
+def test_kill_under_load_loses_no_more_requests_than_were_in_flight(tmp_path):
+    async def case(gateway: SupervisedGateway):
+        load = gateway.rig.load
+        load_task = gateway.rig.clock.loop.create_task(load.run())
         for _ in range(3):
-            await made.standby()
-            at = load.outcomes["ok"] + 60
-            await made.rig.until(lambda at=at: load.outcomes["ok"] > at)
-            before, lost = await made.pid(), load.outcomes["cut"]
-            in_hand = load.open["g0"]
+            await gateway.wait_for_registration()
+            target = load.outcomes["ok"] + 60
+            await gateway.rig.until(lambda target=target: load.outcomes["ok"] > target)
+            before, cut_before = await gateway.pid(), load.outcomes["cut"]
+            in_flight = load.open["g0"]
             os.kill(before, signal.SIGKILL)
-            await made.next_serves(before)
-            at = load.outcomes["ok"] + 20
-            await made.rig.until(lambda at=at: load.outcomes["ok"] > at)
-            assert load.outcomes["cut"] - lost <= in_hand + 4
+            await gateway.next_serving_pid(before)
+            target = load.outcomes["ok"] + 20
+            await gateway.rig.until(lambda target=target: load.outcomes["ok"] > target)
+            assert load.outcomes["cut"] - cut_before <= in_flight + 4
         assert load.outcomes["unheard"] == 0
         load.stop()
-        await asking
+        await load_task
         await load.finish()
 
-    kept(tmp_path, case)
+    run_supervised(tmp_path, case)
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -1,4 +1,4 @@
-"""Recordings: the same decisions play them through, another decision is found, a torn file is told."""
+"""Recordings: replay, detection of a changed action, damaged files, and the command line."""
 
 import io
 import sys
@@ -24,12 +24,12 @@
     return sink.getvalue().splitlines(keepends=True)
 
 
-def test_a_recording_from_before_gives_the_same_actions():
+def test_replay_of_an_earlier_version_s_recording_gives_the_same_actions():
     with open(SMALL, "rb") as source:
-        played = play(iter(source))
-    assert played.difference == ""
-    assert played.is_same
-    assert played.events >= 300
+        comparison = play(iter(source))
+    assert comparison.difference == ""
+    assert comparison.is_same
+    assert comparison.events >= 300
 
 
 @pytest.mark.parametrize(
@@ -39,41 +39,43 @@
             "given up: quota basis 12; concurrency limit 6.1, attempts within threshold 4, queued 0",
             "given up: quota basis 12; pool 6.1, out 4, parked 0",
         ),
-        ("server 7 suspected: connect_failed", "server 7 doubted: connect_failed"),
-        ("server s-1 suspected for a b: timeout", "server s-1 doubted for a b: timeout"),
-        ("drained by an operator", "drained by hand"),
+        ("server 7 is a suspected outlier: connect_failed", "server 7 doubted: connect_failed"),
+        ("server s-1 is a suspected outlier for a b: timeout", "server s-1 doubted for a b: timeout"),
+        ("drain begun by an operator", "drained by hand"),
         ("drain ended by an operator", "takes clients again"),
-        ("handed over with 4 requests pending", "handed over with 4 requests in hand"),
-        ("rejected: unknown class 'x' or plan 'y'", "refused: unknown class 'x' or plan 'y'"),
+        ("handed over to the next process with 4 requests pending", "handed over with 4 requests in hand"),
+        ("request rejected: unknown class 'x' or plan 'y'", "refused: unknown class 'x' or plan 'y'"),
         ("another line", "another line"),
     ],
 )
-def test_log_lines_stand_in_a_recording_as_they_always_did(text, recorded):
+def test_log_lines_are_recorded_with_the_texts_of_version_1(text, recorded):
     assert to_recorded(api.Log(text)) == {"text": recorded}
 
 
-def test_one_changed_action_among_a_hundred_thousand_is_found():
+def test_one_changed_action_among_a_hundred_thousand_is_detected():
     lines = recorded(seed=7, gateways=16, steps=5000)
-    played = play(iter(lines))
-    assert played.is_same
-    assert played.actions >= 100_000
+    comparison = play(iter(lines))
+    assert comparison.is_same
+    assert comparison.actions >= 100_000
     number = max(n for n, line in enumerate(lines) if b'"Send",{' in line and n < 0.9 * len(lines))
     head, sent = lines[number].rsplit(b'"server":', 1)
     lines[number] = head + b'"server":9' + sent
-    played = play(iter(lines))
-    assert not played.is_same
-    assert played.difference.startswith(f"line {number + 1}: ")
+    comparison = play(iter(lines))
+    assert not comparison.is_same
+    assert comparison.difference.startswith(f"line {number + 1}: ")
 
 
-@pytest.mark.parametrize(("kept", "events"), [(1.0, 30), (0.5, 29)], ids=["between lines", "within a line"])
-def test_a_recording_cut_off_is_compared_as_far_as_it_goes(kept, events):
+@pytest.mark.parametrize(
+    ("kept_share", "events"), [(1.0, 30), (0.5, 29)], ids=["between lines", "within a line"]
+)
+def test_recording_that_is_cut_off_is_compared_as_far_as_it_goes(kept_share, events):
     lines = recorded(seed=3, gateways=1, steps=100)
     last = lines[31]
-    played = play(iter([*lines[:31], last[: int(len(last) * kept)]]))
-    assert played.events == events
-    assert not played.difference
-    assert not played.is_complete
-    assert not played.is_same
+    comparison = play(iter([*lines[:31], last[: int(len(last) * kept_share)]]))
+    assert comparison.events == events
+    assert not comparison.difference
+    assert not comparison.is_complete
+    assert not comparison.is_same
 
 
 @pytest.mark.parametrize(
@@ -84,17 +86,20 @@
         ([RECORDING_HEAD + b"\n", b'["event"\n', b"[]\n"], "line 2: DecodeError"),
         ([RECORDING_HEAD + b"\n", b'["event","g",1,"Drain",{"active":true},[]]\n'], "line 2: KeyError: 'g'"),
         ([RECORDING_HEAD + b"\n", b'["open","g",1,{"gateways":0}]\n'], "line 2: ValidationError"),
-        ([RECORDING_HEAD + b"\n", b'["end",3]\n'], "line 2: ValueError: 0 events, the end says 3"),
-        ([RECORDING_HEAD + b"\n", b"7\n"], "line 2: ValueError: 7 is no line"),
+        (
+            [RECORDING_HEAD + b"\n", b'["end",3]\n'],
+            "line 2: ValueError: 0 events before the end line, which says 3",
+        ),
+        ([RECORDING_HEAD + b"\n", b"7\n"], "line 2: ValueError: 7 is not a line"),
     ],
 )
-def test_what_is_no_recording_is_told_by_its_line(lines, error):
+def test_error_in_a_recording_names_the_line(lines, error):
     with pytest.raises(RecordingError, match="^" + error):
         play(iter(lines))
 
 
 @pytest.mark.parametrize(
-    ("damage", "code", "said"),
+    ("damage", "code", "message"),
     [
         (lambda data: data, 0, "the same"),
         (lambda data: data[:-40], 1, "cut off after"),
@@ -102,7 +107,9 @@
         (lambda data: b"x" + data, 2, "not the head"),
     ],
 )
-def test_the_command_says_how_it_went(tmp_path, monkeypatch, capsys, damage, code, said):
+def test_play_and_time_commands_report_the_result_and_exit_code(
+    tmp_path, monkeypatch, capsys, damage, code, message
+):
     file = tmp_path / "r.jsonl"
     monkeypatch.setattr(sys, "argv", ["recording", "drive", str(file), "--gateways", "1", "--steps", "200"])
     assert command.main() == 0
@@ -110,7 +117,8 @@
     monkeypatch.setattr(sys, "argv", ["recording", "play", str(file)])
     assert command.main() == code
     out = capsys.readouterr()
-    assert said in out.out + out.err
+    assert message in out.out + out.err
     monkeypatch.setattr(sys, "argv", ["recording", "time", str(file)])
-    assert command.main() == (2 if code == 2 else 0)  # what can be read of it is timed
+    # of a recording that is cut off, the part that can be read is timed
+    assert command.main() == (2 if code == 2 else 0)
     assert ("not the head" if code == 2 else "s of CPU") in "".join(capsys.readouterr())
