--- a/quota_gateway/fault_bench/__init__.py
+++ b/quota_gateway/fault_bench/__init__.py
@@ -1,4 +1,5 @@
-"""Several real gateways as processes, stand-ins around them, faults between them, and a referee outside.
+"""Runs several real gateway processes against stand-ins for servers and discovery, and injects faults.
 
-An extra: the gateway imports none of it. The servers' behaviour, the meter and the rules are the lab's.
+A referee outside of them checks the recorded history against the rules. The gateway itself imports nothing
+from here. The model of the servers, the meter and the rules come from ``quota_gateway.simulation``.
 """
--- a/quota_gateway/fault_bench/bench.py
+++ b/quota_gateway/fault_bench/bench.py
@@ -27,7 +27,7 @@
 from quota_gateway.fault_bench.referee import Verdict, judge
 from quota_gateway.fault_bench.relay import Address, Link
 from quota_gateway.fault_bench.scenario import Scenario
-from quota_gateway.fault_bench.stand_ins import Clock, Discovery, Meters, StandIn
+from quota_gateway.fault_bench.stand_ins import Clock, Discovery, Meters, StandInServer
 from quota_gateway.settings_reader import settings_document
 from quota_gateway.simulation.models import Server
 
@@ -63,7 +63,7 @@
         self.ports = count(20_000)
         self.links: dict[str, Link] = {}
         self.managed_gateways: dict[str, ManagedGateway] = {}
-        self.servers: dict[str, StandIn] = {}
+        self.servers: dict[str, StandInServer] = {}
         self.random = Random(seed)
         self.tasks: list[asyncio.Task[None]] = []
 
@@ -100,14 +100,14 @@
             self.history,
             world.discovery_delay_ms,
             self._draw(4),
-            lambda gateway, server: self.links[f"{gateway}>{server}"].at,
+            lambda gateway, server: self.links[f"{gateway}>{server}"].listen_address,
         )
         for number, name in enumerate(self.scenario.servers(), 1):
             machines = world.machines
             speed = float(speeds.uniform(machines.min_speed, machines.max_speed))
             entry = api.ServerEntry(number, world.zones[number % len(world.zones)])
             model = Server(self.clock, machines, entry, speed)
-            server = StandIn(name, model, meters, self.history, self._draw(100 + number))
+            server = StandInServer(name, model, meters, self.history, self._draw(100 + number))
             self.servers[name] = server
             self.announce(server)
             at = self._port()
@@ -124,7 +124,7 @@
         await link.listen()
         return link
 
-    def announce(self, server: StandIn) -> None:
+    def announce(self, server: StandInServer) -> None:
         """Record a server as it is now, and list it so at discovery."""
         model = server.model
         state = model.entry.state.value
@@ -134,7 +134,7 @@
         )
         self.discovery.set(server.name, model.entry, started)
 
-    def set_state(self, server: StandIn, state: api.ServerState) -> None:
+    def set_state(self, server: StandInServer, state: api.ServerState) -> None:
         """A server drains, or is back."""
         server.model.entry = replace(server.model.entry, state=state)
         self.announce(server)
@@ -170,7 +170,7 @@
         document = {
             "name": name,
             "listen": _text(listen),
-            "discovery": _text(self.links[f"{name}>discovery"].at),
+            "discovery": _text(self.links[f"{name}>discovery"].listen_address),
             "admin": _text(admin_addresses[0]),
             "seed": f"{self.seed * 1000 + number:016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -219,7 +219,7 @@
 
     async def call_admin(self, gateway: str, line: str) -> str:
         """A call at a gateway's admin endpoint, over its link."""
-        return await call(self.links[f"doors>{gateway}"].at, line)
+        return await call(self.links[f"doors>{gateway}"].listen_address, line)
 
     # ---- The end
 
--- a/quota_gateway/fault_bench/client_connection.py
+++ b/quota_gateway/fault_bench/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection to a gateway, on which one request at a time is made."""
+"""A client's connection to a gateway; it carries one request at a time."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class ErrorReply(Exception):  # noqa: N818  # the RESP parser yields it as a value; nobody raises it
-    """An error line."""
+    """An error reply (RESP ``-...``)."""
 
 
 class ConnectionEndedError(Exception):
     """The connection ended before the reply.
 
     Attributes:
-        was_used: replies to earlier requests had come on it.
+        was_used: whether replies to earlier requests had arrived on the connection.
     """
 
     def __init__(self, was_used: bool) -> None:
@@ -26,12 +26,12 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection of a client, or of the load balancer."""
+    """A connection from a client or from the load balancer to a gateway."""
 
     def __init__(self, on_unexpected_reply: Callable[[], None]) -> None:
         self.reader = hiredis.Reader(replyError=ErrorReply)
         self.transport: asyncio.Transport | None = None
-        self.reply: asyncio.Future[Any] | None = None  # of the request that is under way
+        self.reply: asyncio.Future[Any] | None = None  # of the request in flight
         self.on_unexpected_reply = on_unexpected_reply
         self.replies = 0
         self.is_open = True
@@ -66,7 +66,7 @@
             self.reply.set_exception(ConnectionEndedError(self.replies > 0))
 
     async def request(self, command: bytes) -> Any:
-        """Write a command and wait for its reply. Raises ConnectionEndedError."""
+        """Write a command and wait for its reply. Raises ConnectionEndedError if none arrives."""
         if not self.is_open or self.transport is None or self.transport.is_closing():
             raise ConnectionEndedError(self.replies > 0)
         self.reply = asyncio.get_running_loop().create_future()
@@ -74,13 +74,13 @@
         return await self.reply
 
     def close(self) -> None:
-        """End it at once."""
+        """Abort the connection."""
         self.is_open = False
         if self.transport:
             self.transport.abort()
 
 
 def encode_command(*words: str) -> bytes:
-    """A command in RESP."""
+    """Encode a command in RESP."""
     parts = [word.encode() for word in words]
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
--- a/quota_gateway/fault_bench/link_faults.py
+++ b/quota_gateway/fault_bench/link_faults.py
@@ -1,4 +1,4 @@
-"""Faults of links: what happens to the connections between two parties."""
+"""Injects the faults of links: they affect all connections between two parties."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from quota_gateway.fault_bench.relay import Link
 from quota_gateway.fault_bench.scenario import Step
-from quota_gateway.fault_bench.undo import Undo, nothing
+from quota_gateway.fault_bench.undo import Undo, undo_nothing
 
 
 async def carry_out(step: Step, links: Sequence[Link]) -> Undo:
-    """Do to the links what the step says."""
+    """Inject the step's fault into the links; what undoes it. Raises ValueError for an unknown fault."""
     match step.do:
         case "partition" | "silent":
             return _silence(links, step)
@@ -19,15 +19,15 @@
         case "reset" | "lose":
             for link in links:
                 link.reset(step.do == "lose")
-            return nothing
+            return undo_nothing
         case "delay" | "cut":
-            return _weather(links, step)
+            return _impair(links, step)
         case _:
-            raise ValueError(f"{step.do}: no fault of links")
+            raise ValueError(f"{step.do}: unknown fault of links")
 
 
 def _silence(links: Sequence[Link], step: Step) -> Undo:
-    """Nothing gets through any more, in the step's direction; the ends notice nothing."""
+    """Let nothing through in the step's direction; the parties see neither an error nor a close."""
     for link in links:
         link.silence(step.way)
 
@@ -39,7 +39,7 @@
 
 
 async def _refuse(links: Sequence[Link]) -> Undo:
-    """New connections are refused."""
+    """Refuse new connections."""
     for link in links:
         await link.refuse()
 
@@ -50,20 +50,20 @@
     return heal
 
 
-def _weather(links: Sequence[Link], step: Step) -> Undo:
-    """Bytes are delayed, or the connection is cut in the middle of what is sent."""
-    ways = [weather for link in links for weather in link.weather(step.way)]
-    for weather in ways:
+def _impair(links: Sequence[Link], step: Step) -> Undo:
+    """Delay data, or reset a connection in the middle of its data, after a number of bytes."""
+    impairments = [impairment for link in links for impairment in link.impairments_of(step.way)]
+    for impairment in impairments:
         if step.do == "delay":
-            weather.delay = step.amount / 1000.0
-            weather.jitter = step.jitter / 1000.0
+            impairment.delay = step.amount / 1000.0
+            impairment.jitter = step.jitter / 1000.0
         else:
-            weather.cut = int(step.amount)
+            impairment.bytes_until_reset = int(step.amount)
 
     async def heal() -> None:
-        for weather in ways:
-            weather.delay = 0.0
-            weather.jitter = 0.0
-            weather.cut = None
+        for impairment in impairments:
+            impairment.delay = 0.0
+            impairment.jitter = 0.0
+            impairment.bytes_until_reset = None
 
     return heal
--- a/quota_gateway/fault_bench/load.py
+++ b/quota_gateway/fault_bench/load.py
@@ -1,7 +1,7 @@
-"""Load: paced arrivals that wait for no reply, spread over each customer's gateways.
+"""Generates the clients' load: arrivals at a set rate that wait for no reply, over each customer's gateways.
 
-A client keeps its connections, retries as the world says, and sends a request once more when a connection
-that it had used before is closed under it; but never one that must not run twice.
+A client keeps its connections open and retries as the world configures it. If a connection that had carried
+replies is closed before the reply, it sends the request once more, unless the request must not run twice.
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
 from quota_gateway.fault_bench.stand_ins import Clock
 from quota_gateway.simulation.world import ClassConfig, PlanConfig
 
-PATIENCE_MS = 1000.0  # after its deadline a client gives a request up
-RETRY_PAUSE_MS = 150.0  # the mean before a client retries where it is advised nothing
+PATIENCE_MS = 1000.0  # from a request's deadline until its client gives up
+RETRY_PAUSE_MS = 150.0  # mean pause before a retry if the gateway advised none
 MAX_LATENCY_US = 120_000_000
-SAFE = "safe"  # effects of a class, as worlds name them
+SAFE = "safe"  # effects of a request class, as scenario files spell them
 KEYED = "keyed"
 UNSAFE = "unsafe"
 
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """A customer, with its plan and the first gateway of its set."""
+    """A customer with its plan; ``first_gateway`` is the number of the first of the gateways that it uses."""
 
     name: str
     tariff: PlanConfig
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """What a client wants done, in one request and maybe some retries."""
+    """What a client wants done: one request and possibly retries of it."""
 
     operation_id: str
     customer: Customer
@@ -60,17 +60,17 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request of an operation, at one gateway."""
+    """One request of an operation to one gateway."""
 
     operation: Operation
     request_id: str
     gateway: str
     intended_ms: float
     deadline_ms: float
-    fields: list[str] = field(default_factory=list)  # of the command, but for the time left
+    fields: list[str] = field(default_factory=list)  # of the command, without the time left
 
     def command(self, now_ms: float) -> bytes:
-        """The command as it is written now: the client waits for what is left of its time."""
+        """The command to write now; it carries the time that is left until the deadline."""
         remaining_ms = max(1.0, self.deadline_ms - now_ms)
         words = [
             self.operation.customer.name,
@@ -82,7 +82,7 @@
         return encode_command("CALL.POST", *words, "body")
 
     def record(self, now_ms: float) -> records.RequestSent:
-        """The request as the history has it."""
+        """The record of this request for the history."""
         operation = self.operation
         return records.RequestSent(
             now_ms,
@@ -99,14 +99,14 @@
 
 
 class RequestResult(NamedTuple):
-    """How a request ended, and when its client may retry if it was told."""
+    """How a request ended, and the pause before a retry that the gateway advised."""
 
     outcome: RequestOutcome
-    retry_after_ms: float = 0.0  # 0: it was not told
+    retry_after_ms: float = 0.0  # 0: none advised
 
 
 class LoadGenerator:
-    """Draws operations and sees each of them through; counts what became of the requests."""
+    """Draws operations, carries out each of them, and counts the outcomes of their requests."""
 
     def __init__(
         self,
@@ -131,12 +131,12 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._is_stopped = False
 
-        # What was measured
-        self.latency = HdrHistogram(1, MAX_LATENCY_US, 3)  # microseconds, of what was served
+        # Measurements
+        self.latency = HdrHistogram(1, MAX_LATENCY_US, 3)  # microseconds, of served requests
         self.requests_total = 0
         self.outcomes: Counter[RequestOutcome] = Counter()
         self.open: Counter[str] = Counter()  # requests in flight, by gateway
-        self.no_gateway = 0  # operations that found none up: never requested
+        self.no_gateway = 0  # operations that sent no request, or no retry, as no gateway was up
 
     def _draw_customers(self) -> list[Customer]:
         customers: list[Customer] = []
@@ -149,21 +149,21 @@
         return customers
 
     async def run(self) -> None:
-        """Request for the world's seconds, by the clock; what is late is requested at once."""
+        """Start operations at their arrival times for the world's seconds; an overdue one starts at once."""
         customer_shares = _shares([customer.weight for customer in self._customers])
         class_shares = _shares([request_class.weight for request_class in self.world.classes])
         begin_ms = self.clock.now
-        at_ms = 0.0
+        arrival_ms = 0.0
         while True:
-            at_ms += 1000.0 * float(self._arrivals.exponential(1.0 / self.scenario.rate))
-            if at_ms >= 1000.0 * self.world.seconds or self._is_stopped:
+            arrival_ms += 1000.0 * float(self._arrivals.exponential(1.0 / self.scenario.rate))
+            if arrival_ms >= 1000.0 * self.world.seconds or self._is_stopped:
                 break
             customer = self._customers[int(self._arrivals.choice(len(self._customers), p=customer_shares))]
             request_class = self.world.classes[int(self._arrivals.choice(len(class_shares), p=class_shares))]
-            wait_ms = begin_ms + at_ms - self.clock.now
+            wait_ms = begin_ms + arrival_ms - self.clock.now
             if wait_ms > 0.0:
                 await asyncio.sleep(wait_ms / 1000.0)
-            task = self.clock.loop.create_task(self._perform(customer, request_class, begin_ms + at_ms))
+            task = self.clock.loop.create_task(self._perform(customer, request_class, begin_ms + arrival_ms))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
@@ -177,7 +177,7 @@
         self._is_stopped = True
 
     async def close(self) -> None:
-        """End it at once."""
+        """Cancel all operations and close all idle connections."""
         self.stop()
         for task in list(self._tasks):
             task.cancel()
@@ -189,7 +189,7 @@
     # ---- An operation
 
     async def _perform(self, customer: Customer, request_class: ClassConfig, intended_ms: float) -> None:
-        """Request, and retry as clients do."""
+        """Carry out one operation: a request, and retries if the client makes some."""
         number = self._next_number()
         key = f"{number:016x}" if request_class.idempotency == KEYED else ""
         operation = Operation(f"w{number}", customer, request_class, key)
@@ -211,7 +211,7 @@
         return self._last_number
 
     def _retries(self, operation: Operation, outcome: RequestOutcome) -> bool:
-        """Whether the client retries: a rejection always may be, a failure unless it must not run twice."""
+        """Whether the client retries, by chance: a rejection always may be, a failure if it may run twice."""
         is_unsafe = operation.request_class.idempotency == UNSAFE
         is_harmless = outcome is RequestOutcome.REJECTED or (
             not is_unsafe and outcome is not RequestOutcome.SERVED
@@ -219,7 +219,7 @@
         return is_harmless and float(self._choices.random()) < self.world.retry_probability
 
     def _choose_gateway(self, customer: Customer) -> str | None:
-        """One of the customer's set that is up; where none is, the load balancer moves on to the others."""
+        """One of the customer's gateways that is up; if none is, any other that is; None if all are down."""
         width = min(customer.tariff.gateways_per_customer, self.world.gateways)
         names = [f"g{(customer.first_gateway + n) % self.world.gateways}" for n in range(width)]
         up = [name for name in names if self.load_balancer.is_up(name)]
@@ -269,7 +269,7 @@
         return result
 
     async def _exchange(self, request: ClientRequest) -> RequestResult:
-        """Send a request, once more where the close of a used connection may have crossed it."""
+        """Send a request; send it again if a used connection ended, since its close may have crossed it."""
         for is_resent in (False, True):
             connection = await self._connection(request.gateway)
             if connection is None:
@@ -284,14 +284,14 @@
         return RequestResult(RequestOutcome.CONNECTION_ENDED)
 
     async def _reply(self, request: ClientRequest, connection: ClientConnection) -> Any:
-        """The reply; the connection is kept if it came. Raises ConnectionEndedError."""
+        """Wait for the reply, then keep the connection for other requests. Raises ConnectionEndedError."""
         is_complete = False
         try:
             reply = await connection.request(request.command(self.clock.now))
             is_complete = True
         finally:
             if not is_complete:
-                connection.close()  # given up, too: its reply must not be taken for another's
+                connection.close()  # also when given up: the next request would get this late reply
         self._idle[request.gateway].append(connection)
         return reply
 
@@ -306,7 +306,7 @@
         return RequestResult(RequestOutcome.FOREIGN_VALUE)
 
     async def _connection(self, gateway: str) -> ClientConnection | None:
-        """An idle connection that is open, or a new one; None where nobody accepts it."""
+        """An open idle connection to a gateway, or a new one; None if the connection fails."""
         idle = self._idle[gateway]
         while idle:
             connection = idle.pop()
@@ -314,7 +314,7 @@
                 return connection
         connection = ClientConnection(self._unexpected_reply_handler(gateway))
         try:
-            await self.clock.loop.create_connection(lambda: connection, *self.links[gateway].at)
+            await self.clock.loop.create_connection(lambda: connection, *self.links[gateway].listen_address)
         except OSError:
             return None
         return connection
@@ -324,6 +324,6 @@
 
 
 def _shares(weights: list[float]) -> Any:
-    """Weights as probabilities."""
+    """Normalize weights to probabilities."""
     array = np.array(weights)
     return array / array.sum()
--- a/quota_gateway/fault_bench/load_balancer.py
+++ b/quota_gateway/fault_bench/load_balancer.py
@@ -1,4 +1,4 @@
-"""The load balancer in front of the gateways: it learns by PING which of them take clients."""
+"""The load balancer in front of the gateways: it finds out by PING which of them accept requests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 PING_INTERVAL_S = 0.1
 PING_TIMEOUT_S = 0.5
-UP_MS = 1000.0  # a gateway whose last PONG is older gets no clients
+MAX_PONG_AGE_MS = 1000.0  # a gateway whose last PONG is older gets no requests
 
 
 class LoadBalancer:
@@ -26,13 +26,13 @@
         self.links = links
         self.clock = clock
         self.last_pong_ms = dict.fromkeys(links, -inf)
-        self.tasks = [asyncio.get_running_loop().create_task(self._follow(name)) for name in links]
+        self.tasks = [asyncio.get_running_loop().create_task(self._ping_forever(name)) for name in links]
 
     def is_up(self, gateway: str) -> bool:
-        """Whether it said lately that it takes clients."""
-        return self.clock.now - self.last_pong_ms[gateway] < UP_MS
+        """Whether the gateway has answered PONG recently and not reported since that it drains."""
+        return self.clock.now - self.last_pong_ms[gateway] < MAX_PONG_AGE_MS
 
-    async def _follow(self, gateway: str) -> None:
+    async def _ping_forever(self, gateway: str) -> None:
         while True:
             connection = ClientConnection(lambda: None)
             try:
@@ -43,9 +43,9 @@
                 connection.close()
 
     async def _ping(self, gateway: str, connection: ClientConnection) -> None:
-        """Ping on one connection until it fails."""
+        """Ping a gateway on one connection until that fails."""
         async with asyncio.timeout(PING_TIMEOUT_S):
-            await self.clock.loop.create_connection(lambda: connection, *self.links[gateway].at)
+            await self.clock.loop.create_connection(lambda: connection, *self.links[gateway].listen_address)
         while True:
             async with asyncio.timeout(PING_TIMEOUT_S):
                 reply = await connection.request(encode_command("PING"))
@@ -56,7 +56,7 @@
             await asyncio.sleep(PING_INTERVAL_S)
 
     async def close(self) -> None:
-        """Ping no more."""
+        """Stop pinging."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
--- a/quota_gateway/fault_bench/platform_client.py
+++ b/quota_gateway/fault_bench/platform_client.py
@@ -1,7 +1,8 @@
-"""Calls the fault bench's platform stand-in from a rollout's plan.
+"""Command with which a rollout's plan asks the fault bench's platform stand-in to start or stop a process.
 
-``python -m quota_gateway.fault_bench.platform_client HOST:PORT start ...`` prints the answer and exits with
-0, or with 1. Loads nothing else of the fault bench: it is run once for each process that it starts.
+``python -m quota_gateway.fault_bench.platform_client HOST:PORT start ...`` prints the answer's message and
+exits with 0 if the platform carried the request out, else with 1. Imports nothing else of the fault bench to
+start quickly: it runs once for each process that is started.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 
 
 def request(platform: str, words: Sequence[str]) -> tuple[bool, str]:
-    """Whether the platform, at ``host:port``, carried a request out, and what it found.
+    """Send a request to the platform at ``host:port``: whether it was carried out, and the answer's message.
 
     Raises:
         OSError: the platform can't be reached.
-        ValueError: its answer is none.
+        ValueError: its answer is missing or malformed.
     """
     host, _, port = platform.rpartition(":")
     with (
@@ -35,12 +36,12 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Send a request and print the answer; the exit code."""
+    """Send a request and print the answer's message; returns the exit code."""
     try:
         succeeded, message = request(arguments[0], arguments[1:])
-    except (OSError, ValueError, IndexError) as error:  # no platform there, no answer, no arguments
+    except (OSError, ValueError, IndexError) as error:  # unreachable, bad answer, missing arguments
         succeeded = False
-        message = f"no platform: {error!r}"
+        message = f"platform request failed: {error!r}"
     print(message)
     return SUCCEEDED_CODE if succeeded else FAILED_CODE
 
--- a/quota_gateway/fault_bench/process_faults.py
+++ b/quota_gateway/fault_bench/process_faults.py
@@ -1,4 +1,4 @@
-"""Faults of gateways' processes, and what operators do to them."""
+"""Injects faults into gateways' processes, and does to them what operators do: signals, starts, upgrades."""
 
 from __future__ import annotations
 
@@ -6,29 +6,32 @@
 import shutil
 import signal
 
-from quota_gateway.fault_bench.processes import ManagedGateway, Neighbour
+from quota_gateway.fault_bench.processes import CpuHog, ManagedGateway
 from quota_gateway.fault_bench.scenario import Step
-from quota_gateway.fault_bench.undo import Undo, nothing
+from quota_gateway.fault_bench.undo import Undo, undo_nothing
 
 LIMITS = {
     "descriptors": resource.RLIMIT_NOFILE,
     "memory": resource.RLIMIT_AS,
     "full": resource.RLIMIT_FSIZE,  # what is written to a file fails, as on a full disk
 }
-SPINNING_PROCESSES = 3  # that take a gateway's core away
+SPINNING_PROCESSES = 3  # that compete with a gateway for its core
 
 
 async def carry_out(step: Step, managed: ManagedGateway) -> Undo:
-    """Do to a gateway what the step says; an admin call is the timeline's."""
+    """Carry out a step on a gateway; returns what undoes it. Raises ValueError for an unknown fault.
+
+    The timeline itself carries out steps that call an admin endpoint.
+    """
     match step.do:
         case "kill":
             return _kill(managed)
         case "stop":
             return _stop(managed)
         case "busy":
-            neighbour = Neighbour()
-            await neighbour.start(managed, SPINNING_PROCESSES)
-            return neighbour.close
+            cpu_hog = CpuHog()
+            await cpu_hog.start(managed, SPINNING_PROCESSES)
+            return cpu_hog.close
         case "no-folder":
             return _remove_folder(managed)
         case "term":
@@ -42,8 +45,8 @@
         case "descriptors" | "memory" | "full":
             return _limit(managed, LIMITS[step.do], int(step.amount))
         case _:
-            raise ValueError(f"{step.do}: no fault of processes")
-    return nothing
+            raise ValueError(f"{step.do}: unknown fault of processes")
+    return undo_nothing
 
 
 def _kill(managed: ManagedGateway) -> Undo:
@@ -52,7 +55,7 @@
     async def start_again() -> None:
         for process in managed.processes:
             await process.child.wait()
-        shutil.rmtree(managed.tmp)  # private, and empty at each start
+        shutil.rmtree(managed.tmp)  # private to the gateway, and empty at each start
         managed.tmp.mkdir()
         await managed.start()
 
@@ -64,21 +67,21 @@
     for process in stopped:
         process.signal(signal.SIGSTOP)
 
-    async def go_on() -> None:
+    async def resume() -> None:
         for process in stopped:
             process.signal(signal.SIGCONT)
 
-    return go_on
+    return resume
 
 
-def _limit(managed: ManagedGateway, which: int, amount: int) -> Undo:
-    """Lower a limit of the kernel's (bytes, or descriptors); lifted to the bench's own hard limit."""
-    managed.limit(which, amount)
+def _limit(managed: ManagedGateway, limit_id: int, amount: int) -> Undo:
+    """Lower a kernel limit (bytes, or descriptors); undoing raises it to the bench's own hard limit."""
+    managed.limit(limit_id, amount)
 
-    async def lift() -> None:
-        managed.limit(which, resource.getrlimit(which)[1])
+    async def raise_limit() -> None:
+        managed.limit(limit_id, resource.getrlimit(limit_id)[1])
 
-    return lift
+    return raise_limit
 
 
 def _remove_folder(managed: ManagedGateway) -> Undo:
--- a/quota_gateway/fault_bench/processes.py
+++ b/quota_gateway/fault_bench/processes.py
@@ -1,4 +1,7 @@
-"""The gateways' processes: started by the very command of ``run``, ended by id, never outliving the bench."""
+"""Starts and ends the gateways' processes, by the ``run`` command of the deploy file.
+
+No process outlives the bench. Processes are signalled by their ids only.
+"""
 
 from __future__ import annotations
 
@@ -20,13 +23,15 @@
 from quota_gateway.fault_bench.relay import Address, Link
 from quota_gateway.fault_bench.stand_ins import Clock
 
-# Ended by the kernel when the bench's main thread ends, however that is; not by its terminal.
-BOUND = (
+# Python sources for ``python -c``; the first argument is the bench's process id. The kernel kills the process
+# (PR_SET_PDEATHSIG, SIGKILL) when the bench's main thread ends for whatever reason; if the bench has ended
+# already, the process exits at once. It has a session of its own: signals from the terminal don't reach it.
+DIE_WITH_PARENT = (
     "import ctypes, os, sys; ctypes.CDLL(None).prctl(1, 9);os.getppid() == int(sys.argv[1]) or os._exit(1);"
 )
-LAUNCH = BOUND + "os.execv('/bin/sh', ['sh', '-c', sys.argv[2]])"
-SPIN = BOUND + "\nwhile True: pass"
-ADMIN_TIMEOUT_S = 1.5  # for an answer of an admin endpoint
+LAUNCH_SOURCE = DIE_WITH_PARENT + "os.execv('/bin/sh', ['sh', '-c', sys.argv[2]])"
+SPIN_SOURCE = DIE_WITH_PARENT + "\nwhile True: pass"
+ADMIN_TIMEOUT_S = 1.5  # to connect to an admin endpoint and read its answer
 
 
 class Program(Struct, frozen=True):
@@ -37,9 +42,10 @@
 
     @classmethod
     def of(cls, folder: Path) -> Program:
-        """By the ``run`` of a folder's deploy file; where that environment is not built, by this interpreter.
+        """The version in a folder, with the ``run`` command of its ``deploy/balancer.toml``.
 
-        Raises OSError, KeyError or tomllib.TOMLDecodeError where there is no such file.
+        Where the folder has no ``.venv``, this interpreter takes the place of the one in ``.venv``.
+        Raises OSError, KeyError or tomllib.TOMLDecodeError if the file is missing or invalid.
         """
         command = str(tomllib.loads((folder / "deploy" / "balancer.toml").read_text())["run"])
         if not (folder / ".venv" / "bin" / "python").exists():
@@ -56,7 +62,7 @@
 
     @property
     def pid(self) -> int:
-        """Its id."""
+        """The process id."""
         return self.child.pid
 
     @property
@@ -65,18 +71,18 @@
         return self.child.returncode is None
 
     def signal(self, number: int) -> None:
-        """Nothing where it has ended."""
+        """Send a signal; does nothing if the process has ended."""
         if self.alive:
             with suppress(ProcessLookupError):
                 self.child.send_signal(number)
 
     async def call(self, line: str) -> str:
-        """What its own admin endpoint answers; empty where nothing comes."""
+        """Send a command line to the process's admin endpoint: the answer, empty if none comes in time."""
         return await call(self.admin_address, line)
 
 
 async def call(admin_address: Address, line: str) -> str:
-    """One call at an admin endpoint: the answer's line, or empty where none comes in time."""
+    """Send a command line to an admin endpoint: the answer's line, empty if none comes in time."""
     writer = None
     try:
         async with asyncio.timeout(ADMIN_TIMEOUT_S):
@@ -91,7 +97,7 @@
 
 
 class ManagedGateway:
-    """A gateway: its addresses, its configuration file, the processes that are or were it."""
+    """A gateway: its addresses, its configuration file, and all processes that were started for it."""
 
     def __init__(
         self,
@@ -108,12 +114,12 @@
         self.folder = folder
         self.document = document
         self.admin_addresses = admin_addresses
-        self.link = link  # of the operators' admin endpoint, to whichever process is the newest
+        self.link = link  # from operators to the admin endpoint of the newest living process
         self.clock = clock
         self.history = history
         self.program = program
         self.processes: list[Process] = []
-        self.started = 0
+        self.next_admin_index = 0  # of the admin address for the next process, modulo their number
         self.tmp = folder / "tmp"
         self.config = folder / "config.json"
         self.tasks: set[asyncio.Task[None]] = set()
@@ -121,30 +127,34 @@
         self.write(document)
 
     def write(self, document: dict[str, Any]) -> None:
-        """Another configuration file, whole."""
+        """Replace the configuration file atomically."""
         self.document = document
-        fresh = self.config.with_suffix(".new")
-        fresh.write_text(json.dumps(document))
-        os.replace(fresh, self.config)
+        new_path = self.config.with_suffix(".new")
+        new_path.write_text(json.dumps(document))
+        os.replace(new_path, self.config)
 
     @property
     def process(self) -> Process | None:
         """The newest process, dead or alive."""
         return self.processes[-1] if self.processes else None
 
-    def at(self, place: int) -> Process | None:
-        """The living process at the admin endpoint of that number."""
+    def living_process_at(self, admin_index: int) -> Process | None:
+        """The living process at an admin address, by the address's index; None if there is none."""
         return next(
-            (one for one in self.processes if one.alive and one.admin_address == self.admin_addresses[place]),
+            (
+                candidate
+                for candidate in self.processes
+                if candidate.alive and candidate.admin_address == self.admin_addresses[admin_index]
+            ),
             None,
         )
 
-    async def start(self, program: Program | None = None, place: int | None = None) -> Process:
-        """Start a process, beside one that lives if there is one; at that number's endpoint, or the next."""
+    async def start(self, program: Program | None = None, admin_index: int | None = None) -> Process:
+        """Start a process, even while an earlier one lives; without an index, at the next admin address."""
         admin_address = self.admin_addresses[
-            self.started % len(self.admin_addresses) if place is None else place
+            self.next_admin_index % len(self.admin_addresses) if admin_index is None else admin_index
         ]
-        self.started = self.admin_addresses.index(admin_address) + 1
+        self.next_admin_index = self.admin_addresses.index(admin_address) + 1
         program = program or self.program
         environment = {
             **os.environ,
@@ -153,26 +163,26 @@
             "EDGE_ADMIN": f"{admin_address[0]}:{admin_address[1]}",
             "TMPDIR": str(self.tmp),
         }
-        with (self.folder / "log").open("ab") as sink:
+        with (self.folder / "log").open("ab") as log_file:
             child = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-I",
                 "-S",
                 "-c",
-                LAUNCH,
+                LAUNCH_SOURCE,
                 str(os.getpid()),
                 program.command,
                 cwd=program.folder,
                 env=environment,
                 stdin=asyncio.subprocess.DEVNULL,
-                stdout=sink,
-                stderr=sink,
+                stdout=log_file,
+                stderr=log_file,
                 start_new_session=True,
             )
         process = Process(child, admin_address)
         self.processes.append(process)
         self.link.target = admin_address
-        self._note(process, "started")
+        self._record(process, "started")
         task = asyncio.get_running_loop().create_task(self._watch(process))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -180,25 +190,25 @@
 
     async def _watch(self, process: Process) -> None:
         code = await process.child.wait()
-        self._note(process, "ended", code)
-        living = [one for one in self.processes if one.alive]
+        self._record(process, "ended", code)
+        living = [candidate for candidate in self.processes if candidate.alive]
         if living:
             self.link.target = living[-1].admin_address
 
-    def _note(self, process: Process, state: str, code: int = 0) -> None:
+    def _record(self, process: Process, state: str, code: int = 0) -> None:
         self.history.add(records.ProcessChanged(self.clock.now, self.name, process.pid, state, code))
 
     async def ready(self, process: Process) -> bool:
-        """Wait until its admin endpoint says that it can serve; false if it ends before."""
+        """Wait until a process's admin endpoint says that it can serve; False if the process ends before."""
         while process.alive:
             if (await process.call("HEALTH")).startswith("YES"):
-                self._note(process, "ready")
+                self._record(process, "ready")
                 return True
             await asyncio.sleep(0.02)
         return False
 
     async def upgrade(self, program: Program | None = None) -> bool:
-        """The next process takes over, then the one before is told to end; whether it did take over."""
+        """Start a process that takes over, then SIGTERM the one before; False if it failed to take over."""
         before = self.process
         process = await self.start(program)
         if not await self.ready(process):
@@ -208,58 +218,58 @@
         return True
 
     def signal(self, number: int) -> None:
-        """To all its processes that live."""
+        """Send a signal to all living processes of the gateway."""
         for process in self.processes:
             process.signal(number)
 
-    def limit(self, which: int, amount: int) -> None:
-        """A limit of the kernel's on each living process (RLIMIT_NOFILE, RLIMIT_AS)."""
+    def limit(self, limit_id: int, amount: int) -> None:
+        """Set the soft value of a kernel limit (RLIMIT_NOFILE, RLIMIT_AS) for each living process."""
         for process in self.processes:
             if process.alive:
-                resource.prlimit(process.pid, which, (amount, resource.prlimit(process.pid, which)[1]))
+                resource.prlimit(process.pid, limit_id, (amount, resource.prlimit(process.pid, limit_id)[1]))
 
     def log(self) -> str:
-        """What its processes have logged so far."""
+        """What the gateway's processes have logged so far."""
         return (self.folder / "log").read_text(errors="replace")
 
     async def close(self) -> None:
-        """End what lives, and wait for it."""
+        """Kill all living processes, and wait until they have ended."""
         self.signal(signal.SIGKILL)
         for process in self.processes:
             await process.child.wait()
         await asyncio.gather(*self.tasks)
 
 
-class Neighbour:
-    """Processes that do nothing but use the core on which a gateway runs."""
+class CpuHog:
+    """Processes that compete with a gateway for its core: they spin and do nothing else."""
 
     def __init__(self) -> None:
         self.children: list[asyncio.subprocess.Process] = []
-        self.pinned: list[int] = []
+        self.pinned_pids: list[int] = []
 
     async def start(self, managed: ManagedGateway, count: int) -> None:
-        """Pin the gateway to one core, and so many others beside it."""
+        """Pin the gateway's processes to one core, and start ``count`` spinning processes on that core."""
         core = min(os.sched_getaffinity(0))
         for process in managed.processes:
             if process.alive:
                 os.sched_setaffinity(process.pid, {core})
-                self.pinned.append(process.pid)
+                self.pinned_pids.append(process.pid)
         for _ in range(count):
             child = await asyncio.create_subprocess_exec(
-                sys.executable, "-I", "-S", "-c", SPIN, str(os.getpid()), start_new_session=True
+                sys.executable, "-I", "-S", "-c", SPIN_SOURCE, str(os.getpid()), start_new_session=True
             )
             with suppress(ProcessLookupError):
                 os.sched_setaffinity(child.pid, {core})
             self.children.append(child)
 
     async def close(self) -> None:
-        """End them, and let the gateway run where it likes."""
+        """End the spinning processes, and let the gateway run on all of the bench's cores."""
         for child in self.children:
             with suppress(ProcessLookupError):
                 child.kill()
             await child.wait()
-        for pid in self.pinned:
+        for pid in self.pinned_pids:
             with suppress(ProcessLookupError):
                 os.sched_setaffinity(pid, os.sched_getaffinity(0))
         self.children = []
-        self.pinned = []
+        self.pinned_pids = []
--- a/quota_gateway/fault_bench/relay.py
+++ b/quota_gateway/fault_bench/relay.py
@@ -1,8 +1,8 @@
-"""Relays between processes: every connection passes one, and each does what its link says.
+"""TCP relays through which all connections of the fault bench pass; a link's faults act in its relay.
 
-A link that is silent stops reading, so bytes and ends wait in the kernel, as they do where packets are lost
-and sent again; healed, they go on. What is delayed waits here. Nothing grows: a side that is not read pauses
-the other.
+A silenced link stops reading: data and connection closes wait in the kernel, as they do where packets are
+lost and sent again, and are relayed once the fault is undone. Delayed data waits in the relay. Memory is
+bounded: while one socket of a connection accepts no more data, the relay doesn't read the other.
 """
 
 from __future__ import annotations
@@ -16,252 +16,260 @@
 from typing import cast
 
 Address = tuple[str, int]
-RESET_AT_ONCE = struct.pack("ii", 1, 0)  # SO_LINGER: a close sends a reset
-MOST_DELAYED = 1024 * 1024  # bytes on their way, one way of a connection
-# from who connects, and back
+ZERO_LINGER = struct.pack("ii", 1, 0)  # for SO_LINGER: a close sends a reset
+MAX_DELAYED_BYTES = 1024 * 1024  # held in the relay, for each direction of a connection
+# Directions of a link: from the connecting party to the target, and back.
 UP = "up"
 DOWN = "down"
 
 
-class Weather:
-    """What one way of a link does to bytes. Times in seconds; ``cut``: bytes until a reset."""
+class Impairment:
+    """The faults of one direction of a link. Times are seconds."""
 
     def __init__(self) -> None:
         self.delay = self.jitter = 0.0
-        self.silent = 0  # how many faults want it so
-        self.cut: int | None = None
+        self.silence_count = 0  # faults that silence this direction now
+        self.bytes_until_reset: int | None = None
 
 
 class Link:
     """All connections from one party to another, through one listener."""
 
-    def __init__(self, name: str, at: Address, target: Address, random: Random) -> None:
+    def __init__(self, name: str, listen_address: Address, target: Address, random: Random) -> None:
         self.name = name
-        self.at = at
+        self.listen_address = listen_address
         self.target = target
         self.random = random
-        self.ways = {UP: Weather(), DOWN: Weather()}
-        self.pairs: set[Pair] = set()
-        self.refusing = 0
+        self.impairments = {UP: Impairment(), DOWN: Impairment()}
+        self.connections: set[RelayedConnection] = set()
+        self.refuse_count = 0  # faults that refuse new connections now
         self.server: asyncio.Server | None = None
-        self.opened = 0
+        self.opened = 0  # connections accepted so far
 
     async def listen(self) -> None:
-        """Raises OSError where the address is taken."""
+        """Start listening. Raises OSError if the address is taken."""
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: Pair(self).near, *self.at, backlog=1024)
+        self.server = await loop.create_server(
+            lambda: RelayedConnection(self).accepted_endpoint, *self.listen_address, backlog=1024
+        )
 
-    def weather(self, way: str) -> list[Weather]:
-        """The ways that are meant: up, down or both."""
-        return [self.ways[name] for name in (UP, DOWN) if way in (name, "both")]
+    def impairments_of(self, direction: str) -> list[Impairment]:
+        """The impairments of one direction ("up" or "down") or of "both"."""
+        return [self.impairments[name] for name in (UP, DOWN) if direction in (name, "both")]
 
-    def silence(self, way: str = "both", on: bool = True) -> None:
-        """Let nothing through, or end one such wish."""
-        for weather in self.weather(way):
-            weather.silent = max(0, weather.silent + (1 if on else -1))
-        for pair in list(self.pairs):
-            pair.look()
+    def silence(self, direction: str = "both", on: bool = True) -> None:
+        """Let nothing through, or undo one such call; data passes again once all are undone."""
+        for impairment in self.impairments_of(direction):
+            impairment.silence_count = max(0, impairment.silence_count + (1 if on else -1))
+        for connection in list(self.connections):
+            connection.update_flow()
 
     def reset(self, lose: bool = False) -> None:
-        """Reset all connections; what is under way in the relay goes first, unless it is to be lost."""
-        for pair in list(self.pairs):
-            pair.reset(lose)
+        """Reset all connections; with ``lose`` also drop data that was relayed but not sent yet."""
+        for connection in list(self.connections):
+            connection.reset(lose)
 
     async def refuse(self, on: bool = True) -> None:
-        """Refuse new connections, or take them again."""
-        self.refusing = max(0, self.refusing + (1 if on else -1))
-        if self.refusing and self.server:
+        """Refuse new connections, or undo one such call; they are accepted again once all are undone."""
+        self.refuse_count = max(0, self.refuse_count + (1 if on else -1))
+        if self.refuse_count and self.server:
             self.server.close()
             self.server = None
-        elif not self.refusing and self.server is None:
+        elif not self.refuse_count and self.server is None:
             await self.listen()
 
     def close(self) -> None:
-        """At the end."""
+        """Stop listening and reset all connections."""
         if self.server:
             self.server.close()
-        for pair in list(self.pairs):
-            pair.reset(True)
+        for connection in list(self.connections):
+            connection.reset(True)
 
 
-class Side(asyncio.Protocol):
-    """One socket of a connection; ``way`` is that of the bytes it reads."""
+class RelayEndpoint(asyncio.Protocol):
+    """One of the two sockets of a relayed connection; ``direction`` is the direction of the data it reads."""
 
-    def __init__(self, pair: Pair, way: str) -> None:
-        self.pair = pair
-        self.way = way
-        self.weather = pair.link.ways[way]
+    def __init__(self, connection: RelayedConnection, direction: str) -> None:
+        self.connection = connection
+        self.direction = direction
+        self.impairment = connection.link.impairments[direction]
         self.transport: asyncio.Transport | None = None
         self.reading = True
-        self.full = False  # this socket takes no more for now
-        self.under_way = 0  # bytes that were read here and are delayed
-        self.due = 0.0
-        self.said_all = False  # its end has been passed on
+        self.write_paused = False  # this socket accepts no more data for now
+        self.delayed_bytes = 0  # read here and not yet passed to the other endpoint
+        self.due_s = 0.0  # loop time of the latest scheduled delivery
+        self.end_forwarded = False  # the peer has ended its sending, and the other endpoint was told
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the event loop once the connection is up."""
         self.transport = cast(asyncio.Transport, transport)
-        self.pair.made(self)
+        self.connection.endpoint_connected(self)
 
     def data_received(self, data: bytes) -> None:
         """Called by the event loop with bytes from the peer."""
-        if self.weather.cut is not None:
-            data, self.weather.cut = data[: self.weather.cut], self.weather.cut - len(data)
-        self._later(len(data), self._give, data)
-        if self.weather.cut is not None and self.weather.cut <= 0:
-            self.weather.cut = None
-            self._later(0, self.pair.reset, False)
-        self.pair.look()
+        if self.impairment.bytes_until_reset is not None:
+            data, self.impairment.bytes_until_reset = (
+                data[: self.impairment.bytes_until_reset],
+                self.impairment.bytes_until_reset - len(data),
+            )
+        self._call_later(len(data), self._forward, data)
+        if self.impairment.bytes_until_reset is not None and self.impairment.bytes_until_reset <= 0:
+            self.impairment.bytes_until_reset = None
+            self._call_later(0, self.connection.reset, False)
+        self.connection.update_flow()
 
     def eof_received(self) -> bool:
         """Called by the event loop once the peer has ended its sending."""
-        self._later(0, self._end)
+        self._call_later(0, self._forward_end)
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Called by the event loop once the connection has ended."""
-        self._later(0, self.pair.reset, True) if exc else self._later(0, self.pair.close)
+        self._call_later(0, self.connection.reset, True) if exc else self._call_later(
+            0, self.connection.close
+        )
 
-    def _later(self, size: int, call: Callable[..., None], *arguments: object) -> None:
-        """In order, after the delay of this way."""
-        wait = self.weather.delay + self.weather.jitter * self.pair.link.random.random()
+    def _call_later(self, size: int, call: Callable[..., None], *arguments: object) -> None:
+        """Make a call after the delay of this direction; calls keep their order."""
+        delay_s = self.impairment.delay + self.impairment.jitter * self.connection.link.random.random()
         loop = asyncio.get_running_loop()
-        self.due = max(self.due, loop.time() + wait)
-        if self.due <= loop.time() and not self.under_way:
+        self.due_s = max(self.due_s, loop.time() + delay_s)
+        if self.due_s <= loop.time() and not self.delayed_bytes:
             call(*arguments)
             return
-        self.under_way += size
+        self.delayed_bytes += size
 
         def arrive() -> None:
-            self.under_way -= size
+            self.delayed_bytes -= size
             call(*arguments)
-            self.pair.look()
+            self.connection.update_flow()
 
-        loop.call_at(self.due, arrive)
+        loop.call_at(self.due_s, arrive)
 
-    def _give(self, data: bytes) -> None:
-        other = self.pair.other(self)
+    def _forward(self, data: bytes) -> None:
+        other = self.connection.other(self)
         if data and other.transport and not other.transport.is_closing():
             other.transport.write(data)
 
-    def _end(self) -> None:
-        other = self.pair.other(self)
-        self.said_all = True
-        if other.said_all:
-            self.pair.close()
+    def _forward_end(self) -> None:
+        other = self.connection.other(self)
+        self.end_forwarded = True
+        if other.end_forwarded:
+            self.connection.close()
         elif other.transport and not other.transport.is_closing():
             with suppress(OSError, RuntimeError):
                 other.transport.write_eof()
 
     def pause_writing(self) -> None:
-        """Called by the event loop as the peer takes no more for now."""
-        self.full = True
-        self.pair.look()
+        """Called by the event loop when the peer accepts no more data for now."""
+        self.write_paused = True
+        self.connection.update_flow()
 
     def resume_writing(self) -> None:
-        """Called by the event loop as the peer takes data again."""
-        self.full = False
-        self.pair.look()
-
-    def look(self) -> None:
-        """Read or not, as the link, the other side and what is under way want it."""
-        other = self.pair.other(self)
-        want = (
-            not self.weather.silent
+        """Called by the event loop when the peer accepts data again."""
+        self.write_paused = False
+        self.connection.update_flow()
+
+    def update_flow(self) -> None:
+        """Pause or resume reading by the link's faults, the other endpoint and the amount of delayed data."""
+        other = self.connection.other(self)
+        should_read = (
+            not self.impairment.silence_count
             and other.transport is not None
-            and not other.full
-            and self.under_way < MOST_DELAYED
+            and not other.write_paused
+            and self.delayed_bytes < MAX_DELAYED_BYTES
         )
-        if self.transport and not self.transport.is_closing() and want != self.reading:
-            self.reading = want
-            (self.transport.resume_reading if want else self.transport.pause_reading)()
+        if self.transport and not self.transport.is_closing() and should_read != self.reading:
+            self.reading = should_read
+            (self.transport.resume_reading if should_read else self.transport.pause_reading)()
 
 
-class Pair:
-    """A connection that was accepted and its other half, towards the target."""
+class RelayedConnection:
+    """A connection that was accepted, together with the relay's own connection to the target."""
 
     def __init__(self, link: Link) -> None:
         self.link = link
-        self.near = Side(self, UP)
-        self.far = Side(self, DOWN)
+        self.accepted_endpoint = RelayEndpoint(self, UP)
+        self.target_endpoint = RelayEndpoint(self, DOWN)
         self.task: asyncio.Task[None] | None = None
-        self.source: Address | None = None  # of the far half, as the target sees it
-        self.waiting: list[Callable[[], None]] = []  # until the way down is clear
+        self.source: Address | None = None  # of the connection to the target, as the target sees it
+        self.waiting_calls: list[Callable[[], None]] = []  # calls to make once "down" is not silenced
         self.ended = False
 
-    def other(self, side: Side) -> Side:
-        """The other half."""
-        return self.far if side is self.near else self.near
+    def other(self, endpoint: RelayEndpoint) -> RelayEndpoint:
+        """The other endpoint of the connection."""
+        return self.target_endpoint if endpoint is self.accepted_endpoint else self.accepted_endpoint
 
-    def made(self, side: Side) -> None:
-        """A half is connected."""
-        if side is self.near:
-            self.link.pairs.add(self)
+    def endpoint_connected(self, endpoint: RelayEndpoint) -> None:
+        """Called by an endpoint once its connection is up."""
+        if endpoint is self.accepted_endpoint:
+            self.link.connections.add(self)
             self.link.opened += 1
             self.task = asyncio.get_running_loop().create_task(self._connect())
-        self.look()
+        self.update_flow()
 
     async def _connect(self) -> None:
-        while self.link.ways[UP].silent and not self.ended:
-            await asyncio.sleep(0.01)  # nothing reaches the target, not even a connection
+        while self.link.impairments[UP].silence_count and not self.ended:
+            await asyncio.sleep(0.01)  # a silenced link delivers no connection attempt either
         try:
             loop = asyncio.get_running_loop()
-            await loop.create_connection(self._connected, *self.link.target)
+            await loop.create_connection(self._target_endpoint, *self.link.target)
         except OSError:
             self.reset(True)
 
-    def _connected(self) -> Side:
-        return self.far
-
-    def look(self) -> None:
-        """Something about the weather or a half has changed."""
-        if self.far.transport and self.source is None:
-            self.source = self.far.transport.get_extra_info("sockname")
-            SOURCES[self.source] = self
-        self.near.look()
-        self.far.look()
-        if not self.link.ways[DOWN].silent:
-            waiting = self.waiting
-            self.waiting = []
-            for call in waiting:
+    def _target_endpoint(self) -> RelayEndpoint:
+        return self.target_endpoint
+
+    def update_flow(self) -> None:
+        """Apply a change of faults or of an endpoint: pause or resume reading, run waiting calls."""
+        if self.target_endpoint.transport and self.source is None:
+            self.source = self.target_endpoint.transport.get_extra_info("sockname")
+            CONNECTIONS_BY_SOURCE[self.source] = self
+        self.accepted_endpoint.update_flow()
+        self.target_endpoint.update_flow()
+        if not self.link.impairments[DOWN].silence_count:
+            waiting_calls = self.waiting_calls
+            self.waiting_calls = []
+            for call in waiting_calls:
                 call()
 
-    def when_clear(self, call: Callable[[], None]) -> None:
-        """Call this once what is written now can get through; never, if the connection ends first."""
-        self.waiting.append(call)
-        self.look()
+    def call_when_deliverable(self, call: Callable[[], None]) -> None:
+        """Call this once data written now can reach the connecting party; never if it ends before."""
+        self.waiting_calls.append(call)
+        self.update_flow()
 
     def close(self) -> None:
-        """Orderly, once all that was written has gone."""
-        self._ended()
-        for side in (self.near, self.far):
-            if side.transport and not side.transport.is_closing():
-                side.transport.close()
+        """Close both sockets, each after sending what was written to it."""
+        self._mark_ended()
+        for endpoint in (self.accepted_endpoint, self.target_endpoint):
+            if endpoint.transport and not endpoint.transport.is_closing():
+                endpoint.transport.close()
 
     def reset(self, lose: bool) -> None:
-        """Both halves at once."""
-        self._ended()
-        for side in (self.near, self.far):
-            if side.transport and not side.transport.is_closing():
-                sock = side.transport.get_extra_info("socket")
-                if sock and (lose or side.transport.get_write_buffer_size() == 0):
+        """Abort both sockets; without ``lose``, one that has data left to write is closed without a reset."""
+        self._mark_ended()
+        for endpoint in (self.accepted_endpoint, self.target_endpoint):
+            if endpoint.transport and not endpoint.transport.is_closing():
+                sock = endpoint.transport.get_extra_info("socket")
+                if sock and (lose or endpoint.transport.get_write_buffer_size() == 0):
                     with suppress(OSError):
-                        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_ONCE)
-                side.transport.abort()
+                        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
+                endpoint.transport.abort()
 
-    def _ended(self) -> None:
+    def _mark_ended(self) -> None:
         self.ended = True
-        self.waiting.clear()
-        self.link.pairs.discard(self)
+        self.waiting_calls.clear()
+        self.link.connections.discard(self)
         if self.source:
-            SOURCES.pop(self.source, None)
+            CONNECTIONS_BY_SOURCE.pop(self.source, None)
         if self.task and not self.task.done() and self.task is not asyncio.current_task():
             self.task.cancel()
 
 
-SOURCES: dict[Address, Pair] = {}  # of this process: whose connection a stand-in has accepted
+# All relayed connections of this process, by the address from which the relay connects to the target.
+CONNECTIONS_BY_SOURCE: dict[Address, RelayedConnection] = {}
 
 
-def pair_of(transport: asyncio.BaseTransport) -> Pair | None:
-    """The relayed connection behind a socket that a stand-in has accepted."""
-    return SOURCES.get(transport.get_extra_info("peername"))
+def relayed_connection_of(transport: asyncio.BaseTransport) -> RelayedConnection | None:
+    """The relayed connection whose target accepted this socket; None if it came through no relay."""
+    return CONNECTIONS_BY_SOURCE.get(transport.get_extra_info("peername"))
--- a/quota_gateway/fault_bench/rollouts.py
+++ b/quota_gateway/fault_bench/rollouts.py
@@ -21,14 +21,14 @@
 from quota_gateway.fault_bench import records
 from quota_gateway.fault_bench.bench import ADMIN_CALLERS, FaultBench
 from quota_gateway.fault_bench.platform import START_WORDS, STOP_WORDS
-from quota_gateway.fault_bench.processes import BOUND, ManagedGateway, Program
+from quota_gateway.fault_bench.processes import DIE_WITH_PARENT, ManagedGateway, Program
 from quota_gateway.rollout import journal
 from quota_gateway.rollout.plan import ProgramVersion, Target
 from quota_gateway.rollout.program_output import last_line
 from quota_gateway.rollout.rollout_state import RolloutState
 
 CONTROLLER = ("-m", "quota_gateway.rollout")
-LAUNCH = BOUND + "os.execv(sys.executable, [sys.executable, *sys.argv[2:]])"
+LAUNCH = DIE_WITH_PARENT + "os.execv(sys.executable, [sys.executable, *sys.argv[2:]])"
 MAX_LINE_CHARACTERS = 300  # of a controller's last line that are passed on
 NO_GATEWAY = -1  # in the history, of an act that is no gateway's
 ROOT = Path(__file__).parents[2]
@@ -81,7 +81,7 @@
 
     def write_program_plan(self, name: str, after: Program, before: Program, fields: Fields) -> None:
         """Write a plan that changes all gateways' program."""
-        platform = "{}:{}".format(*self.bench.links["controller>platform"].at)
+        platform = "{}:{}".format(*self.bench.links["controller>platform"].listen_address)
         client = (sys.executable, "-m", "quota_gateway.fault_bench.platform_client", platform)
         change = {
             "program.before": msgspec.to_builtins(_version(before)),
@@ -106,7 +106,7 @@
 
     def _admin_address(self, gateway: str, caller: str) -> str:
         """A gateway's admin address, as a caller from outside knows it."""
-        return "{}:{}".format(*self.bench.links[f"{caller}>{gateway}"].at)
+        return "{}:{}".format(*self.bench.links[f"{caller}>{gateway}"].listen_address)
 
     def _write_plan(self, name: str, fields: Fields, targets: Sequence[Target]) -> None:
         path = self.folder / f"{name}.toml"
--- a/quota_gateway/fault_bench/server_faults.py
+++ b/quota_gateway/fault_bench/server_faults.py
@@ -1,4 +1,4 @@
-"""Faults of servers, and of discovery."""
+"""Injects the faults of servers and of discovery."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from quota_gateway import api
 from quota_gateway.fault_bench.bench import FaultBench
 from quota_gateway.fault_bench.scenario import Step
-from quota_gateway.fault_bench.stand_ins import Discovery, StandIn
+from quota_gateway.fault_bench.stand_ins import Discovery, StandInServer
 from quota_gateway.fault_bench.undo import Undo
 
 
-def carry_out(step: Step, servers: Sequence[StandIn], bench: FaultBench) -> Undo:
-    """Do to the servers what the step says."""
+def carry_out(step: Step, servers: Sequence[StandInServer], bench: FaultBench) -> Undo:
+    """Inject the step's fault into the servers; what undoes it. Raises ValueError for an unknown fault."""
     for server in servers:
         match step.do:
             case "slow":
@@ -24,7 +24,7 @@
             case "drain" | "release":
                 bench.set_state(server, api.ServerState.DRAINING)
             case _:
-                raise ValueError(f"{step.do}: no fault of servers")
+                raise ValueError(f"{step.do}: unknown fault of servers")
 
     async def restore() -> None:
         for server in servers:
@@ -40,15 +40,15 @@
 
 
 def disturb_discovery(step: Step, discovery: Discovery) -> Undo:
-    """Discovery is away, or its clock is ahead."""
+    """Set discovery's clock ahead, or make discovery fail; returns what undoes it."""
     if step.do == "skew":
-        discovery.ahead_ms += step.amount
+        discovery.clock_ahead_ms += step.amount
     else:
         discovery.fail(True)
 
     async def restore() -> None:
         if step.do == "skew":
-            discovery.ahead_ms -= step.amount
+            discovery.clock_ahead_ms -= step.amount
         else:
             discovery.fail(False)
 
--- a/quota_gateway/fault_bench/stand_ins.py
+++ b/quota_gateway/fault_bench/stand_ins.py
@@ -1,6 +1,7 @@
-"""What gateways meet, behind loopback sockets: servers that speak RESP2, discovery over HTTP.
+"""Stand-ins on loopback sockets for what gateways connect to: servers (RESP2) and discovery (HTTP).
 
-How a server behaves is the lab's model, on a real clock; here is only the wire.
+Only the protocols are implemented here. How a server behaves comes from the simulation's model, run on a real
+clock.
 """
 
 from __future__ import annotations
@@ -19,15 +20,15 @@
 from quota_gateway import api
 from quota_gateway.fault_bench import records
 from quota_gateway.fault_bench.history import History
-from quota_gateway.fault_bench.relay import Address, pair_of
+from quota_gateway.fault_bench.relay import Address, relayed_connection_of
 from quota_gateway.simulation.models import Job, Meter, Server
 from quota_gateway.simulation.world import PlanConfig, World
 
 log = logging.getLogger(__name__)
 
-BEAT_S = 2.0  # an empty line on each watch so often
-LINES = {api.Status.ERROR: b"-ERR failed\r\n", api.Status.OVERLOADED: b"-BUSY\r\n"}
-LIFECYCLE = {
+HEARTBEAT_INTERVAL_S = 2.0  # between the empty lines that discovery writes to each watch
+ERROR_REPLIES = {api.Status.ERROR: b"-ERR failed\r\n", api.Status.OVERLOADED: b"-BUSY\r\n"}
+LIFECYCLE_NAMES = {
     api.ServerState.READY: "Ready",
     api.ServerState.DRAINING: "Terminating",
     api.ServerState.REMOVED: "Gone",
@@ -35,68 +36,74 @@
 
 
 class Clock:
-    """Real milliseconds since the bench's beginning, with the loop's timers; for the simulation's models."""
+    """Real time for the simulation's models: milliseconds since the bench's start, and the loop's timers."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.begun = self.loop.time()
-        self.wall = time.time() * 1000.0  # Unix time of the beginning
+        self.start_s = self.loop.time()
+        self.start_unix_ms = time.time() * 1000.0
 
     @property
     def now(self) -> float:
-        """Milliseconds since the beginning."""
-        return (self.loop.time() - self.begun) * 1000.0
+        """Milliseconds since the bench's start."""
+        return (self.loop.time() - self.start_s) * 1000.0
 
     def after(self, delay: float, call: Callable[..., None], *arguments: Any) -> None:
-        """Call this after so many milliseconds."""
+        """Call this after a delay in milliseconds."""
         self.loop.call_later(max(0.0, delay) / 1000.0, call, *arguments)
 
 
 class Meters:
-    """Each customer's use over all gateways: one meter, whichever server is asked."""
+    """Meters each customer's use over all gateways and servers."""
 
     def __init__(self, world: World, clock: Clock) -> None:
         self.world = world
         self.clock = clock
         self.tariffs = {plan.name: plan for plan in world.plans}
-        self.of: dict[str, Meter] = {}
-        self.counted: set[str] = set()  # ids: a request's first attempt takes its units
+        self.by_customer: dict[str, Meter] = {}
+        self.counted_requests: set[str] = set()  # ids of requests; only a request's first attempt is metered
 
-    def count(self, request: str, plan: str, customer: str, units: float) -> float:
-        """The figure that the answer carries."""
-        meter = self.of.get(customer)
+    def count(self, request_id: str, plan: str, customer: str, units: float) -> float:
+        """Meter an attempt, if its request is new; the customer's use that the server's answer reports."""
+        meter = self.by_customer.get(customer)
         if meter is None:
             tariff: PlanConfig = self.tariffs[plan]
-            meter = self.of[customer] = Meter(tariff, self.world.meter_period_ms, self.world.meter_delay_ms)
-        if request not in self.counted:
-            self.counted.add(request)
+            meter = self.by_customer[customer] = Meter(
+                tariff, self.world.meter_period_ms, self.world.meter_delay_ms
+            )
+        if request_id not in self.counted_requests:
+            self.counted_requests.add(request_id)
             meter.add(units, self.clock.now)
         return meter.reported_percent(self.clock.now)
 
 
-class StandIn:
-    """One server: a listener, its connections, the model behind them."""
+class StandInServer:
+    """One server: its listener, its connections, and the model that decides how it answers."""
 
     def __init__(
-        self, name: str, model: Server, meters: Meters, history: History, draw: np.random.Generator
+        self, name: str, model: Server, meters: Meters, history: History, random: np.random.Generator
     ) -> None:
         self.name = name
         self.model = model
         self.meters = meters
         self.history = history
-        self.draw = draw
+        self.random = random
         self.kinds = {kind.name: kind for kind in meters.world.classes}
-        self.attempts: dict[str, int] = {}  # numbers given, by request
-        self.connections: set[Wire] = set()
+        self.attempts: dict[str, int] = {}  # arrived so far, by request id; they number the attempts
+        self.connections: set[ServerConnection] = set()
         self.server: asyncio.Server | None = None
-        self.mute = False  # takes all in and says nothing
+        self.mute = False  # accepts commands and answers none
 
-    async def listen(self, at: Address) -> None:
-        """Raises OSError where the address is taken."""
-        self.server = await asyncio.get_running_loop().create_server(lambda: Wire(self), *at, backlog=1024)
+    async def listen(self, listen_address: Address) -> None:
+        """Start listening. Raises OSError if the address is taken."""
+        self.server = await asyncio.get_running_loop().create_server(
+            lambda: ServerConnection(self), *listen_address, backlog=1024
+        )
 
-    def take(self, words: list[bytes], wire: Wire, answer: Callable[[bytes], None]) -> Job | None:
-        """A command has come whole; None where it is none."""
+    def accept_command(
+        self, words: list[bytes], connection: ServerConnection, answer: Callable[[bytes], None]
+    ) -> Job | None:
+        """Pass a complete command to the model; None, and a -SYNTAX answer, if it is malformed."""
         try:
             fields = dict(part.split("=", 1) for part in words[3].decode().split(","))
             request = words[2].decode()
@@ -108,45 +115,45 @@
             answer(b"-SYNTAX\r\n")
             return None
         number = self.attempts[request] = self.attempts.get(request, 0) + 1
-        work = kind.mean_work_ms * float(self.draw.exponential())
+        work = kind.mean_work_ms * float(self.random.exponential())
         clock = self.model.clock
-        pair = pair_of(wire.transport) if wire.transport else None
-        gateway = pair.link.name.partition(">")[0] if pair else ""
+        relayed_connection = relayed_connection_of(connection.transport) if connection.transport else None
+        gateway = relayed_connection.link.name.partition(">")[0] if relayed_connection else ""
         self.history.add(records.AttemptArrived(clock.now, request, number, self.name, gateway, work))
         used = self.meters.count(request, plan, customer, units)
 
         def done(status: api.Status) -> None:
             self.history.add(records.AttemptLeft(clock.now, f"{request}@{self.name}", number, status.value))
             if status is api.Status.RESET:
-                wire.abort()
+                connection.abort()
             elif not self.mute:
-                answer(LINES.get(status) or _good(words[2], used))
+                answer(ERROR_REPLIES.get(status) or _value_reply(words[2], used))
 
         job = Job(work, done)
         self.model.take(job)
         return job
 
     def close(self) -> None:
-        """At the end."""
+        """Stop listening and abort all connections."""
         if self.server:
             self.server.close()
-        for wire in list(self.connections):
-            wire.abort()
+        for connection in list(self.connections):
+            connection.abort()
 
 
-def _good(value: bytes, used: float) -> bytes:
-    figures = b"used=%d" % round(used)
-    return b"*3\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$-1\r\n" % (len(value), value, len(figures), figures)
+def _value_reply(value: bytes, used: float) -> bytes:
+    load_fields = b"used=%d" % round(used)
+    return b"*3\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$-1\r\n" % (len(value), value, len(load_fields), load_fields)
 
 
-class Wire(asyncio.Protocol):
-    """A connection to a server; answers go out in the order of the commands."""
+class ServerConnection(asyncio.Protocol):
+    """A connection that a server accepted; answers are sent in the order of the commands."""
 
-    def __init__(self, server: StandIn) -> None:
+    def __init__(self, server: StandInServer) -> None:
         self.server = server
         self.reader = hiredis.Reader()
         self.transport: asyncio.Transport | None = None
-        self.slots: deque[list[bytes]] = deque()
+        self.reply_slots: deque[list[bytes]] = deque()  # one a command; empty until it is answered
         self.jobs: set[Job] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -159,30 +166,30 @@
         try:
             self.reader.feed(data)
             while (words := self.reader.gets()) is not False:
-                self._take(words)
+                self._accept_command(words)
         except hiredis.ProtocolError:
             self.abort()
 
-    def _take(self, words: Any) -> None:
-        slot: list[bytes] = []
-        self.slots.append(slot)
+    def _accept_command(self, words: Any) -> None:
+        reply_slot: list[bytes] = []
+        self.reply_slots.append(reply_slot)
 
-        def answer(line: bytes) -> None:
-            slot.append(line)
-            while self.slots and self.slots[0]:
-                self._write(self.slots.popleft()[0])
+        def answer(reply: bytes) -> None:
+            reply_slot.append(reply)
+            while self.reply_slots and self.reply_slots[0]:
+                self._write_reply(self.reply_slots.popleft()[0])
 
         if not isinstance(words, list):
             answer(b"-SYNTAX\r\n")
-        elif job := self.server.take(words, self, answer):
+        elif job := self.server.accept_command(words, self, answer):
             self.jobs.add(job)
 
-    def _write(self, line: bytes) -> None:
+    def _write_reply(self, reply: bytes) -> None:
         if self.transport and not self.transport.is_closing():
-            self.transport.write(line)
+            self.transport.write(reply)
 
     def abort(self) -> None:
-        """The process is gone: its connections are reset."""
+        """Abort the connection, as the kernel does when the server's process ends."""
         if self.transport:
             self.transport.abort()
 
@@ -190,81 +197,88 @@
         """Called by the event loop once the connection has ended."""
         self.server.connections.discard(self)
         for job in self.jobs:
-            job.is_abandoned = True  # nobody waits: what has not begun never will
+            job.is_abandoned = True  # nobody waits for the answer: a job that has not begun is never run
 
 
 class Discovery:
-    """Holds the list, and tells each gateway the servers' addresses as that gateway has them."""
+    """The discovery stand-in: holds the list of servers and streams its changes to the gateways.
+
+    Each gateway gets its own addresses of the servers: those of its links to them.
+    """
 
     def __init__(
         self,
         clock: Clock,
         history: History,
-        late_ms: float,
+        mean_delay_ms: float,
         random: np.random.Generator,
-        addresses: Callable[[str, str], Address],
+        address_of: Callable[[str, str], Address],
     ) -> None:
         self.clock = clock
         self.history = history
-        self.late_ms = late_ms
+        self.mean_delay_ms = mean_delay_ms
         self.random = random
-        self.addresses = addresses  # of a server, for a gateway
-        self.entries: dict[str, tuple[api.ServerEntry, float]] = {}  # by name, with the last start
+        self.address_of = address_of  # by gateway and server
+        self.entries: dict[str, tuple[api.ServerEntry, float]] = {}  # by server, with its last start
         self.generation = 1
         self.calls = 0
-        self.away = 0  # faults that want it down
-        self.ahead_ms = 0.0  # of its clock
+        self.outage_count = 0  # faults that make discovery fail now
+        self.clock_ahead_ms = 0.0
         self.watches: set[Watch] = set()
         self.server: asyncio.Server | None = None
 
-    async def listen(self, at: Address) -> None:
-        """Raises OSError where the address is taken."""
-        self.server = await asyncio.get_running_loop().create_server(lambda: Watch(self), *at, backlog=1024)
-        self.clock.after(1000.0 * BEAT_S, self._beat)
+    async def listen(self, listen_address: Address) -> None:
+        """Start listening. Raises OSError if the address is taken."""
+        self.server = await asyncio.get_running_loop().create_server(
+            lambda: Watch(self), *listen_address, backlog=1024
+        )
+        self.clock.after(1000.0 * HEARTBEAT_INTERVAL_S, self._send_heartbeats)
 
     def set(self, name: str, entry: api.ServerEntry, started: float) -> None:
-        """A server as it is from now on; each gateway hears of it a little later, in its own time."""
+        """Add or change a server; each watching gateway is notified after a random delay of its own."""
         self.entries[name] = (entry, started)
         self.generation += 1
         for watch in list(self.watches):
-            self.clock.after(self.late_ms * 2.0 * float(self.random.random()), watch.tell, [name])
+            self.clock.after(self.mean_delay_ms * 2.0 * float(self.random.random()), watch.notify, [name])
 
     def document(self, gateway: str, names: list[str], reset: bool) -> dict[str, Any]:
-        """A list in discovery's form."""
+        """The servers of these names as a JSON document of discovery; ``reset``: they are the whole list."""
         return {
             "generation": self.generation,
             "reset": reset,
-            "instances": [self._row(gateway, name) for name in names],
+            "instances": [self._instance(gateway, name) for name in names],
         }
 
-    def _row(self, gateway: str, name: str) -> dict[str, Any]:
+    def _instance(self, gateway: str, name: str) -> dict[str, Any]:
         (entry, started) = self.entries[name]
-        (host, port) = self.addresses(gateway, name)
+        (host, port) = self.address_of(gateway, name)
         return {
             "instanceId": name,
             "hostPort": f"{host}:{port}",
             "zone": entry.zone,
             "machineType": "m1",
             "cell": entry.cell,
-            "lifecycle": LIFECYCLE[entry.state],
+            "lifecycle": LIFECYCLE_NAMES[entry.state],
             "weight": entry.size,
-            "startedAtMs": round(self.clock.wall + self.ahead_ms + started) if started > 0.0 else 0,
+            "startedAtMs": round(self.clock.start_unix_ms + self.clock_ahead_ms + started)
+            if started > 0.0
+            else 0,
         }
 
     def fail(self, on: bool) -> None:
-        """Discovery goes away, or comes back."""
-        self.away = max(0, self.away + (1 if on else -1))
-        if self.away:
+        """Make discovery fail and abort all watches, or undo one such call."""
+        self.outage_count = max(0, self.outage_count + (1 if on else -1))
+        if self.outage_count:
             for watch in list(self.watches):
                 watch.abort()
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         for watch in list(self.watches):
-            watch.line(b"\n")
-        self.clock.after(1000.0 * BEAT_S, self._beat)
+            watch.write_chunk(b"\n")
+        self.clock.after(1000.0 * HEARTBEAT_INTERVAL_S, self._send_heartbeats)
 
     def close(self) -> None:
-        """At the end."""
+        """Stop listening and abort all watches."""
         if self.server:
             self.server.close()
         for watch in list(self.watches):
@@ -272,12 +286,12 @@
 
 
 class Watch(asyncio.Protocol):
-    """A gateway's watch."""
+    """A gateway's request for the list of servers; its response is a stream of changes that doesn't end."""
 
     def __init__(self, discovery: Discovery) -> None:
         self.discovery = discovery
         self.gateway = ""
-        self.head = b""
+        self.request_head = b""
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -286,13 +300,13 @@
 
     def data_received(self, data: bytes) -> None:
         """Called by the event loop with bytes from the peer."""
-        self.head += data
-        if b"\r\n\r\n" not in self.head or self in self.discovery.watches or self.transport is None:
+        self.request_head += data
+        if b"\r\n\r\n" not in self.request_head or self in self.discovery.watches or self.transport is None:
             return
-        pair = pair_of(self.transport)
-        self.gateway = pair.link.name.partition(">")[0] if pair else ""
+        relayed_connection = relayed_connection_of(self.transport)
+        self.gateway = relayed_connection.link.name.partition(">")[0] if relayed_connection else ""
         self.discovery.calls += 1
-        if self.discovery.away or not self.gateway:
+        if self.discovery.outage_count or not self.gateway:
             self.transport.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             self.transport.close()
             return
@@ -300,32 +314,32 @@
             b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
         )
         self.discovery.watches.add(self)
-        if b"from=%d " % self.discovery.generation not in self.head.split(b"\r\n")[0]:
-            self.tell(list(self.discovery.entries), True)
+        if b"from=%d " % self.discovery.generation not in self.request_head.split(b"\r\n")[0]:
+            self.notify(list(self.discovery.entries), True)
 
-    def tell(self, names: list[str], reset: bool = False) -> None:
-        """Write these servers; they count as told once the way is clear."""
+    def notify(self, names: list[str], reset: bool = False) -> None:
+        """Write these servers; they are recorded as notified once the link lets data through."""
         if self not in self.discovery.watches or self.transport is None:
             return
         discovery = self.discovery
         states = [(name, discovery.entries[name][0].state.value) for name in names]
-        self.line(json.dumps(discovery.document(self.gateway, names, reset)).encode() + b"\n")
+        self.write_chunk(json.dumps(discovery.document(self.gateway, names, reset)).encode() + b"\n")
 
-        def told() -> None:
+        def record_notified() -> None:
             for name, state in states:
                 discovery.history.add(records.GatewayNotified(discovery.clock.now, self.gateway, name, state))
 
-        pair = pair_of(self.transport)
-        if pair:
-            pair.when_clear(told)
+        relayed_connection = relayed_connection_of(self.transport)
+        if relayed_connection:
+            relayed_connection.call_when_deliverable(record_notified)
 
-    def line(self, data: bytes) -> None:
-        """A chunk."""
+    def write_chunk(self, data: bytes) -> None:
+        """Write one chunk of the response."""
         if self.transport and not self.transport.is_closing():
             self.transport.write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def abort(self) -> None:
-        """End it."""
+        """Close the connection at once."""
         if self.transport:
             self.transport.abort()
 
--- a/quota_gateway/fault_bench/timeline.py
+++ b/quota_gateway/fault_bench/timeline.py
@@ -11,7 +11,7 @@
 from quota_gateway.fault_bench.relay import Link
 from quota_gateway.fault_bench.rollouts import Rollouts
 from quota_gateway.fault_bench.scenario import CONDITION, CONTROLLER, OF_LINK, OF_SERVER, Step
-from quota_gateway.fault_bench.undo import Undo, nothing
+from quota_gateway.fault_bench.undo import Undo, undo_nothing
 
 POLL_INTERVAL_S = 0.005  # between two looks at a step's condition
 
@@ -126,7 +126,7 @@
         if step.do == "rollout":
             for name in on:
                 self._begin(name)
-            return nothing
+            return undo_nothing
         if on == [CONTROLLER]:
             return self._controller(step)
         if step.do == "call":
@@ -137,7 +137,7 @@
         for name in gateways:
             answer = await self.bench.call_admin(name, step.line)
             self._note(number, step, [name], said=answer or "nothing")
-        return nothing
+        return undo_nothing
 
     async def _disturb_processes(self, step: Step, gateways: list[str]) -> Undo:
         undos = [await process_faults.carry_out(step, self.bench.managed_gateways[name]) for name in gateways]
--- a/quota_gateway/fault_bench/undo.py
+++ b/quota_gateway/fault_bench/undo.py
@@ -1,4 +1,4 @@
-"""How a step of the timeline is undone."""
+"""The type of the calls that undo a step of the timeline."""
 
 from __future__ import annotations
 
@@ -7,5 +7,5 @@
 Undo = Callable[[], Awaitable[None]]
 
 
-async def nothing() -> None:
-    """There is nothing to undo."""
+async def undo_nothing() -> None:
+    """Undo a step that leaves nothing to undo."""
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -268,7 +268,7 @@
             pass
 
     async def connect(self) -> Peer:
-        return await Peer().open(self.rig.links["clients>g0"].at[1], self.rig.host)
+        return await Peer().open(self.rig.links["clients>g0"].listen_address[1], self.rig.host)
 
 
 def run_supervised(tmp_path, case, seconds=30.0):
@@ -352,7 +352,7 @@
         member.process.signal(signal.SIGKILL)
         await member.process.child.wait()
         assert await client_at_rest.ask(call_of(2)) == b"0000000000000002"
-        await member.start(place=0)
+        await member.start(admin_index=0)
         await gateway.rig.until(lambda: '"serving": true' in member.log())
         assert await gateway.pid() == before
         os.kill(before, signal.SIGKILL)
--- a/tests/test_fault_bench.py
+++ b/tests/test_fault_bench.py
@@ -31,7 +31,7 @@
 from quota_gateway.fault_bench.history import read as read_history
 from quota_gateway.fault_bench.processes import Program
 from quota_gateway.fault_bench.referee import judge
-from quota_gateway.fault_bench.relay import Link, pair_of
+from quota_gateway.fault_bench.relay import Link, relayed_connection_of
 from quota_gateway.fault_bench.scenario import Scenario, Step, load
 from quota_gateway.fault_bench.timeline import Timeline
 from quota_gateway.settings_reader import settings_document, settings_from
@@ -377,16 +377,16 @@
         loop = asyncio.get_running_loop()
 
         async def peer():
-            return await Peer().open(link.at[1], host)
+            return await Peer().open(link.listen_address[1], host)
 
         one = await peer()
         assert (await one.ask(resp("X", "1")))[0] == b"1"
-        assert pair_of(server.writers[0].transport).link is link
-        link.ways["up"].delay = 0.05
+        assert relayed_connection_of(server.writers[0].transport).link is link
+        link.impairments["up"].delay = 0.05
         before = loop.time()
         assert (await one.ask(resp("X", "2")))[0] == b"2"
         assert loop.time() - before >= 0.05
-        link.ways["up"].delay = 0.0
+        link.impairments["up"].delay = 0.0
 
         link.silence("down")
         one.send(resp("X", "3"))
@@ -399,7 +399,7 @@
         link.silence("both", False)
         assert [(await one.reply())[0] for _ in range(2)] == [b"3", b"4"]  # held, not lost
 
-        link.ways["down"].cut = 6
+        link.impairments["down"].bytes_until_reset = 6
         one.send(resp("X", "5"))
         assert await one.reader.readexactly(6) == array(b"5")[:6]
         with pytest.raises(ConnectionResetError):
@@ -415,7 +415,7 @@
         await link.refuse(False)
         three = await peer()
         three.writer.close()
-        while link.pairs:
+        while link.connections:
             await asyncio.sleep(0.005)
         link.close()
 
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -35,7 +35,7 @@
 def test_successor_that_hangs_is_killed_and_its_connections_are_taken_back(tmp_path):
     async def case(bench, gateway):
         old = gateway.process
-        idle = await Peer().open(bench.links["clients>g0"].at[1], bench.host)
+        idle = await Peer().open(bench.links["clients>g0"].listen_address[1], bench.host)
         assert await idle.ask(call_of(1)) == b"0000000000000001"
         new = await gateway.start()
         assert await gateway.ready(new)
@@ -55,7 +55,9 @@
 
 def test_untouched_connections_survive_the_successors_death_and_others_are_closed(tmp_path):
     async def case(bench, gateway):
-        untouched, used = [await Peer().open(bench.links["clients>g0"].at[1], bench.host) for _ in range(2)]
+        untouched, used = [
+            await Peer().open(bench.links["clients>g0"].listen_address[1], bench.host) for _ in range(2)
+        ]
         for number, peer in enumerate((untouched, used)):
             assert await peer.ask(call_of(number)) == b"%016x" % number
         new = await gateway.start()
@@ -76,7 +78,7 @@
         assert await gateway.ready(new)
         assert not old.alive
         assert "the predecessor hangs" in gateway.log()
-        peer = await Peer().open(bench.links["clients>g0"].at[1], bench.host)
+        peer = await Peer().open(bench.links["clients>g0"].listen_address[1], bench.host)
         assert await peer.ask(call_of(1)) == b"0000000000000001"
 
     run_beside_load(tmp_path, case)
@@ -111,7 +113,7 @@
 
 def test_connection_closed_by_the_successor_is_closed_for_its_client(tmp_path):
     async def case(bench, gateway):
-        peer = await Peer().open(bench.links["clients>g0"].at[1], bench.host)
+        peer = await Peer().open(bench.links["clients>g0"].listen_address[1], bench.host)
         assert await peer.ask(call_of(1)) == b"0000000000000001"
         new = await gateway.start()
         assert await gateway.ready(new)
