--- a/quota_gateway/rollout/__main__.py
+++ b/quota_gateway/rollout/__main__.py
@@ -14,7 +14,7 @@
 
 from quota_gateway.rollout import journal
 from quota_gateway.rollout.admin_clients import FencedError
-from quota_gateway.rollout.canary_simulation import HARMS
+from quota_gateway.rollout.canary_simulation import CHANGE_EFFECTS
 from quota_gateway.rollout.controller import Controller
 from quota_gateway.rollout.journal_records import Outcome
 from quota_gateway.rollout.operator_commands import OperatorCommand, OperatorCommandFile
@@ -150,7 +150,7 @@
     default=2000,
     show_default=True,
     type=click.IntRange(1, 100_000),
-    help="simulated rollouts for each harm",
+    help="simulated rollouts for each effect",
 )
 @click.option(
     "--members",
@@ -165,13 +165,13 @@
     "requests_per_s",
     default=20.0,
     show_default=True,
-    help="mean requests per second and member",
+    help="median of the members' requests per second",
 )
 @click.option(
     "--harm",
     "harms",
     multiple=True,
-    type=click.Choice(list(HARMS)),
+    type=click.Choice(list(CHANGE_EFFECTS)),
     help="what the simulated change does to changed members; repeatable; default: all",
 )
 def trial(rollouts: int, targets: int, requests_per_s: float, harms: tuple[str, ...]) -> None:
@@ -180,7 +180,7 @@
     Prints how often the canary analysis stops a harmless change, and how soon it stops a harmful one. The
     rollouts are simulated in virtual time, on all cores; no gateway is needed.
     """
-    table = simulation_table(harms or tuple(HARMS), rollouts, targets, requests_per_s)
+    table = simulation_table(harms or tuple(CHANGE_EFFECTS), rollouts, targets, requests_per_s)
     Console(width=SIMULATION_TABLE_WIDTH).print(table)
 
 
--- a/quota_gateway/rollout/canary_limits.py
+++ b/quota_gateway/rollout/canary_limits.py
@@ -1,4 +1,7 @@
-"""What a canary analysis compares, and how much worse the changed targets may be: TOML table ``worse``."""
+"""Which measures a canary analysis compares, and how much worse canary targets may do.
+
+In a plan file these are the keys of the TOML table ``worse``.
+"""
 
 from __future__ import annotations
 
@@ -12,17 +15,20 @@
 
 
 class Measure(StrEnum):
-    """A share of the answered requests; the values stand in plans and in journals."""
+    """A kind of request whose share of the answered requests is compared.
+
+    The values are used in plans and journals.
+    """
 
     REJECTED = "refused"
     FAILED = "failed"
-    LATE = "late"  # served after the latency objective
-    SLOW = "slow"  # slower than nine tenths were before the change
-    RETRIED = "resent"  # attempts beyond the first
+    LATE = "late"  # served, but later than the latency objective
+    SLOW = "slow"  # served, and slower than 90% of the requests before the change
+    RETRIED = "resent"  # attempts beyond each request's first
 
 
 TOLERANCE_FACTORS = {
-    Measure.SLOW: 2.0,  # a tenth is slow by definition, so that its share is known less precisely
+    Measure.SLOW: 2.0,  # 10% of the requests are slow by definition, so the share is less precise
 }
 
 
@@ -35,11 +41,13 @@
     """When a stage counts as worse.
 
     Attributes:
-        measures: what is compared.
-        false_stop_ratio: chance that a harmless change is rolled back, over the whole rollout.
-        detected_ratio: difference of shares that is found soonest.
-        tolerance_ratio: a stage passes only if no share can be worse by more.
-        memory_mb: a changed target's peak memory may grow by this much more than the others, in MiB.
+        measures: the measures that are compared.
+        false_stop_ratio: upper bound of the chance that a harmless change is rolled back, over the whole
+            rollout.
+        detected_ratio: difference of shares that the analysis is tuned to find soonest.
+        tolerance_ratio: a stage passes only once an increase of any share beyond this is ruled out.
+        memory_mb: a canary target's peak memory may grow by this much more than that of any control target,
+            in MiB.
     """
 
     measures: Annotated[tuple[Measure, ...], Meta(min_length=1)] = tuple(Measure)
--- a/quota_gateway/rollout/canary_simulation.py
+++ b/quota_gateway/rollout/canary_simulation.py
@@ -1,7 +1,7 @@
-"""How often the canary analysis is wrong, and how soon it is right: rollouts in virtual time.
+"""Simulates rollouts in virtual time, to find out how often the canary analysis errs and how soon it decides.
 
-The targets are made up: they are uneven, their windows vary more than counts of independent requests would,
-and all share their bad seconds.
+The targets are synthetic: their traffic and their shares of rejected requests differ, their windows vary more
+than counts of independent requests would, and some seconds are worse for all targets at the same time.
 """
 
 from __future__ import annotations
@@ -22,44 +22,48 @@
 from quota_gateway.rollout.figures import FiguresWindow
 
 WINDOW_S = 1.0
-REJECTED_RATIO = 0.03  # of the requests, in the mean of the targets
-TARGETS_SIGMA = 0.6  # standard deviation of the logarithm of the targets' rates and of their shares
-COMMON_SIGMA = 0.3  # the same, of the seconds that all targets share
-OWN_SIGMA = 0.2  # the same, of each target's own seconds
+REJECTED_RATIO = 0.03  # median over the targets of the rejected share of the requests
+# Standard deviations of logarithms (all factors are log-normal):
+TARGETS_SIGMA = 0.6  # of the targets' request rates and of their rejected shares
+COMMON_SIGMA = 0.3  # of the factor of each second that applies to all targets
+OWN_SIGMA = 0.2  # of the factor of each second that applies to one target
 LATENCY_MS_LOG_MEAN = 3.0
 LATENCY_MS_LOG_SIGMA = 0.8
 
 
 @dataclass(frozen=True, slots=True)
-class Harm:
-    """What the change does.
+class ChangeEffect:
+    """The effect of a simulated change on the changed targets.
 
     Attributes:
-        rejected_ratio: so many more of the requests are rejected.
-        slower_ratio: latencies grow by this share.
+        rejected_ratio: additional share of the requests that is rejected.
+        slower_ratio: share by which latencies grow.
     """
 
     rejected_ratio: float = 0.0
     slower_ratio: float = 0.0
 
 
-HARMS = {
-    "nothing": Harm(),
-    "1% more refused": Harm(0.01),
-    "2% more refused": Harm(0.02),
-    "5% more refused": Harm(0.05),
-    "10% more refused": Harm(0.1),
-    "10% slower": Harm(0.0, 0.1),
-    "30% slower": Harm(0.0, 0.3),
+CHANGE_EFFECTS = {
+    "nothing": ChangeEffect(),
+    "1% more refused": ChangeEffect(0.01),
+    "2% more refused": ChangeEffect(0.02),
+    "5% more refused": ChangeEffect(0.05),
+    "10% more refused": ChangeEffect(0.1),
+    "10% slower": ChangeEffect(0.0, 0.1),
+    "30% slower": ChangeEffect(0.0, 0.3),
 }
 
 
 @dataclass(frozen=True, slots=True)
 class SimulationResult:
-    """A simulated rollout: its last verdict, at which stage and after how long.
+    """How a simulated rollout ended.
 
     Attributes:
-        changed_requests: that changed targets received until then.
+        verdict: the last one.
+        stage: at which it was given.
+        duration_s: simulated time until then.
+        changed_requests: requests that changed targets received until then.
     """
 
     verdict: Verdict
@@ -70,15 +74,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SimulationPlan:
-    """The plan of a simulated rollout.
+    """The plan of a simulated rollout; fields that a real plan has, too, are described in `plan.Plan`.
 
     Attributes:
-        stage_sizes: targets that are changed by the end of each stage.
+        effect: of the change.
+        targets: their number.
+        requests_per_s: median of the targets' rates.
+        stage_sizes: number of targets that are changed by the end of each stage.
+        limits: when a stage counts as worse.
     """
 
-    harm: Harm
+    effect: ChangeEffect
     targets: int
-    requests_per_s: float  # of a target
+    requests_per_s: float
     stage_sizes: tuple[int, ...]
     watch_s: float = 20.0
     max_watch_s: float = 300.0
@@ -87,7 +95,7 @@
 
 
 class SimulatedFleet:
-    """Targets that answer requests."""
+    """Synthetic targets that answer requests."""
 
     def __init__(self, generator: np.random.Generator, targets: int, requests_per_s: float) -> None:
         self.generator = generator
@@ -95,17 +103,17 @@
         self.rates = requests_per_s * generator.lognormal(0.0, TARGETS_SIGMA, targets)
         self.rejected_ratios = REJECTED_RATIO * generator.lognormal(0.0, TARGETS_SIGMA, targets)
 
-    def next_windows(self, changed: Set[str], harm: Harm) -> Iterator[tuple[str, FiguresWindow]]:
-        """Each target's next window."""
+    def next_windows(self, changed: Set[str], effect: ChangeEffect) -> Iterator[tuple[str, FiguresWindow]]:
+        """Generate each target's next window."""
         common_factor = self.generator.lognormal(0.0, COMMON_SIGMA)
-        unharmed = Harm()
+        no_effect = ChangeEffect()
         for position, name in enumerate(self.names):
-            yield name, self._window(position, common_factor, harm if name in changed else unharmed)
+            yield name, self._window(position, common_factor, effect if name in changed else no_effect)
 
-    def _window(self, position: int, common_factor: float, harm: Harm) -> FiguresWindow:
+    def _window(self, position: int, common_factor: float, effect: ChangeEffect) -> FiguresWindow:
         requests = int(self.generator.poisson(self.rates[position] * WINDOW_S))
         own_factor = self.generator.lognormal(0.0, OWN_SIGMA)
-        rejected_ratio = self.rejected_ratios[position] * common_factor * own_factor + harm.rejected_ratio
+        rejected_ratio = self.rejected_ratios[position] * common_factor * own_factor + effect.rejected_ratio
         rejected = int(self.generator.binomial(requests, min(1.0, rejected_ratio)))
         served = requests - rejected
         return FiguresWindow(
@@ -113,19 +121,19 @@
             served=served,
             rejected=rejected,
             attempts=requests,
-            latency_buckets=self._latency_buckets(served, harm),
+            latency_buckets=self._latency_buckets(served, effect),
         )
 
-    def _latency_buckets(self, served: int, harm: Harm) -> dict[int, int]:
+    def _latency_buckets(self, served: int, effect: ChangeEffect) -> dict[int, int]:
         latencies_ms = self.generator.lognormal(LATENCY_MS_LOG_MEAN, LATENCY_MS_LOG_SIGMA, served)
-        latencies_ms *= 1.0 + harm.slower_ratio
+        latencies_ms *= 1.0 + effect.slower_ratio
         buckets = (LATENCY_BUCKETS_PER_DOUBLING * np.log2(np.maximum(1.0, latencies_ms))).astype(int)
         counts = np.bincount(np.clip(buckets, 0, MAX_LATENCY_BUCKET))
         return {int(bucket): int(counts[bucket]) for bucket in np.flatnonzero(counts)}
 
 
 class SimulatedRollout:
-    """One rollout, polled once a window."""
+    """One simulated rollout; all targets are polled once per window."""
 
     def __init__(self, seed: int, plan: SimulationPlan) -> None:
         self.plan = plan
@@ -134,7 +142,7 @@
         self.changed_requests = 0
 
     def run(self) -> SimulationResult:
-        """Run to the end, or to the first stage that does not pass."""
+        """Run all stages, or as far as the first one that does not pass."""
         names = self.fleet.names
         verdict = Verdict.PASSED
         last_stage = 0
@@ -142,15 +150,15 @@
         for stage, size in enumerate(self.plan.stage_sizes):
             last_stage = stage
             changed = set(names[:size])
-            judged = changed if size < len(names) else changed - already_changed
-            verdict = self._run_stage(already_changed, changed, judged)
+            canary = changed if size < len(names) else changed - already_changed
+            verdict = self._run_stage(already_changed, changed, canary)
             if verdict is not Verdict.PASSED:
                 break
             already_changed = changed
         return SimulationResult(verdict, last_stage, self.duration_s, self.changed_requests)
 
-    def _run_stage(self, already_changed: Set[str], changed: Set[str], judged: Set[str]) -> Verdict:
-        analysis = self._measure(already_changed, judged)
+    def _run_stage(self, already_changed: Set[str], changed: Set[str], canary: Set[str]) -> Verdict:
+        analysis = self._measure_baseline(already_changed, canary)
         watched_s = 0.0
         while watched_s < self.plan.max_watch_s:
             watched_s += WINDOW_S
@@ -163,8 +171,8 @@
                 return verdict
         return Verdict.UNDECIDED
 
-    def _measure(self, already_changed: Set[str], judged: Set[str]) -> CanaryAnalysis:
-        """Measure until the baseline is sufficient, as the controller does."""
+    def _measure_baseline(self, already_changed: Set[str], canary: Set[str]) -> CanaryAnalysis:
+        """Measure the baseline until it is sufficient or the time is up, as `StageRunner.measure` does."""
         windows: dict[str, list[FiguresWindow]] = {name: [] for name in self.fleet.names}
         measured_s = 0.0
         next_check_s = self.plan.watch_s
@@ -175,21 +183,30 @@
             if measured_s < next_check_s:
                 continue
             next_check_s = min(BASELINE_GROWTH_RATIO * measured_s, self.plan.max_watch_s)
-            baseline = measure_baseline(judged, windows)
+            baseline = measure_baseline(canary, windows)
             stages = len(self.plan.stage_sizes)
-            analysis = CanaryAnalysis(judged, baseline, self.plan.limits, stages, self.plan.min_requests)
+            analysis = CanaryAnalysis(canary, baseline, self.plan.limits, stages, self.plan.min_requests)
             if analysis.is_baseline_sufficient() or measured_s >= self.plan.max_watch_s:
                 return analysis
 
     def _next_windows(self, changed: Set[str]) -> Iterator[tuple[str, FiguresWindow]]:
         self.duration_s += WINDOW_S
-        for name, window in self.fleet.next_windows(changed, self.plan.harm):
+        for name, window in self.fleet.next_windows(changed, self.plan.effect):
             if name in changed:
                 self.changed_requests += window.requests
             yield name, window
 
 
-def simulate_rollout(harm: str, targets: int, requests_per_s: float, seed: int) -> SimulationResult:
-    """A rollout over so many targets of so many requests a second each, by the plan's own defaults."""
+def simulate_rollout(effect: str, targets: int, requests_per_s: float, seed: int) -> SimulationResult:
+    """Simulate one rollout with the default settings of `SimulationPlan`.
+
+    Args:
+        effect: of the change, a key of `CHANGE_EFFECTS`.
+        targets: their number.
+        requests_per_s: median of the targets' rates.
+        seed: of the random numbers.
+    """
     stage_sizes = tuple(sorted({1, max(1, targets // 10), targets // 2, targets}))
-    return SimulatedRollout(seed, SimulationPlan(HARMS[harm], targets, requests_per_s, stage_sizes)).run()
+    return SimulatedRollout(
+        seed, SimulationPlan(CHANGE_EFFECTS[effect], targets, requests_per_s, stage_sizes)
+    ).run()
--- a/quota_gateway/rollout/concurrency_rule.py
+++ b/quota_gateway/rollout/concurrency_rule.py
@@ -1,4 +1,4 @@
-"""Which targets may be changed at the same time."""
+"""Decides which targets may be changed at the same time."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 class ConcurrencyRule:
     """Chooses the targets to change next, while others are being changed.
 
-    Guards against a change that takes away all gateways of a zone or of a customer at once, which would show
-    as rejections there. Holds because a target that would complete such a set waits until another is done.
-    Customers are served by consecutive gateways, in the order of the plan's targets.
+    Never lets all gateways of a zone or of a customer be changed at once, as that would cause rejections
+    there: a target that would complete such a set waits until another one is done. A customer is served by
+    consecutive gateways, in the order of the plan's targets.
     """
 
     def __init__(self, plan: Plan) -> None:
@@ -40,12 +40,12 @@
         return chosen
 
     def _empties_zone(self, name: str, unavailable: set[str]) -> bool:
-        """Whether all of its zone would be unavailable; a zone of one target can't be spared."""
+        """Whether a target's whole zone would be unavailable; never true for a zone of one target."""
         members = self.zone_members[self.zones[name]]
         return len(members) > 1 and members <= unavailable
 
     def _empties_customer_set(self, name: str, unavailable: set[str]) -> bool:
-        """Whether all gateways of some customer would be unavailable."""
+        """Whether all gateways of a customer that a target serves would be unavailable."""
         count = len(self.names)
         position = self.positions[name]
         return any(
--- a/quota_gateway/rollout/figures.py
+++ b/quota_gateway/rollout/figures.py
@@ -23,12 +23,12 @@
 
 
 class ProcessChangedError(RolloutError):
-    """Two reports are of different processes, so that their difference means nothing."""
+    """Two reports come from different processes, so their counts can't be subtracted."""
 
 
 @dataclass(frozen=True, slots=True)
 class FiguresWindow:
-    """How much a gateway's counts grew between two polls, or those of several gateways together."""
+    """How much the counts of a gateway, or of several gateways together, grew between two polls."""
 
     requests: int = 0
     served: int = 0
@@ -45,7 +45,7 @@
 
 
 class GatewayFigures(Struct, frozen=True, rename=JSON_KEYS):
-    """A report: the counts of one gateway process since its start.
+    """A gateway's report: the counts of its process since the start of that process.
 
     The keys and the latency buckets are those of `net.metrics`; buckets count served requests only.
     `client_left`, `dropped`, `unanswered`, `broken_off`, `in_flight`, `config_digest` and
@@ -58,27 +58,29 @@
     rejected: int = 0
     failed: int = 0
     client_left: int = 0
-    dropped: dict[str, int] = {}  # the gateway closed the connection, by its reason
+    dropped: dict[str, int] = {}  # by reason: the gateway closed the connection
     unanswered: int = 0
-    broken_off: int = 0  # served, but the rest of a long value never came
+    broken_off: int = 0  # served, but the rest of a long value was never received
     late: int = 0  # served after the latency objective
     attempts: int = 0
     in_flight: int = 0
     peak_memory_kib: int = 0  # largest resident set since the start
     config_digest: str = ""
-    program: str = ""  # folder of the version that runs
+    program: str = ""  # folder of the program version that runs
     started_at_s: float = 0.0
     rejections_by_reason: dict[str, int] = {}
     latency_buckets: dict[int, int] = {}  # requests by bucket
 
     def since(self, earlier: GatewayFigures) -> FiguresWindow:
-        """The window between an earlier report and this one.
+        """Growth of the counts between an earlier report and this one.
 
         Raises:
             ProcessChangedError: the process was restarted between the two.
         """
         if earlier.pid != self.pid or earlier.started_at_s != self.started_at_s:
-            raise ProcessChangedError(f"process {self.pid} was {earlier.pid} in the report before")
+            raise ProcessChangedError(
+                f"process {self.pid} replaced process {earlier.pid} since the earlier report"
+            )
         return FiguresWindow(
             requests=self.requests - earlier.requests,
             served=self.served - earlier.served,
@@ -94,7 +96,7 @@
 
 
 def sum_of_windows(windows: Sequence[FiguresWindow]) -> FiguresWindow:
-    """Several gateways' windows of the same moment, added up."""
+    """Sum of several gateways' windows between the same two polls."""
     return FiguresWindow(
         requests=sum(window.requests for window in windows),
         served=sum(window.served for window in windows),
--- a/quota_gateway/rollout/fleet_metrics.py
+++ b/quota_gateway/rollout/fleet_metrics.py
@@ -1,4 +1,4 @@
-"""Reads all targets' figures, poll by poll, and keeps what the checks of a stage need."""
+"""Polls the figures of all targets and keeps those that the checks of a stage need."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
     """The targets' latest figures.
 
     Attributes:
-        latest: by target, its last report.
-        first: by target, its first report since the watch began.
-        unreachable_since_s: by target that does not answer, since when, by the event loop's clock.
+        latest: the last report of each target.
+        first: the report of each target when the watch began; missing where it did not answer then.
+        unreachable_since_s: for each target that does not answer, the event loop's time of the first poll
+            that failed.
     """
 
     def __init__(self, targets: Sequence[str], clients: AdminClients) -> None:
@@ -27,17 +28,19 @@
         self.unreachable_since_s: dict[str, float] = {}
 
     async def begin_watch(self) -> None:
-        """Forget what was read before, and read the reports that a watch starts from."""
+        """Discard earlier reports, and read those that the watch of a stage compares later ones with."""
         self.latest.clear()
         self.unreachable_since_s.clear()
         await self.read()
         self.first = dict(self.latest)
 
     async def read(self) -> dict[str, FiguresWindow]:
-        """Read all; the window since the report before of each that answers and is the same process.
+        """Read the figures of all targets; return the growth since the previous read by target.
+
+        Targets that do not answer, that were not read before or that were restarted since are left out.
 
         Raises:
-            FencedError: another controller has taken over.
+            FencedError: another controller has called with a higher token.
         """
         reports = await asyncio.gather(*map(self.clients.figures, self.targets), return_exceptions=True)
         now_s = asyncio.get_running_loop().time()
@@ -56,8 +59,8 @@
                     windows[name] = report.since(earlier)
         return windows
 
-    def pid_at_first(self, target: str) -> int:
-        """Its process when the watch began; the present one where it did not answer then."""
+    def pid_at_watch_start(self, target: str) -> int:
+        """A target's process id when the watch began; the latest one if it did not answer then."""
         return self.first.get(target, self.latest[target]).pid
 
     def peak_memory_growth_kib(self) -> dict[str, int]:
--- a/quota_gateway/rollout/launcher.py
+++ b/quota_gateway/rollout/launcher.py
@@ -1,12 +1,15 @@
-"""The platform of a single machine: starts or ends a gateway's process. Other platforms owe the same.
+"""Starts and stops gateway processes on this machine for a program rollout.
 
-  start   exit code 0 once the process's admin endpoint answers: "started", or "running" where a process with
-          this admin address lives; else 1 and why, with nothing left behind
-  stop    exit code 0 once no process has this admin address: SIGTERM, then SIGKILL
-  both    reject a token below one that was seen, so that an outdated controller moves nothing
+A plan may name other commands for its platform; they must behave as these two do:
 
-A process holds a lock on the file of its admin address for as long as it lives, whoever started it. So two
-can't have one address, and a process id that the kernel has reused is never taken for it.
+  start   exits with 0 once the process's admin endpoint answers, and prints "started", or "running" if a
+          process with this admin address was running before. Else it exits with 1, prints the reason and
+          leaves no process behind.
+  stop    exits with 0 once no process has this admin address. It sends SIGTERM, then SIGKILL.
+  both    reject a token lower than one that was seen before, so that an outdated controller has no effect.
+
+A process holds a lock on the file of its admin address for as long as it lives, whoever started it. So no two
+processes can have the same address, and another process that was given the same process id is never stopped.
 """
 
 from __future__ import annotations
@@ -30,18 +33,18 @@
 
 FAILED_EXIT_CODE = 1
 POLL_INTERVAL_S = 0.02
-START_TIMEOUT_S = 20.0  # for an admin endpoint to answer
-# From SIGTERM to SIGKILL of one process: more than the 3.7 s at most that a gateway counts on, see
+START_TIMEOUT_S = 20.0  # until the admin endpoint answers
+# From SIGTERM to SIGKILL of one process: more than the 3.7 s that a gateway's shutdown takes at most, see
 # process/shutdown.py. The supervisor's 5.0 s (failover/supervisor.py) are for all its processes together.
 TERMINATION_GRACE_S = 4.5
 CALL_TIMEOUT_S = 1.0
-NUMBER_BYTES = 32  # of a file that holds a number, more than it can have
+NUMBER_BYTES = 32  # read of a file that holds a number: more than a number takes
 NO_PROCESS = -1
-ANSWER_STARTS = (ACCEPTED[:2].encode(), REJECTED[:2].encode())  # of the admin endpoint
+ANSWER_STARTS = (ACCEPTED[:2].encode(), REJECTED[:2].encode())  # of an admin endpoint's answer
 
 
 class RejectedError(click.ClickException):
-    """The command fails: printed on standard error, and the exit code is 1."""
+    """The command failed; click prints the message on standard error and exits with 1."""
 
     exit_code = FAILED_EXIT_CODE
 
@@ -51,7 +54,7 @@
 
 
 def _read_number(file: int) -> int:
-    """The number that a file holds; 0 where it is empty. Raises ValueError where it holds none."""
+    """The number in a file; 0 if the file is empty. Raises ValueError if the content is no number."""
     return int(os.pread(file, NUMBER_BYTES, 0) or b"0")
 
 
@@ -61,13 +64,17 @@
 
 @contextmanager
 def fenced_lock(runtime_folder: Path, token: int) -> Iterator[None]:
-    """Admit one caller at a time to a folder, and none with a token below one that was seen."""
+    """Hold a folder's lock, so that calls run one at a time; reject a token lower than one seen before.
+
+    Raises:
+        RejectedError: a call with a higher token came before.
+    """
     file = _open_file(runtime_folder / "launch")
     try:
         fcntl.flock(file, fcntl.LOCK_EX)
-        seen = _read_number(file)
-        if token < seen:
-            raise RejectedError(f"{OLDER_TOKEN}: {seen} has called")
+        highest_token = _read_number(file)
+        if token < highest_token:
+            raise RejectedError(f"{OLDER_TOKEN}: a call with token {highest_token} came before")
         _write_number(file, token)
         os.fsync(file)
         yield
@@ -75,8 +82,8 @@
         os.close(file)
 
 
-class ProcessSlot:
-    """An admin address, and the file that the process which has it keeps locked."""
+class AddressLock:
+    """An admin address and its lock file, which the process with that address keeps locked while it lives."""
 
     def __init__(self, runtime_folder: Path, admin_address: str) -> None:
         host, _, port = admin_address.rpartition(":")
@@ -84,28 +91,31 @@
         self.file = _open_file(runtime_folder / f"launch-{admin_address}")
 
     def acquire_if_free(self) -> bool:
-        """Whether no process has the address; then this one has it, and may pass the lock on."""
+        """Lock the address for this process unless another has it; whether that worked.
+
+        A child process can inherit the lock.
+        """
         with suppress(BlockingIOError):
             fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
             return True
         return False
 
-    def set_process(self, pid: int) -> None:
-        """Note the process that has the address."""
+    def write_process_id(self, pid: int) -> None:
+        """Write the id of the process that has the address into the lock file."""
         _write_number(self.file, pid)
 
-    def process_descriptor(self) -> int:
+    def open_pidfd(self) -> int:
         """A pidfd of the process that has the address; `NO_PROCESS` where there is none."""
         try:
-            descriptor = os.pidfd_open(_read_number(self.file))
-        except (OSError, ValueError):  # ended, or nothing was noted yet
+            pidfd = os.pidfd_open(_read_number(self.file))
+        except (OSError, ValueError):  # the process has ended, or no id was written yet
             return NO_PROCESS
-        if self.acquire_if_free():  # it has ended meanwhile: the process id may be another's by now
-            os.close(descriptor)
+        if self.acquire_if_free():  # the process has ended, and its id may belong to another one by now
+            os.close(pidfd)
             return NO_PROCESS
-        return descriptor
+        return pidfd
 
-    def answers(self) -> bool:
+    def is_answering(self) -> bool:
         """Whether an admin endpoint answers at the address."""
         try:
             with socket.create_connection(self.address, CALL_TIMEOUT_S) as connection:
@@ -114,11 +124,14 @@
         except OSError:
             return False
 
-    def wait_until_it_answers(self, child: subprocess.Popen[bytes] | None = None) -> bool:
-        """Wait for the admin endpoint; false where the child ends before, or where it takes too long."""
-        end_s = time.monotonic() + START_TIMEOUT_S
-        while time.monotonic() < end_s and (child is None or child.poll() is None):
-            if self.answers():
+    def wait_until_answering(self, child: subprocess.Popen[bytes] | None = None) -> bool:
+        """Wait until the admin endpoint answers.
+
+        Returns false if the child ends before, or after `START_TIMEOUT_S`.
+        """
+        deadline_s = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline_s and (child is None or child.poll() is None):
+            if self.is_answering():
                 return True
             time.sleep(POLL_INTERVAL_S)
         return False
@@ -126,15 +139,15 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayCommand:
-    """How a gateway's process is run.
+    """How to run a gateway's process.
 
     Attributes:
         name: the gateway's name.
         admin_address: ``host:port`` of the process's admin endpoint.
-        config_path: its configuration file; its log stands beside it.
-        runtime_folder: its TMPDIR.
-        program_folder: where the version stands.
-        command: the shell command that runs it there.
+        config_path: the gateway's configuration file; the log is written beside it.
+        runtime_folder: the process's TMPDIR.
+        program_folder: folder of the program version; the command is run in it.
+        command: the shell command that runs the gateway.
     """
 
     name: str
@@ -146,11 +159,11 @@
 
     @property
     def log_path(self) -> Path:
-        """The file that its output is appended to."""
+        """The file that the process's output is appended to."""
         return self.config_path.with_name(self.config_path.name + ".log")
 
-    def spawn(self, slot: ProcessSlot) -> subprocess.Popen[bytes]:
-        """Start the process; it inherits the slot's lock."""
+    def spawn(self, address_lock: AddressLock) -> subprocess.Popen[bytes]:
+        """Start the process; it inherits the lock of the address."""
         environment = {
             **os.environ,
             "EDGE_CONFIG": str(self.config_path.resolve()),
@@ -167,36 +180,44 @@
                 stdout=log,
                 stderr=log,
                 start_new_session=True,
-                pass_fds=(slot.file,),
+                pass_fds=(address_lock.file,),
             )
-        slot.set_process(child.pid)
+        address_lock.write_process_id(child.pid)
         return child
 
 
 def start_process(gateway: GatewayCommand) -> str:
-    """Start a process unless one lives; what was found. Raises RejectedError."""
-    slot = ProcessSlot(gateway.runtime_folder, gateway.admin_address)
-    if not slot.acquire_if_free():
-        if not slot.wait_until_it_answers():
-            raise RejectedError(f"a process has {gateway.admin_address} and says nothing")
+    """Start a gateway's process unless one with its admin address lives, and wait until it answers.
+
+    Returns `STARTED` or `RUNNING`.
+
+    Raises:
+        RejectedError: the process does not answer; one that was started here has been killed.
+    """
+    address_lock = AddressLock(gateway.runtime_folder, gateway.admin_address)
+    if not address_lock.acquire_if_free():
+        if not address_lock.wait_until_answering():
+            raise RejectedError(f"a process has locked {gateway.admin_address}, but does not answer there")
         return RUNNING
-    child = gateway.spawn(slot)
-    if not slot.wait_until_it_answers(child):
+    child = gateway.spawn(address_lock)
+    if not address_lock.wait_until_answering(child):
         child.kill()
         child.wait()
-        raise RejectedError(f"it ended with {child.returncode}: {last_line_of_log(gateway.log_path)}")
+        raise RejectedError(
+            f"process ended with exit code {child.returncode}: {last_line_of_log(gateway.log_path)}"
+        )
     return STARTED
 
 
-def stop_process(slot: ProcessSlot) -> str:
-    """End the process that has a slot, if there is one; what was found."""
-    process = slot.process_descriptor()
+def stop_process(address_lock: AddressLock) -> str:
+    """End the process that has an admin address, if there is one; the text to print."""
+    process = address_lock.open_pidfd()
     if process == NO_PROCESS:
-        return "nobody there"
+        return "no process has this admin address"
     signal.pidfd_send_signal(process, signal.SIGTERM)
-    end_s = time.monotonic() + TERMINATION_GRACE_S
-    while not slot.acquire_if_free():
-        if time.monotonic() > end_s:
+    deadline_s = time.monotonic() + TERMINATION_GRACE_S
+    while not address_lock.acquire_if_free():
+        if time.monotonic() > deadline_s:
             with suppress(ProcessLookupError):
                 signal.pidfd_send_signal(process, signal.SIGKILL)
         time.sleep(POLL_INTERVAL_S)
@@ -210,7 +231,7 @@
 
 @click.group()
 def main() -> None:
-    """Start or end a gateway's process on this machine, for a rollout."""
+    """Start or stop a gateway's process on this machine, for a rollout of another program version."""
 
 
 @main.command()
@@ -230,7 +251,14 @@
     command: str,
     config_path: Path,
 ) -> None:
-    """Start a process; its log stands beside its configuration, as FILE.log."""
+    """Start a gateway's process and wait until its admin endpoint answers.
+
+    --door is host:port of the admin endpoint. --tmp is the process's TMPDIR and also holds the lock files.
+    --token is the controller's token, --name the gateway's name. --command is a shell command that is run in
+    --folder. --config is the gateway's configuration file, FILE; output is appended to FILE.log.
+
+    Prints "started", or "running" if a process with this admin address runs already.
+    """
     gateway = GatewayCommand(name, admin_address, config_path, runtime_folder, program_folder, command)
     with fenced_lock(runtime_folder, token):
         click.echo(start_process(gateway))
@@ -241,9 +269,13 @@
 @click.option("--tmp", "runtime_folder", type=ExistingFolder, required=True)
 @click.option("--token", type=int, required=True)
 def stop(admin_address: str, runtime_folder: Path, token: int) -> None:
-    """End the process that has this door, if there is one."""
+    """Stop the gateway's process whose admin endpoint is at --door (host:port), if there is one.
+
+    --tmp is the process's TMPDIR, --token the controller's token. Sends SIGTERM, then SIGKILL if the process
+    does not end.
+    """
     with fenced_lock(runtime_folder, token):
-        click.echo(stop_process(ProcessSlot(runtime_folder, admin_address)))
+        click.echo(stop_process(AddressLock(runtime_folder, admin_address)))
 
 
 if __name__ == "__main__":
--- a/quota_gateway/rollout/platform_commands.py
+++ b/quota_gateway/rollout/platform_commands.py
@@ -1,4 +1,4 @@
-"""The platform that starts and ends a target's processes: commands of the plan, or of this machine."""
+"""Runs the commands that start and stop a target's processes: those of the plan, or the local launcher."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from quota_gateway.rollout.command_runner import CommandResult, run_command
 from quota_gateway.rollout.plan import Plan, ProgramChange, ProgramVersion, Target
 
-COMMAND_TIMEOUT_S = 30.0  # to start or to end a process
+COMMAND_TIMEOUT_S = 30.0  # for one start or stop command
 LAUNCHER = (sys.executable, "-m", "quota_gateway.rollout.launcher")
-LAUNCHER_SLOT = ("--door", "{door}", "--tmp", "{tmp}", "--token", "{token}")
-LAUNCHER_PROCESS = (
+LAUNCHER_ADDRESS_OPTIONS = ("--door", "{door}", "--tmp", "{tmp}", "--token", "{token}")
+LAUNCHER_PROCESS_OPTIONS = (
     "--name",
     "{name}",
     "--folder",
@@ -23,22 +23,24 @@
     "--config",
     "{config}",
 )
-LOCAL_START = (*LAUNCHER, "start", *LAUNCHER_SLOT, *LAUNCHER_PROCESS)
-LOCAL_STOP = (*LAUNCHER, "stop", *LAUNCHER_SLOT)
+LOCAL_START = (*LAUNCHER, "start", *LAUNCHER_ADDRESS_OPTIONS, *LAUNCHER_PROCESS_OPTIONS)
+LOCAL_STOP = (*LAUNCHER, "stop", *LAUNCHER_ADDRESS_OPTIONS)
 
 
 class PlatformFields(NamedTuple):
-    """What may stand in braces in the platform's commands, by the names that plans use; see docs/on-call.md.
+    """Fields that the words of the platform's commands may contain in braces, such as ``{name}``.
+
+    The names are those that plans use; see docs/on-call.md.
 
     Attributes:
-        name: the target's.
-        zone: the target's.
+        name: the target's name.
+        zone: the target's zone.
         door: address of the process's admin endpoint.
-        token: the controller's.
+        token: the controller's token.
         config: the target's configuration file.
         tmp: the TMPDIR that both processes of the target share.
-        folder: of the version.
-        command: of the version.
+        folder: folder of the program version.
+        command: shell command of the program version.
     """
 
     name: str
@@ -52,7 +54,10 @@
 
 
 class PlatformCommands:
-    """Runs the platform's commands. Each carries the token, so that an outdated controller moves nothing."""
+    """Runs the platform's commands.
+
+    Each gets the controller's token, so that the platform can reject an outdated controller.
+    """
 
     def __init__(self, plan: Plan, change: ProgramChange, token: int) -> None:
         self.plan = plan
@@ -61,7 +66,7 @@
         self.token = token
 
     async def start(self, target: Target, version: ProgramVersion, address: str) -> CommandResult:
-        """Start a process of a version with this admin address, unless one with it lives."""
+        """Start a process of a version with this admin address, unless a process with it lives."""
         return await self._run(self.start_command, target, version, address)
 
     async def stop(self, target: Target, version: ProgramVersion, address: str) -> CommandResult:
--- a/quota_gateway/rollout/rollout_log.py
+++ b/quota_gateway/rollout/rollout_log.py
@@ -37,8 +37,8 @@
     fields: dict[str, Any] = {"stage": stage, "why": result.reason}
     if result.evidence:
         fields["measure"] = result.evidence.measure
-        fields["changed"] = result.evidence.judged
-        fields["others"] = result.evidence.others
+        fields["changed"] = result.evidence.canary
+        fields["others"] = result.evidence.control
         fields["error"] = result.evidence.standard_error
     _log_event(event, **fields)
 
--- a/quota_gateway/rollout/sequential_test.py
+++ b/quota_gateway/rollout/sequential_test.py
@@ -1,8 +1,8 @@
 """A mixture sequential probability ratio test (a normal mixture over the difference, Robbins).
 
-Its error holds however often it is evaluated, so that a rollout may look at every poll. Differences are of
-shares (0 to 1) and variances are theirs; ``scale`` is the difference that is found soonest, and the threshold
-is the logarithm of a likelihood ratio.
+Its error probability holds however often it is evaluated, so a rollout may evaluate it at every poll. The
+functions take a difference of two shares (0 to 1) and the variance of that difference. ``scale`` is the
+difference that the test finds soonest, and ``threshold`` is the logarithm of a likelihood ratio.
 """
 
 from __future__ import annotations
@@ -11,15 +11,16 @@
 
 
 def log_threshold(false_stop_ratio: float, tests: int) -> float:
-    """The evidence that a test needs, where the error is shared by so many of them.
+    """The log likelihood ratio above which a difference is significant.
 
-    Halved, as only an increase counts.
+    The allowed error is divided evenly among ``tests`` tests. The factor 0.5 is there because only an
+    increase counts (one-sided test).
     """
     return log(0.5 * tests / false_stop_ratio)
 
 
 def log_likelihood_ratio(difference: float, variance: float, scale: float) -> float:
-    """Evidence for a positive difference against none; minus infinity where there is no such difference."""
+    """Log likelihood ratio of a positive difference against none; minus infinity unless it is positive."""
     if difference <= 0.0 or variance == inf:
         return -inf
     mixture_variance = scale * scale
@@ -29,7 +30,7 @@
 
 
 def upper_bound(difference: float, variance: float, scale: float, threshold: float) -> float:
-    """Upper end of the confidence sequence: holds the true difference at all evaluations at once."""
+    """Upper end of the confidence sequence, which holds the true difference at all evaluations at once."""
     if variance == inf:
         return inf
     mixture_variance = scale * scale
--- a/quota_gateway/rollout/target_checks.py
+++ b/quota_gateway/rollout/target_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the judged targets that need no statistics: a restart, memory, unreachability."""
+"""Checks canary targets for restarts, memory growth and unreachability, which need no statistics."""
 
 from __future__ import annotations
 
@@ -12,66 +12,69 @@
 
 
 class TargetChecks:
-    """The checks, made at every poll of a stage's watch."""
+    """Runs the checks; called at every poll while a stage is watched."""
 
     def __init__(self, context: RolloutContext) -> None:
         self.context = context
         self.metrics = context.metrics
 
-    async def evaluate(self, judged: Set[str]) -> CanaryResult | None:
-        """What the checks find about the judged targets; nothing where the canary analysis is to decide."""
+    async def evaluate(self, canary: Set[str]) -> CanaryResult | None:
+        """Check the canary targets; None if nothing was found and the canary analysis is to decide."""
         return (
-            await self._check_processes(judged)
-            or self._check_memory(judged)
-            or self._check_reachability(judged)
+            await self._check_processes(canary)
+            or self._check_memory(canary)
+            or self._check_reachability(canary)
         )
 
-    async def _check_processes(self, judged: Set[str]) -> CanaryResult | None:
-        """Blame the change for a restart or a failure, unless unchanged targets went at the same time.
+    async def _check_processes(self, canary: Set[str]) -> CanaryResult | None:
+        """Attribute a restart or a failure to the change, unless other targets fail at the same time.
 
-        A machine or a zone that goes takes unchanged targets, too: that is not the change's fault.
+        The failure of a machine or a zone affects other targets, too, and is not caused by the change.
         """
         restarted = self._restarted_pids()
         unreachable = self.metrics.unreachable_since_s.keys()
         reason = next(
             (
-                f"{name} has started anew, as process {restarted[name]}"
-                for name in sorted(restarted.keys() & judged)
+                f"{name} was restarted and is now process {restarted[name]}"
+                for name in sorted(restarted.keys() & canary)
             ),
             "",
         )
-        for name in sorted(unreachable & judged):
+        for name in sorted(unreachable & canary):
             reason = reason or await self.context.strategy.failure_of(name)
         if not reason:
             return None
-        others = sorted((restarted.keys() | unreachable) - judged)
+        others = sorted((restarted.keys() | unreachable) - canary)
         if others:
-            return CanaryResult(Verdict.COMMON_FAULT, f"{reason}; {', '.join(others)} went, too, unchanged")
+            return CanaryResult(
+                Verdict.COMMON_FAULT,
+                f"{reason}; {', '.join(others)} failed, too, outside the canary group",
+            )
         return CanaryResult(Verdict.WORSE, reason)
 
     def _restarted_pids(self) -> dict[str, int]:
-        """By target that is no longer the process that it was, its present process."""
+        """Process ids of the targets that were restarted since they were changed or the watch began."""
         found = {}
         for name, figures in self.metrics.latest.items():
-            expected = self.context.state.changed_pids.get(name) or self.metrics.pid_at_first(name)
+            expected = self.context.state.changed_pids.get(name) or self.metrics.pid_at_watch_start(name)
             if figures.pid != expected:
                 found[name] = figures.pid
         return found
 
-    def _check_memory(self, judged: Set[str]) -> CanaryResult | None:
+    def _check_memory(self, canary: Set[str]) -> CanaryResult | None:
         growth_kib = self.metrics.peak_memory_growth_kib()
-        others_kib = max((kib for name, kib in growth_kib.items() if name not in judged), default=0)
+        control_kib = max((kib for name, kib in growth_kib.items() if name not in canary), default=0)
         limit_kib = KIB_PER_MIB * self.context.plan.limits.memory_mb
-        for name in sorted(growth_kib.keys() & judged):
-            if growth_kib[name] - others_kib > limit_kib:
-                reason = f"{name} takes {growth_kib[name]} KiB more, others {others_kib} at most"
+        for name in sorted(growth_kib.keys() & canary):
+            if growth_kib[name] - control_kib > limit_kib:
+                reason = f"{name}: peak memory grew {growth_kib[name]} KiB, of others {control_kib} at most"
                 return CanaryResult(Verdict.WORSE, reason)
         return None
 
-    def _check_reachability(self, judged: Set[str]) -> CanaryResult | None:
+    def _check_reachability(self, canary: Set[str]) -> CanaryResult | None:
         now_s = asyncio.get_running_loop().time()
-        for name in sorted(judged):
+        for name in sorted(canary):
             unreachable_s = now_s - self.metrics.unreachable_since_s.get(name, now_s)
             if unreachable_s > self.context.plan.target_timeout_s:
-                return CanaryResult(Verdict.COMMON_FAULT, f"{name} can't be reached")
+                return CanaryResult(Verdict.COMMON_FAULT, f"{name}: admin endpoint can't be reached")
         return None
--- a/quota_gateway/rollout/window_counts.py
+++ b/quota_gateway/rollout/window_counts.py
@@ -1,7 +1,8 @@
-"""Counts of the compared measures, by window and by group, and how much windows vary.
+"""Counts what the canary analysis compares, by window and by group, and measures how much windows vary.
 
-Requests of one gateway fail together, so that windows vary more than independent requests would. The ratio of
-both, the dispersion, is measured before a change and widens the variance of every share afterwards.
+Requests of one gateway tend to fail together, so the counts of its windows vary more than those of
+independent requests. The ratio of the two variances, the dispersion, is measured before a change. The
+analysis multiplies the variance of every share after the change by it.
 """
 
 from __future__ import annotations
@@ -13,13 +14,14 @@
 from quota_gateway.rollout.canary_limits import Measure
 from quota_gateway.rollout.figures import FiguresWindow, sum_of_latency_buckets
 
-SLOW_QUANTILE_RATIO = 0.9  # of the latencies before a change are below the first slow bucket
-MIN_BLOCKS = 5  # of consecutive windows: a variance of fewer is too uncertain
-MIN_VARIANCE_SHARE = 1e-3  # a share below it has at least its variance: a few events are no proof
+SLOW_QUANTILE_RATIO = 0.9  # share of the latencies before a change that are below the first slow bucket
+MIN_BLOCKS = 5  # of consecutive windows: the variance of fewer blocks is too uncertain
+# Smaller shares are given the variance of this one, so that a few events do not count as significant.
+MIN_VARIANCE_SHARE = 1e-3
 
 
 def count_events(window: FiguresWindow, first_slow_bucket: int) -> dict[Measure, int]:
-    """Requests of a window that each measure counts."""
+    """Count the requests of a window that belong to each measure."""
     return {
         Measure.REJECTED: window.rejected,
         Measure.FAILED: window.failed,
@@ -32,7 +34,7 @@
 
 
 def first_slow_bucket(windows: Sequence[FiguresWindow]) -> int:
-    """The first latency bucket above nine tenths of the served requests."""
+    """The first latency bucket above 90% of the served requests."""
     counts = sum_of_latency_buckets(windows)
     remaining = SLOW_QUANTILE_RATIO * sum(counts.values())
     for bucket in sorted(counts):
@@ -44,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EventCount:
-    """Events of one measure among the answered requests of some windows."""
+    """Events (requests that a measure counts) among the answered requests of some windows."""
 
     events: int
     answered: int
@@ -58,7 +60,7 @@
     events: dict[Measure, int] = field(default_factory=lambda: dict.fromkeys(Measure, 0))
 
     def add(self, window: FiguresWindow, first_slow_bucket: int) -> None:
-        """Count a target's window."""
+        """Add a target's window to the counts."""
         self.answered += window.answered
         for measure, count in count_events(window, first_slow_bucket).items():
             self.events[measure] += count
@@ -79,14 +81,14 @@
 
 
 def request_variance(share: float) -> float:
-    """Variance of one request's outcome; it does not fall again for shares above a half."""
+    """Variance of one request's outcome; it does not fall again for shares above 0.5."""
     return share * (1.0 - min(share, 0.5))
 
 
 def count_windows(
     targets: Iterable[Sequence[FiguresWindow]], first_slow_bucket: int
 ) -> list[list[MeasureCounts]]:
-    """Each target's windows, counted."""
+    """Counts of each window, by target."""
     return [
         [MeasureCounts(window.answered, count_events(window, first_slow_bucket)) for window in windows]
         for windows in targets
@@ -94,10 +96,10 @@
 
 
 def dispersion(targets: Sequence[Sequence[MeasureCounts]], measure: Measure) -> float:
-    """Variance of windows, as a multiple of that of independent requests; at least 1.
+    """Variance of the windows as a multiple of that of independent requests; at least 1.
 
-    The largest over blocks of consecutive windows too, as long as enough blocks are left: bad seconds follow
-    each other.
+    Bad seconds tend to follow each other, so the dispersion is also computed over blocks of 2, 4, 8, ...
+    consecutive windows, as long as there are at least `MIN_BLOCKS` blocks. The result is the largest.
     """
     counts = [[window.of(measure) for window in windows] for windows in targets]
     longest = max(map(len, counts), default=0)
@@ -107,7 +109,7 @@
 
 
 def merge_blocks(windows: Sequence[EventCount], size: int) -> list[EventCount]:
-    """Each ``size`` consecutive windows as one; what is left over at the end is not used."""
+    """Merge each ``size`` consecutive windows into one; the remainder at the end is dropped."""
     if size == 1:
         return list(windows)
     blocks = [windows[start : start + size] for start in range(0, len(windows) - size + 1, size)]
@@ -118,7 +120,7 @@
 
 
 def _dispersion_ratio(targets: Sequence[Sequence[EventCount]]) -> float:
-    """Pearson's chi-squared statistic over its degrees of freedom; 1 without any."""
+    """Pearson's chi-squared statistic divided by its degrees of freedom; 1 if there are none."""
     chi_squared = 0.0
     degrees_of_freedom = 0
     for target in targets:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,7 @@
-"""The rollout: judge, plan and journal alone; the controller over real gateways, killed after each record."""
+"""Rollouts: the canary analysis, plan and journal by themselves, and the controller with real gateways.
+
+The controller is also killed after any of its journal records.
+"""
 
 import asyncio
 import json
@@ -26,7 +29,12 @@
 from quota_gateway.rollout.admin_clients import AdminClients, FencedError
 from quota_gateway.rollout.canary_analysis import CanaryAnalysis, Verdict, measure_baseline
 from quota_gateway.rollout.canary_limits import CanaryLimits
-from quota_gateway.rollout.canary_simulation import HARMS, SimulatedRollout, SimulationPlan, simulate_rollout
+from quota_gateway.rollout.canary_simulation import (
+    CHANGE_EFFECTS,
+    SimulatedRollout,
+    SimulationPlan,
+    simulate_rollout,
+)
 from quota_gateway.rollout.concurrency_rule import ConcurrencyRule
 from quota_gateway.rollout.figures import FiguresWindow, GatewayFigures
 from quota_gateway.rollout.plan import Plan, PlanError, Target
@@ -37,37 +45,37 @@
 # ---- The canary analysis
 
 
-def test_nothing_changed_is_seldom_blamed_and_harm_is_found():
-    """A harmless change is blamed, or a harmful one is not.
+def test_simulated_rollouts_seldom_stop_a_harmless_change_and_stop_a_harmful_one():
+    """A harmless change is rolled back, or a harmful one is not.
 
-    Users would wait for changes that are rolled back for nothing, or meet the harm at every gateway. The
-    chance of a false stop is bounded, also where the first target is ten times as busy as the others.
+    Customers would wait for changes that are rolled back without a cause, or meet the harm at every gateway.
+    The chance of a false stop is bounded, also if the first target has ten times the traffic of the others.
     """
 
-    def plays(harm, count):
-        return Counter(simulate_rollout(harm, 10, 20.0, seed).verdict for seed in range(count))
+    def count_verdicts(effect, count):
+        return Counter(simulate_rollout(effect, 10, 20.0, seed).verdict for seed in range(count))
 
-    assert plays("nothing", 30)[Verdict.WORSE] <= 2
-    assert plays("10% more refused", 10)[Verdict.WORSE] >= 8
+    assert count_verdicts("nothing", 30)[Verdict.WORSE] <= 2
+    assert count_verdicts("10% more refused", 10)[Verdict.WORSE] >= 8
 
-    def uneven(seed):  # the first to be changed has ten times the traffic
-        made = SimulatedRollout(seed, SimulationPlan(HARMS["nothing"], 10, 20.0, (1, 5, 10)))
-        made.fleet.rates[0] *= 10.0
-        return made.run().verdict
+    def run_with_busy_first_target(seed):  # the first target to be changed has ten times the traffic
+        rollout = SimulatedRollout(seed, SimulationPlan(CHANGE_EFFECTS["nothing"], 10, 20.0, (1, 5, 10)))
+        rollout.fleet.rates[0] *= 10.0
+        return rollout.run().verdict
 
-    assert sum(uneven(seed) is Verdict.WORSE for seed in range(15)) <= 1
+    assert sum(run_with_busy_first_target(seed) is Verdict.WORSE for seed in range(15)) <= 1
 
 
-def window(**more):
+def window(**changes):
     return FiguresWindow(
-        **{"requests": 100, "served": 100, "attempts": 100, "latency_buckets": {8: 90, 12: 10}, **more}
+        **{"requests": 100, "served": 100, "attempts": 100, "latency_buckets": {8: 90, 12: 10}, **changes}
     )
 
 
 @pytest.mark.parametrize(
-    ("changed", "others", "verdict", "reason"),
+    ("canary", "control", "verdict", "reason"),
     [
-        (window(), window(), Verdict.PASSED, "nothing worse"),
+        (window(), window(), Verdict.PASSED, "no measure is worse"),
         (window(served=70, rejected=30), window(), Verdict.WORSE, "refused"),
         (window(served=70, failed=30), window(), Verdict.WORSE, "failed"),
         (window(late=30), window(), Verdict.WORSE, "late"),
@@ -79,29 +87,27 @@
             window(served=70, rejected=30),
             Verdict.COMMON_FAULT,
             "refused",
-        ),  # the others', not the change's
+        ),  # only the other targets got worse
         (
             window(requests=1, served=1, attempts=1, latency_buckets={8: 1}),
             window(),
             Verdict.UNDECIDED,
-            "20 requests, want 200",
+            "20 requests answered, fewer than 200",
         ),
     ],
 )
-def test_a_measure_is_blamed_on_the_change_only_where_others_do_not_share_it(
-    changed, others, verdict, reason
-):
+def test_verdict_names_the_measure_that_grew_and_the_group_where_it_grew(canary, control, verdict, reason):
     before = {name: [window()] * 20 for name in ("a", "b", "c")}
     analysis = CanaryAnalysis({"a"}, measure_baseline({"a"}, before), CanaryLimits(), 1, 200)
     for _ in range(20):
         for name in before:
-            analysis.add(name, changed if name == "a" else others)
-    found = analysis.evaluate()
-    assert found.verdict is verdict
-    assert reason in found.reason
+            analysis.add(name, canary if name == "a" else control)
+    result = analysis.evaluate()
+    assert result.verdict is verdict
+    assert reason in result.reason
 
 
-# ---- What a rollout reads of a gateway
+# ---- What the controller reads from a gateway
 
 PRINTED_IN = {
     answers.OLDER_TOKEN: "net/admin.py",
@@ -113,58 +119,65 @@
 }
 
 
-@pytest.mark.parametrize(("words", "file"), PRINTED_IN.items())
-def test_words_that_decide_a_rollout_are_printed_by_the_gateway(words, file):
-    """A gateway's answer is reworded, and the rollout no longer knows it.
+@pytest.mark.parametrize(("text", "file"), PRINTED_IN.items())
+def test_texts_that_the_controller_depends_on_are_printed_by_the_gateway(text, file):
+    """A gateway's answer is reworded, and the controller does not recognise it any more.
 
-    A controller would go on after it was fenced, or roll a good change back.
+    It would continue after a newer controller has replaced it, or roll back a good change.
     """
-    assert words in (ROOT / "quota_gateway" / file).read_text()
+    assert text in (ROOT / "quota_gateway" / file).read_text()
 
 
-def test_figures_are_read_by_the_keys_that_the_gateway_reports():
-    """A key is renamed at one end only: the rollout would judge by zeros."""
+def test_controller_reads_figures_by_the_keys_that_the_gateway_reports():
+    """A key is renamed on one side only: the canary analysis would compare zeros."""
     reported = json.loads(GatewayMetrics().to_json(Counter(), 0, 0, ""))
-    assert {known.encode_name for known in msgspec.structs.fields(GatewayFigures)} == set(reported)
+    assert {field.encode_name for field in msgspec.structs.fields(GatewayFigures)} == set(reported)
 
 
 # ---- The plan
 
-MEMBERS = st.lists(st.sampled_from("abc"), min_size=2, max_size=40)
+ZONES = st.lists(st.sampled_from("abc"), min_size=2, max_size=40)
 
 
 @given(
-    MEMBERS,
+    ZONES,
     st.integers(1, 10),
     st.integers(2, 4),
     st.sampled_from(["share", "zone"]),
     st.randoms(use_true_random=False),
 )
 @settings(max_examples=150, deadline=None)
-def test_no_schedule_takes_more_out_at_once_than_is_stated_and_all_get_their_turn(
-    zones, at_once, spread, by, random
+def test_concurrency_rule_keeps_the_limit_spares_zones_and_customers_and_changes_all(
+    zones, max_concurrent, set_size, stage_by, random
 ):
-    names = [f"g{n}" for n in range(len(zones))]
-    members = tuple(Target(name, "h:1", "c", zone) for name, zone in zip(names, zones, strict=True))
-    plan = Plan("p", "j", members, "s", max_concurrent=at_once, customer_set_size=spread, stage_by=by)
+    names = [f"g{number}" for number in range(len(zones))]
+    targets = tuple(Target(name, "h:1", "c", zone) for name, zone in zip(names, zones, strict=True))
+    plan = Plan(
+        "p", "j", targets, "s", max_concurrent=max_concurrent, customer_set_size=set_size, stage_by=stage_by
+    )
     rule = ConcurrencyRule(plan)
     stages = plan.stages()
-    assert sorted(name for one in stages for name in one) == sorted(names)
+    assert sorted(name for stage in stages for name in stage) == sorted(names)
     for waiting in map(list, stages):
-        out: set[str] = set()
-        while waiting or out:
-            chosen = rule.next_to_change(waiting, out)
-            assert chosen or out, "nobody's turn comes"
+        changing: set[str] = set()
+        while waiting or changing:
+            chosen = rule.next_to_change(waiting, changing)
+            assert chosen or changing, "no waiting target may ever be changed"
             waiting = [name for name in waiting if name not in chosen]
-            out |= set(chosen)
-            assert len(out) <= at_once
+            changing |= set(chosen)
+            assert len(changing) <= max_concurrent
             for zone in set(zones):
-                mates = {name for name, its in zip(names, zones, strict=True) if its == zone}
-                assert len(mates) == 1 or not mates <= out
+                zone_targets = {
+                    name for name, target_zone in zip(names, zones, strict=True) if target_zone == zone
+                }
+                assert len(zone_targets) == 1 or not zone_targets <= changing
             for first in range(len(names)):
-                ring = {names[(first + n) % len(names)] for n in range(min(spread, len(names)))}
-                assert not ring <= out
-            out -= set(random.sample(sorted(out), random.randint(1, len(out))))  # some end, in any order
+                customer_set = {
+                    names[(first + offset) % len(names)] for offset in range(min(set_size, len(names)))
+                }
+                assert not customer_set <= changing
+            # Some are done, in any order.
+            changing -= set(random.sample(sorted(changing), random.randint(1, len(changing))))
 
 
 PLAN = """
@@ -179,7 +192,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "why"),
+    ("text", "replacement", "reason"),
     [
         ('name = "quota"', "", "name"),
         ('"h:1"', '"h:2"', "two members have door 'h:2'"),
@@ -194,77 +207,79 @@
         ('"h:2"', '"h:2", next_door = "h:1"', "two members have door 'h:1'"),
     ],
 )
-def test_file_that_is_no_plan_is_refused_with_its_fault(tmp_path, old, new, why):
+def test_faulty_plan_file_is_rejected_and_the_error_names_the_fault(tmp_path, text, replacement, reason):
     """An operator's plan has a fault.
 
-    A rollout would begin and fail in the middle. Instead the file is rejected with the place of its fault.
+    The rollout would begin and fail halfway. Instead the file is rejected, and the error says where the fault
+    is.
     """
-    assert old in PLAN
+    assert text in PLAN
     (tmp_path / "p.toml").write_text(PLAN)
     assert load(tmp_path / "p.toml").stages() == [["g0"], ["g1"]]
     example = load(ROOT / "examples" / "rollout" / "quota-up.toml")
     assert example.stages() == [["n0"], ["n2"], ["n1", "n3"]]
-    (tmp_path / "p.toml").write_text(PLAN.replace(old, new, 1))
-    with pytest.raises(PlanError, match="p.toml: ") as caught:
+    (tmp_path / "p.toml").write_text(PLAN.replace(text, replacement, 1))
+    with pytest.raises(PlanError, match="p.toml: ") as error:
         load(tmp_path / "p.toml")
-    assert why in str(caught.value)
+    assert reason in str(error.value)
 
 
 # ---- The journal
 
 
-def test_journal_cut_or_flipped_anywhere_is_read_up_to_its_last_whole_record(tmp_path):
-    """The controller's machine dies in the middle of a write, or a bit of the file flips.
+def test_journal_truncated_or_corrupted_anywhere_is_read_up_to_its_last_complete_record(tmp_path):
+    """The controller's machine fails during a write, or a bit of the journal flips.
 
-    The next controller would act on half a record, or on none. Instead it goes on after the last complete
-    one, with a token above that of the one before, even if the clock went back.
+    The next controller would act on half a record, or on none. Instead it continues after the last complete
+    record, with a token higher than that of the controller before, even if the clock went back.
     """
     path = tmp_path / "j"
-    held = journal.Journal(path, lambda: 5.0)
+    first = journal.Journal(path, lambda: 5.0)
     for name in ("g0", "g1", "g2"):
-        held.write(journal_records.TargetChanging(5.0, name))
+        first.write(journal_records.TargetChanging(5.0, name))
     with pytest.raises(journal.JournalError, match="another controller holds it"):
         journal.Journal(path)
-    held.close()
-    raw = path.read_bytes()
-    ends = [0] + [end for end, _ in journal.records(raw)]
+    first.close()
+    data = path.read_bytes()
+    ends = [0] + [end for end, _ in journal.records(data)]
     assert len(ends) == 5
-    assert ends[-1] == len(raw)
-    for at in range(len(raw)):
-        whole = max(n for n, end in enumerate(ends) if end <= at)
-        assert len(list(journal.records(raw[:at]))) == whole
-        flipped = raw[:at] + bytes([raw[at] ^ 4]) + raw[at + 1 :]
-        assert len(list(journal.records(flipped))) == whole
-    path.write_bytes(raw[:-3])
-    again = journal.Journal(path, lambda: 1.0)  # a clock that went back does not lower the token
-    assert again.state.attempted_targets == ["g0", "g1"]
-    assert again.state.token == 5001
-    again.write(journal_records.RolloutHalted(1.0, "x"))
-    again.close()
+    assert ends[-1] == len(data)
+    for offset in range(len(data)):
+        complete = max(number for number, end in enumerate(ends) if end <= offset)
+        assert len(list(journal.records(data[:offset]))) == complete
+        flipped = data[:offset] + bytes([data[offset] ^ 4]) + data[offset + 1 :]
+        assert len(list(journal.records(flipped))) == complete
+    path.write_bytes(data[:-3])
+    second = journal.Journal(path, lambda: 1.0)  # a clock that went back does not lower the token
+    assert second.state.attempted_targets == ["g0", "g1"]
+    assert second.state.token == 5001
+    second.write(journal_records.RolloutHalted(1.0, "x"))
+    second.close()
     assert journal.read(path).halt_reason == "x"
 
 
-# ---- The controller, over several processes
+# ---- The controller with real gateways, in several processes
 
-DIES = """
+# A controller that kills itself after it has written as many journal records as its first argument says.
+CRASHING_CONTROLLER = """
 import os, sys
 from quota_gateway.rollout import journal
 from quota_gateway.rollout.__main__ import main
-left, write = int(sys.argv.pop(1)), journal.Journal.write
+records_left, write = int(sys.argv.pop(1)), journal.Journal.write
 
-def dies(self, record):
-    global left
+def write_or_exit(self, record):
+    global records_left
     write(self, record)
-    left -= 1
-    if left == 0:
+    records_left -= 1
+    if records_left == 0:
         os._exit(9)
 
-journal.Journal.write = dies
+journal.Journal.write = write_or_exit
 main()
 """
 
 
-FAST = {
+FAST_PLAN = {
     "stages": [1, 1.0],
     "watch_s": 0.6,
     "longest_watch_s": 20.0,
@@ -273,62 +288,70 @@
     "least_requests": 20,
     "trial_s": 60,
 }
-WORSE = {"scale": 0.1, "tolerance": 0.3}
+LIMITS = {"scale": 0.1, "tolerance": 0.3}
 
 
-def version(folder: Path, words: str = "-m quota_gateway") -> Program:
-    return Program(folder, f"exec {sys.executable} {words}")
+def program_in(folder: Path, arguments: str = "-m quota_gateway") -> Program:
+    return Program(folder, f"exec {sys.executable} {arguments}")
 
 
-class Fleet(Rollouts):
-    """Real gateways under load, and plans that change their quotas or their program."""
+class RolloutFleet(Rollouts):
+    """Real gateways under load, and plans that change their quotas or their program.
 
-    def __init__(self, rig: FaultBench, folder: Path) -> None:
-        super().__init__(rig, folder)
-        self.asking = asyncio.get_running_loop().create_task(rig.load.run())
-        self.old = {name: member.config.read_bytes() for name, member in rig.managed_gateways.items()}
-        self.new: dict[str, bytes] = {}
+    Attributes:
+        load_task: sends the load.
+        old_files: each gateway's configuration file before the rollout.
+        new_files: each gateway's configuration file by the last settings plan.
+    """
 
-    def plan(self, refill: float, name: str = "p", **more) -> Path:
-        tariff = {"refill": refill, "most_at_once": min(40.0, 100.0 * refill)}
-        changes = {f"settings.tariffs.0.{field}": value for field, value in tariff.items()}
+    def __init__(self, bench: FaultBench, folder: Path) -> None:
+        super().__init__(bench, folder)
+        self.load_task = asyncio.get_running_loop().create_task(bench.load.run())
+        self.old_files = {
+            name: gateway.config.read_bytes() for name, gateway in bench.managed_gateways.items()
+        }
+        self.new_files: dict[str, bytes] = {}
+
+    def settings_plan(self, refill: float, name: str = "p", **more) -> Path:
+        tariff_changes = {"refill": refill, "most_at_once": min(40.0, 100.0 * refill)}
+        changes = {f"settings.tariffs.0.{field}": value for field, value in tariff_changes.items()}
         measures = ["refused" if refill < 1.0 else "failed"]
-        self.new = self.write_settings_plan(
-            name, changes, {**FAST, "worse": {**WORSE, "measures": measures}, **more}
+        self.new_files = self.write_settings_plan(
+            name, changes, {**FAST_PLAN, "worse": {**LIMITS, "measures": measures}, **more}
         )
         return self.plans[name]
 
-    def upgrade(
+    def program_plan(
         self, after: Program, before: Program | None = None, name: str = "p", measures=("failed",), **more
     ) -> Path:
-        fields = {**FAST, "worse": {**WORSE, "measures": measures}, **more}
-        self.write_program_plan(name, after, before or version(ROOT), fields)
+        fields = {**FAST_PLAN, "worse": {**LIMITS, "measures": measures}, **more}
+        self.write_program_plan(name, after, before or program_in(ROOT), fields)
         return self.plans[name]
 
-    async def start(self, plan: Path, dies_after: int = 0, call: str = "start"):
+    async def start(self, plan: Path, crash_after: int = 0, command: str = "start"):
         return await self.start_controller(
-            plan, call, ("-c", DIES, str(dies_after)) if dies_after else CONTROLLER
+            plan, command, ("-c", CRASHING_CONTROLLER, str(crash_after)) if crash_after else CONTROLLER
         )
 
-    async def to_end(self, plan: Path, dies_after: int = 0) -> int:
-        return await (await self.start(plan, dies_after)).wait()
+    async def run_to_end(self, plan: Path, crash_after: int = 0) -> int:
+        return await (await self.start(plan, crash_after)).wait()
 
-    async def seen(self, plan: Path, kind, member: str = "") -> None:
-        """Wait until the journal has such a record."""
+    async def wait_for_record(self, plan: Path, kind, target: str = "") -> None:
+        """Wait until a plan's journal has a record of a kind, about a target if one is given."""
 
-        def there() -> bool:
+        def is_written() -> bool:
             try:
                 history = journal.read(plan.with_suffix(".journal")).history
             except OSError:
                 return False
             return any(
-                isinstance(record, kind) and getattr(record, "target", member) == member for record in history
+                isinstance(record, kind) and getattr(record, "target", target) == target for record in history
             )
 
-        await self.bench.until(there)
+        await self.bench.until(is_written)
 
-    async def goes_by(self, files) -> bool:
-        """Whether all gateways go by these settings, and none is on trial."""
+    async def all_use(self, files) -> bool:
+        """Whether all gateways use these configuration files, and none has its file on trial."""
         for name in self.bench.managed_gateways:
             text = await self.bench.call_admin(name, "CONFIG")
             if f"digest {file_digest(files[name])}" not in text or "on trial" in text:
@@ -336,188 +359,214 @@
         return True
 
 
-def fleet(tmp_path, case, gateways: int = 3, kept: bool = True, may_break=(), program=None) -> None:
+def run_with_fleet(
+    tmp_path, case, gateways: int = 3, check_rules: bool = True, may_break=(), program=None
+) -> None:
+    """Run a case on the fault bench; at its end check the requests' outcomes and the referee's rules.
+
+    Args:
+        tmp_path: folder for all files.
+        case: coroutine function that is called with the `RolloutFleet`.
+        gateways: number of gateways.
+        check_rules: whether to check the rules.
+        may_break: rules that may be broken, and only by g0.
+        program: version that the gateways are started with.
+    """
+
     async def test():
         world = msgspec.structs.replace(SCENARIO.world, gateways=gateways, seconds=60.0)
         scenario = msgspec.structs.replace(SCENARIO, world=world, rate=200.0)
-        async with FaultBench(scenario, tmp_path / "rig", program=program or Program.of(ROOT)) as rig:
-            made = Fleet(rig, tmp_path)
-            await rig.until(lambda: rig.load.outcomes["ok"] > 300)  # what it learns at first is learned
+        async with FaultBench(scenario, tmp_path / "rig", program=program or Program.of(ROOT)) as bench:
+            fleet = RolloutFleet(bench, tmp_path)
+            # The gateways' learning at the start is over by then.
+            await bench.until(lambda: bench.load.outcomes["ok"] > 300)
             try:
-                await case(made)
+                await case(fleet)
             except BaseException:
-                print(made.log())
+                print(fleet.log())
                 raise
             finally:
-                await made.close()
-            rig.load.stop()
-            await made.asking
-            await rig.load.finish()
-            verdict = rig.verdict()
-            assert not rig.sums(verdict)
-            assert not kept or set(verdict.broken) <= set(may_break), verdict.told
-            # no other's
+                await fleet.close()
+            bench.load.stop()
+            await fleet.load_task
+            await bench.load.finish()
+            verdict = bench.verdict()
+            assert not bench.sums(verdict)
+            assert not check_rules or set(verdict.broken) <= set(may_break), verdict.told
+            # no other gateway breaks a rule
             assert not may_break or all("g0" in line for line in verdict.told), verdict.told
 
     run(test())
 
 
-def test_good_change_reaches_all_and_a_bad_one_goes_back_from_the_first_stage(tmp_path):
-    """A change that rejects requests is rolled out.
+def test_good_change_reaches_all_gateways_and_a_bad_one_is_rolled_back_in_the_first_stage(tmp_path):
+    """A change that makes gateways reject requests is rolled out.
 
-    Users of every gateway would be rejected. Instead it is rolled back from the one gateway of the first
-    stage, while a good change reaches all of them.
+    Requests would be rejected at every gateway. Instead the change is rolled back at the only gateway of the
+    first stage, while a good change reaches all of them.
     """
 
-    async def case(made: Fleet):
-        bad = made.plan(0.01, "bad")
-        assert await made.to_end(bad) == 1, made.log()
+    async def case(fleet: RolloutFleet):
+        bad = fleet.settings_plan(0.01, "bad")
+        assert await fleet.run_to_end(bad) == 1, fleet.log()
         state = journal.read(bad.with_suffix(".journal"))
         assert state.outcome == "back"
         assert state.attempted_targets == ["g0"]
         assert "refused" in state.rollback_reason
-        assert await made.goes_by(made.old)
-        assert made.bench.managed_gateways["g0"].config.read_bytes() == made.old["g0"]
-        good = made.plan(21.0, "good")
-        assert await made.to_end(good) == 0, made.log()
-        assert await made.goes_by(made.new)
+        assert await fleet.all_use(fleet.old_files)
+        assert fleet.bench.managed_gateways["g0"].config.read_bytes() == fleet.old_files["g0"]
+        good = fleet.settings_plan(21.0, "good")
+        assert await fleet.run_to_end(good) == 0, fleet.log()
+        assert await fleet.all_use(fleet.new_files)
         plan, state = load(good), journal.read(good.with_suffix(".journal"))
         assert set(target_standings(plan, state).values()) == {"kept"}
-        assert await made.to_end(good) == 0  # over is over
-        assert await made.to_end(made.plan(22.0, "good")) == 2  # another plan with the same journal
-        other, config = made.plan(23.0, "other"), made.bench.managed_gateways["g1"].config
-        config.write_bytes(made.old["g1"])  # by hand, and not told: begun only where all go by their files
-        assert await made.to_end(other) == 2
-        assert "g1 is on trial, or goes by" in made.log()
+        assert await fleet.run_to_end(good) == 0  # the rollout has ended, so nothing is done
+        # Another plan with the same journal.
+        assert await fleet.run_to_end(fleet.settings_plan(22.0, "good")) == 2
+        other, config = fleet.settings_plan(23.0, "other"), fleet.bench.managed_gateways["g1"].config
+        # Changed by hand and not reloaded: a rollout begins only if all gateways use their files.
+        config.write_bytes(fleet.old_files["g1"])
+        assert await fleet.run_to_end(other) == 2
+        assert "g1 is on trial, or goes by" in fleet.log()
 
-    fleet(tmp_path, case)
+    run_with_fleet(tmp_path, case)
 
 
-@pytest.mark.parametrize(("what", "end"), [(21.0, 0), (0.01, 1), ("fine", 0), ("refuses", 1)])
-def test_controller_killed_after_each_record_is_followed_by_one_to_the_end(tmp_path, what, end):
+@pytest.mark.parametrize(("change", "exit_code"), [(21.0, 0), (0.01, 1), ("fine", 0), ("refuses", 1)])
+def test_rollout_ends_the_same_if_the_controller_dies_after_each_record(tmp_path, change, exit_code):
     """The controller dies after any of its records.
 
-    Gateways would stay half changed, or be changed twice. Instead each next controller looks and does what
-    is missing, to the same end.
+    Gateways would remain half changed, or be changed twice. Instead each next controller checks the gateways
+    and does what is missing, and the rollout ends with the same result.
     """
 
-    async def case(made: Fleet):
-        settings, lives = isinstance(what, float), 0
-        new = next_version(tmp_path / "next", "fine" if settings else what)
+    async def case(fleet: RolloutFleet):
+        is_settings_change, crashes = isinstance(change, float), 0
+        new = next_version(tmp_path / "next", "fine" if is_settings_change else change)
         plan = (
-            made.plan(what)
-            if settings
-            else made.upgrade(new, measures=["refused" if end else "failed"], watch_s=1.0, settle_s=0.5)
+            fleet.settings_plan(change)
+            if is_settings_change
+            else fleet.program_plan(
+                new, measures=["refused" if exit_code else "failed"], watch_s=1.0, settle_s=0.5
+            )
         )
-        while (code := await made.to_end(plan, dies_after=2)) == 9:  # its token, and one record more
-            lives += 1
-            assert lives < 40, made.log()
+        # Two records: the controller's token and one more.
+        while (code := await fleet.run_to_end(plan, crash_after=2)) == 9:
+            crashes += 1
+            assert crashes < 40, fleet.log()
         state = journal.read(plan.with_suffix(".journal"))
-        assert code in (end, 9), made.log()
-        assert state.outcome == ("done" if end == 0 else "back"), made.log()
+        assert code in (exit_code, 9), fleet.log()
+        assert state.outcome == ("done" if exit_code == 0 else "back"), fleet.log()
         kinds = [type(record) for record in state.history]
-        assert lives >= len([kind for kind in kinds if kind is not journal_records.ControllerStarted]) - 1
-        if settings:
-            assert await made.goes_by(made.old if end else made.new)
+        assert crashes >= len([kind for kind in kinds if kind is not journal_records.ControllerStarted]) - 1
+        if is_settings_change:
+            assert await fleet.all_use(fleet.old_files if exit_code else fleet.new_files)
         else:
-            assert await run_by(made, ROOT if end else new.folder)
+            assert await all_run(fleet, ROOT if exit_code else new.folder)
 
-    fleet(tmp_path, case)
+    run_with_fleet(tmp_path, case)
 
 
-def test_controller_that_slept_past_anothers_takeover_does_nothing_when_it_wakes(tmp_path):
-    """A controller is stopped, taken for dead and followed by another; then it wakes.
+def test_suspended_controller_that_was_replaced_has_no_effect_when_it_continues(tmp_path):
+    """A controller is suspended, taken for dead and replaced by another; then it continues.
 
     Two controllers would change gateways at the same time. Instead the journal's lock and the higher token
-    leave the older one no effect.
+    of the new controller keep the old one from changing anything.
     """
 
-    async def case(made: Fleet):
-        first = made.plan(21.0, "first", watch_s=3.0)
-        sleeper = await made.start(first)
-        await made.seen(first, journal_records.TargetChanged, "g0")
-        sleeper.send_signal(signal.SIGSTOP)
-        assert await made.to_end(first) == 3  # the journal is held, asleep or not
-        assert await made.to_end(made.plan(21.0, "third")) == 2  # another rollout: one is on trial
-        second = made.plan(21.0, "first", watch_s=3.0, journal="second.journal")
+    async def case(fleet: RolloutFleet):
+        first = fleet.settings_plan(21.0, "first", watch_s=3.0)
+        suspended = await fleet.start(first)
+        await fleet.wait_for_record(first, journal_records.TargetChanged, "g0")
+        suspended.send_signal(signal.SIGSTOP)
+        assert await fleet.run_to_end(first) == 3  # the suspended controller holds the journal
+        # Another rollout is rejected, as a gateway is on trial.
+        assert await fleet.run_to_end(fleet.settings_plan(21.0, "third")) == 2
+        second = fleet.settings_plan(21.0, "first", watch_s=3.0, journal="second.journal")
         second = second.rename(second.with_name("second.toml"))
         second.with_suffix(".journal").write_bytes(first.with_suffix(".journal").read_bytes())
-        assert await made.to_end(second) == 0, made.log()
-        before = [await made.bench.call_admin(name, "CONFIG") for name in made.bench.managed_gateways]
+        assert await fleet.run_to_end(second) == 0, fleet.log()
+        before = [await fleet.bench.call_admin(name, "CONFIG") for name in fleet.bench.managed_gateways]
         first.write_bytes(second.read_bytes())
-        sleeper.send_signal(signal.SIGCONT)
-        assert await sleeper.wait() == 3, made.log()
-        assert [await made.bench.call_admin(name, "CONFIG") for name in made.bench.managed_gateways] == before
+        suspended.send_signal(signal.SIGCONT)
+        assert await suspended.wait() == 3, fleet.log()
+        assert [
+            await fleet.bench.call_admin(name, "CONFIG") for name in fleet.bench.managed_gateways
+        ] == before
         clients = AdminClients(load(second).targets, 5)
         with pytest.raises(FencedError):
             await clients.call("g1", "RELOAD")
 
-    fleet(tmp_path, case)
+    run_with_fleet(tmp_path, case)
 
 
-def test_member_killed_on_trial_stops_the_rollout_and_comes_back_as_before(tmp_path):
-    """A gateway dies under its new settings.
+def test_gateway_that_dies_on_trial_restarts_with_its_old_settings_and_all_is_rolled_back(tmp_path):
+    """A gateway dies with its new settings.
 
-    The settings that killed it would reach the others. Instead all is rolled back, and it starts as before.
+    The settings that killed it would reach the others. Instead the gateway starts with its old settings, and
+    the rollout is rolled back.
     """
 
-    async def case(made: Fleet):
-        plan, g0 = made.plan(21.0, watch_s=3.0), made.bench.managed_gateways["g0"]
-        running = await made.start(plan)
-        await made.seen(plan, journal_records.TargetChanged, "g0")
+    async def case(fleet: RolloutFleet):
+        plan, g0 = fleet.settings_plan(21.0, watch_s=3.0), fleet.bench.managed_gateways["g0"]
+        running = await fleet.start(plan)
+        await fleet.wait_for_record(plan, journal_records.TargetChanged, "g0")
         g0.signal(signal.SIGKILL)
         await g0.process.child.wait()
         assert await g0.ready(await g0.start())
-        assert await running.wait() == 1, made.log()
-        assert "has started anew" in journal.read(plan.with_suffix(".journal")).rollback_reason
-        assert await made.goes_by(made.old)
+        assert await running.wait() == 1, fleet.log()
+        assert "was restarted" in journal.read(plan.with_suffix(".journal")).rollback_reason
+        assert await fleet.all_use(fleet.old_files)
 
-    fleet(tmp_path, case, kept=False)  # the kill is not in the history
+    run_with_fleet(tmp_path, case, check_rules=False)  # the bench's history does not record the kill
 
 
-def test_partition_of_doors_is_waited_for_and_who_went_back_by_itself_is_changed_again(tmp_path):
+def test_rollout_waits_for_an_unreachable_gateway_and_repeats_a_change_whose_trial_ended(tmp_path):
     """The controller can't reach a gateway for a while, or dies so long that a trial ends.
 
     The rollout would fail, or go on with a gateway that does not have the change. Instead it waits, and
-    changes and watches again what went back.
+    changes and watches a gateway that went back once more.
     """
 
-    async def case(made: Fleet):
-        plan = made.plan(21.0, watch_s=1.5, stages=[2, 1.0])
+    async def case(fleet: RolloutFleet):
+        plan = fleet.settings_plan(21.0, watch_s=1.5, stages=[2, 1.0])
         names = load(plan).stages()[0]
-        running = await made.start(plan, dies_after=6)  # token, begun, baseline, changing or changed
-        await made.seen(plan, journal_records.RolloutStarted)
-        made.bench.links[f"doors>{names[1]}"].silence()
+        # Six records: token, start of the rollout, baseline, then targets changing or changed.
+        running = await fleet.start(plan, crash_after=6)
+        await fleet.wait_for_record(plan, journal_records.RolloutStarted)
+        fleet.bench.links[f"doors>{names[1]}"].silence()
         assert await running.wait() == 9
-        running = await made.start(plan)
+        running = await fleet.start(plan)
         await asyncio.sleep(1.0)
-        made.bench.links[f"doors>{names[1]}"].silence(on=False)
-        await made.seen(plan, journal_records.TargetChanged, names[1])
+        fleet.bench.links[f"doors>{names[1]}"].silence(on=False)
+        await fleet.wait_for_record(plan, journal_records.TargetChanged, names[1])
         running.kill()
         await running.wait()
-        assert (await made.bench.call_admin(names[0], "ROLLBACK")).startswith("YES")
-        made.bench.managed_gateways[names[1]].signal(
-            signal.SIGHUP
-        )  # by hand, in the middle: its file says the same
-        assert await made.to_end(plan) == 0, made.log()
-        assert await made.goes_by(made.new)
+        assert (await fleet.bench.call_admin(names[0], "ROLLBACK")).startswith("YES")
+        # An operator reloads the same file by hand in the middle of the rollout.
+        fleet.bench.managed_gateways[names[1]].signal(signal.SIGHUP)
+        assert await fleet.run_to_end(plan) == 0, fleet.log()
+        assert await fleet.all_use(fleet.new_files)
         history = journal.read(plan.with_suffix(".journal")).history
-        changed = Counter(r.target for r in history if isinstance(r, journal_records.TargetChanged))
+        changed = Counter(
+            record.target for record in history if isinstance(record, journal_records.TargetChanged)
+        )
         assert changed[names[0]] == 2
-        assert "went back by itself" in made.log()
+        assert "went back by itself" in fleet.log()
 
-    fleet(tmp_path, case)
+    run_with_fleet(tmp_path, case)
 
 
-def test_pause_holds_resume_goes_on_and_back_gives_up_who_is_away_by_name(tmp_path):
+def test_pause_keeps_trials_resume_continues_and_back_names_an_unreachable_gateway(tmp_path):
     """Operators pause a rollout, resume it, and roll it back while a gateway is unreachable.
 
-    A pause that ends trials would lose the change; a rollback that waits for ever would leave the others
-    changed. Instead trials are kept up, and the unreachable one is given up by name, its file restored.
+    If trials ended during a pause, the change would be lost; if a rollback waited for ever, the others would
+    stay changed. Instead trials are renewed, and the rollback gives the unreachable gateway up: its
+    file is restored, and the outcome names it.
     """
 
-    async def case(made: Fleet):
-        plan = made.plan(21.0, watch_s=1.0, longest_watch_s=2.0, member_s=2.0)
+    async def case(fleet: RolloutFleet):
+        plan = fleet.settings_plan(21.0, watch_s=1.0, longest_watch_s=2.0, member_s=2.0)
         assert (
             subprocess.run(
                 [sys.executable, "-m", "quota_gateway.rollout", "pause", plan],
@@ -526,36 +575,34 @@
                 check=False,
             ).returncode
             == 2
-        )  # not begun
-        running = await made.start(plan)
-        await made.seen(plan, journal_records.TargetChanged, "g0")
-        assert await (await made.start(plan, call="pause")).wait() == 0
-        await made.seen(plan, journal_records.RolloutHalted)
+        )  # the rollout has not begun
+        running = await fleet.start(plan)
+        await fleet.wait_for_record(plan, journal_records.TargetChanged, "g0")
+        assert await (await fleet.start(plan, command="pause")).wait() == 0
+        await fleet.wait_for_record(plan, journal_records.RolloutHalted)
         assert running.returncode is None
-        assert "on trial" in await made.bench.call_admin("g0", "CONFIG")
-        await (await made.start(plan, call="resume")).wait()
-        await made.seen(plan, journal_records.RolloutResumed)
-        await made.seen(plan, journal_records.StageConfirmed)
-        made.bench.links["doors>g0"].silence()
-        await (await made.start(plan, call="back")).wait()
-        assert await running.wait() == 1, made.log()
+        assert "on trial" in await fleet.bench.call_admin("g0", "CONFIG")
+        await (await fleet.start(plan, command="resume")).wait()
+        await fleet.wait_for_record(plan, journal_records.RolloutResumed)
+        await fleet.wait_for_record(plan, journal_records.StageConfirmed)
+        fleet.bench.links["doors>g0"].silence()
+        await (await fleet.start(plan, command="back")).wait()
+        assert await running.wait() == 1, fleet.log()
         assert journal.read(plan.with_suffix(".journal")).outcome == "back, given up: g0"
-        made.bench.links["doors>g0"].silence(on=False)
+        fleet.bench.links["doors>g0"].silence(on=False)
         assert "given up" in target_standings(load(plan), journal.read(plan.with_suffix(".journal")))["g0"]
-        assert (
-            made.bench.managed_gateways["g0"].config.read_bytes() == made.old["g0"]
-        )  # its file is as before
+        assert fleet.bench.managed_gateways["g0"].config.read_bytes() == fleet.old_files["g0"]
 
-    fleet(tmp_path, case)
+    run_with_fleet(tmp_path, case)
 
 
-def test_gateway_loads_nothing_of_the_extras():
+def test_gateway_imports_no_optional_package_and_none_of_their_dependencies():
     packages = ("recording", "rollout", "fault_bench", "simulation", "simulator_adapter", "failover")
-    extras = tuple(f"quota_gateway.{name}" for name in packages)
+    optional_modules = tuple(f"quota_gateway.{name}" for name in packages)
     code = (
         "import sys, quota_gateway.__main__; "
-        f"print([n for n in sys.modules if n.startswith({extras!r})"
-        " or n in ('msgspec', 'numpy', 'click', 'rich', 'hdrh')])"
+        f"print([name for name in sys.modules if name.startswith({optional_modules!r})"
+        " or name in ('msgspec', 'numpy', 'click', 'rich', 'hdrh')])"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
@@ -563,7 +610,9 @@
 
 # ---- Another version of the program
 
-NEXT = """
+# The program of the next version: this version with the fault that its first argument names, and with state
+# fields that this version does not know.
+NEXT_VERSION_SCRIPT = """
 import os, sys, threading, time
 sys.path.insert(0, os.getcwd())
 fault = sys.argv.pop(1)
@@ -577,7 +626,7 @@
 from quota_gateway.net import admin_commands, driver, hot_restart
 served = 0
 accept = driver.Driver.accept
-def counted(self, call, asked, waits_ms):
+def accept_with_fault(self, call, request, waits_ms):
     global served
     served += 1
     if fault == "load" and served > 30:
@@ -586,16 +635,16 @@
         while True:
             pass
     if fault == "leaks":
-        kept.append(b"x" * 400_000)
+        leaked.append(b"x" * 400_000)
     if fault == "refuses" and served % 2:
         call.latency_objective_ms = 0.0
         self.metrics.requests_total += 1
         self.metrics.count_answer(b"-BUSY", 0.0, 0.0)
         call.on_answer(b"-BUSY\\r\\n")
         return
-    accept(self, call, asked, waits_ms)
-kept = []
-driver.Driver.accept = counted
+    accept(self, call, request, waits_ms)
+leaked = []
+driver.Driver.accept = accept_with_fault
 if fault == "late" and serves:
     threading.Timer(1.0, os._exit, (7,)).start()
 if fault == "health":
@@ -609,71 +658,73 @@
 if fault == "apart":
     hot_restart.ABOUT["handover"] = 2
 save = state_document.save
-def saved(gateway, names):
+def save_with_unknown_fields(gateway, names):
     document = save(gateway, names)
     document["seasons"] = {"a": 1}
     document["customers"] = [[*row, 1.0, "x"] for row in document["customers"]]
     for row in document["servers"].values():
         row["mood"] = [1, 2]
     return document
-state_document.save = saved
+state_document.save = save_with_unknown_fields
 sys.exit(program.main(sys.argv[1:]))
 """
 
 
 def next_version(folder: Path, fault: str = "fine") -> Program:
-    """A version in a folder of its own, whose state has fields that this one does not know."""
+    """A version in a folder of its own, with a fault and with state fields unknown to this version."""
     folder.mkdir()
     (folder / "quota_gateway").symlink_to(ROOT / "quota_gateway")
-    (folder / "next.py").write_text(NEXT)
-    return version(folder, f"next.py {fault}")
+    (folder / "next.py").write_text(NEXT_VERSION_SCRIPT)
+    return program_in(folder, f"next.py {fault}")
 
 
-async def run_by(made: Fleet, folder: Path) -> bool:
-    """Whether each member is one process, of that version's folder."""
-    for gateway, member in made.bench.managed_gateways.items():
-        figures = json.loads((await made.bench.call_admin(gateway, "FIGURES")).removeprefix("YES "))
+async def all_run(fleet: RolloutFleet, folder: Path) -> bool:
+    """Whether each gateway is a single process that runs the version in a folder."""
+    for gateway, member in fleet.bench.managed_gateways.items():
+        figures = json.loads((await fleet.bench.call_admin(gateway, "FIGURES")).removeprefix("YES "))
         if figures["program"] != str(folder) or sum(process.alive for process in member.processes) != 1:
             return False
     return True
 
 
-def test_next_version_takes_over_everywhere_and_a_rollout_back_hands_its_state_back(tmp_path):
-    """A version takes over and is rolled back, while discovery fails.
+def test_state_survives_a_rollout_to_the_next_version_and_one_back(tmp_path):
+    """A version is rolled out while discovery fails, then the version before is rolled out again.
 
-    Servers that were taken out, the drain and quotas would be forgotten at either step. Instead the state
-    goes along in both directions, also with fields that one version does not know.
+    Servers that were taken out, the drain and quotas would be forgotten at either step. Instead the state is
+    handed over in both directions, even if it has fields that one of the versions does not know.
     """
 
-    async def case(made: Fleet):
+    async def case(fleet: RolloutFleet):
         new, plan = next_version(tmp_path / "next"), None
-        assert (await made.bench.call_admin("g1", "OFFLINE s-2")) == "YES out"
-        running = await made.start(made.upgrade(new, name="there"))
-        plan = made.plans["there"]
-        await made.seen(plan, journal_records.TargetChanged, "g0")
-        assert (await made.bench.call_admin("g2", "LEAVE")) == "YES drained"
-        made.bench.discovery.fail(True)
-        assert await running.wait() == 0, made.log()
-        assert await run_by(made, new.folder)
-        assert "1 servers out" in await made.bench.call_admin("g1", "HEALTH")
-        assert "YES drained" in await made.bench.call_admin("g2", "HEALTH")
-        made.bench.discovery.fail(False)
-        assert await made.to_end(made.upgrade(version(ROOT), new, name="home")) == 0, made.log()
-        assert await run_by(made, ROOT)
-        assert "1 servers out" in await made.bench.call_admin("g1", "HEALTH")
+        assert (await fleet.bench.call_admin("g1", "OFFLINE s-2")) == "YES out"
+        running = await fleet.start(fleet.program_plan(new, name="there"))
+        plan = fleet.plans["there"]
+        await fleet.wait_for_record(plan, journal_records.TargetChanged, "g0")
+        assert (await fleet.bench.call_admin("g2", "LEAVE")) == "YES drained"
+        fleet.bench.discovery.fail(True)
+        assert await running.wait() == 0, fleet.log()
+        assert await all_run(fleet, new.folder)
+        assert "1 servers out" in await fleet.bench.call_admin("g1", "HEALTH")
+        assert "YES drained" in await fleet.bench.call_admin("g2", "HEALTH")
+        fleet.bench.discovery.fail(False)
+        assert await fleet.run_to_end(fleet.program_plan(program_in(ROOT), new, name="home")) == 0, (
+            fleet.log()
+        )
+        assert await all_run(fleet, ROOT)
+        assert "1 servers out" in await fleet.bench.call_admin("g1", "HEALTH")
         assert all(
-            "nothing taken over" not in member.log() for member in made.bench.managed_gateways.values()
+            "nothing taken over" not in member.log() for member in fleet.bench.managed_gateways.values()
         )
 
-    fleet(tmp_path, case)
+    run_with_fleet(tmp_path, case)
 
 
-CRASHES = {"crash", "lost", "deadline"}  # a request that the next version had in hand ends with it
-ENDED = "its next process has ended"  # found by either look, before or behind its judgement as ready
+CRASHES = {"crash", "lost", "deadline"}  # rules that requests held by a process that dies may break
+ENDED = "its next process has ended"  # found before or after the process counts as ready
 
 
 @pytest.mark.parametrize(
-    ("fault", "why", "breaks"),
+    ("fault", "reason", "broken_rules"),
     [
         ("start", "does not start: it ended with 1: no such table", {"crash"}),
         ("late", ENDED, CRASHES),
@@ -681,191 +732,207 @@
         ("busy", ENDED, CRASHES),
         ("health", "does not serve", ()),
         ("alone", "does not serve", {"crash"}),  # it waits for its address, and has to be killed
-        ("leaks", "KiB more", ()),
+        ("leaks", "peak memory grew", ()),
         ("refuses", "refused", ()),
     ],
 )
-def test_next_version_that_fails_goes_back_and_no_other_is_touched(tmp_path, fault, why, breaks):
-    """The next version fails in one of the ways that a version can fail.
+def test_next_version_that_fails_is_rolled_back_at_the_first_gateway_alone(
+    tmp_path, fault, reason, broken_rules
+):
+    """The next version has one of several faults.
 
-    It would take away one gateway after the other. Instead the first one goes back, and no other is touched.
+    It would disable one gateway after the other. Instead the first one is rolled back, and no other is
+    changed.
     """
 
-    async def case(made: Fleet):
-        plan = made.upgrade(
+    async def case(fleet: RolloutFleet):
+        plan = fleet.program_plan(
             next_version(tmp_path / "next", fault),
             watch_s=3.0,
             member_s=4.0,
             measures=["refused" if fault == "refuses" else "failed"],
         )
-        assert await made.to_end(plan) == 1, made.log()
+        assert await fleet.run_to_end(plan) == 1, fleet.log()
         state = journal.read(plan.with_suffix(".journal"))
         assert state.outcome == "back", state.rollback_reason
         assert state.attempted_targets == ["g0"], state.rollback_reason
-        assert why in state.rollback_reason, state.rollback_reason
-        assert await run_by(made, ROOT)
+        assert reason in state.rollback_reason, state.rollback_reason
+        assert await all_run(fleet, ROOT)
 
-    fleet(tmp_path, case, may_break=breaks)
+    run_with_fleet(tmp_path, case, may_break=broken_rules)
 
 
 @pytest.mark.parametrize(
-    ("lost", "why", "wish", "end"),
-    [(("g0",), "can't be reached", "back", 1), (("g0", "g1"), "g1 went, too, unchanged", "resume", 0)],
+    ("killed", "reason", "command", "exit_code"),
+    [
+        (("g0",), "can't be reached", "back", 1),
+        (("g0", "g1"), "g1 failed, too, outside the canary group", "resume", 0),
+    ],
 )
-def test_machines_that_go_in_the_middle_of_a_stage_are_not_the_changes_fault(tmp_path, lost, why, wish, end):
-    """Machines go while a stage is watched.
+def test_rollout_halts_if_gateways_die_while_a_stage_is_watched(tmp_path, killed, reason, command, exit_code):
+    """Machines fail while a stage is watched.
 
     A good version would be blamed, and rolled back in the middle of an outage. Instead the rollout halts
-    and operators say how to go on.
+    until an operator decides whether to resume it or to roll it back.
     """
 
-    async def case(made: Fleet):
+    async def case(fleet: RolloutFleet):
         new = next_version(tmp_path / "next")
-        plan = made.upgrade(new, watch_s=3.0, member_s=3.0, measures=["failed"])
-        running = await made.start(plan)
-        await made.seen(plan, journal_records.TargetChanged, "g0")
-        for name in lost:
-            made.bench.managed_gateways[name].signal(signal.SIGKILL)
-        for name in lost[1:] and lost:  # the platform starts each as what it was last
-            member, changed = made.bench.managed_gateways[name], name == "g0"
-            await made.bench.until(lambda member=member: not any(one.alive for one in member.processes))
-            assert await member.ready(await member.start(new if changed else None, int(changed)))
-        await made.seen(plan, journal_records.RolloutHalted)
-        assert why in journal.read(plan.with_suffix(".journal")).halt_reason
-        assert await (await made.start(plan, call=wish)).wait() == 0
-        assert await running.wait() == end, made.log()
-        assert await run_by(made, ROOT if end else new.folder)
-
-    fleet(tmp_path, case, kept=False)  # the kills are not in the history
-
-
-def earlier(folder: Path, commit: str) -> Program:
-    """An earlier commit in a folder and an environment of its own, run as its own deploy file says."""
-    tree = subprocess.run(
+        plan = fleet.program_plan(new, watch_s=3.0, member_s=3.0, measures=["failed"])
+        running = await fleet.start(plan)
+        await fleet.wait_for_record(plan, journal_records.TargetChanged, "g0")
+        for name in killed:
+            fleet.bench.managed_gateways[name].signal(signal.SIGKILL)
+        for name in killed[1:] and killed:  # the platform restarts each with the version it had
+            gateway, changed = fleet.bench.managed_gateways[name], name == "g0"
+            await fleet.bench.until(
+                lambda gateway=gateway: not any(process.alive for process in gateway.processes)
+            )
+            assert await gateway.ready(await gateway.start(new if changed else None, int(changed)))
+        await fleet.wait_for_record(plan, journal_records.RolloutHalted)
+        assert reason in journal.read(plan.with_suffix(".journal")).halt_reason
+        assert await (await fleet.start(plan, command=command)).wait() == 0
+        assert await running.wait() == exit_code, fleet.log()
+        assert await all_run(fleet, ROOT if exit_code else new.folder)
+
+    run_with_fleet(tmp_path, case, check_rules=False)  # the bench's history does not record the kills
+
+
+def checkout_version(folder: Path, commit: str) -> Program:
+    """Check out an earlier commit into a folder with its own environment; run it as its deploy file says."""
+    archive = subprocess.run(
         ["git", "archive", commit, "brackenloft", "deploy"], cwd=ROOT, capture_output=True, check=False
     )
-    if tree.returncode:
+    if archive.returncode:
         pytest.skip(f"{commit} is not in this clone")
     folder.mkdir()
-    subprocess.run(["tar", "x"], cwd=folder, input=tree.stdout, check=True)
+    subprocess.run(["tar", "x"], cwd=folder, input=archive.stdout, check=True)
     venv.create(folder / ".venv")
-    (library,) = (folder / ".venv" / "lib").glob("python*/site-packages")
-    (library / "libraries.pth").write_text(sysconfig.get_path("purelib"))
+    (site_packages,) = (folder / ".venv" / "lib").glob("python*/site-packages")
+    (site_packages / "libraries.pth").write_text(sysconfig.get_path("purelib"))
     command = tomllib.loads((folder / "deploy" / "balancer.toml").read_text())["run"]
     assert command == "exec .venv/bin/python -m brackenloft"
     return Program(folder, command)
 
 
-BEFORE_ABOUT = "79ab08c"  # before versions could be told apart
+BEFORE_ABOUT = "79ab08c"  # before versions could be told apart, and before RETIRE
 BEFORE_RENAME = "2b28dd0"  # before the package had its present name
-EARLIER_COMMAND = "-m brackenloft"  # plans that name it go on working with this version
+EARLIER_COMMAND = "-m brackenloft"  # plans with this command still work with this version
 
 
 @pytest.mark.parametrize(
-    ("commit", "words", "alone"),
+    ("commit", "arguments", "no_predecessor"),
     [
         (BEFORE_ABOUT, "-m quota_gateway", "no such call"),
         (BEFORE_RENAME, "-m quota_gateway", "no process beside"),
         (BEFORE_RENAME, EARLIER_COMMAND, "no process beside"),
     ],
 )
-def test_earlier_commit_and_this_one_take_over_from_each_other(tmp_path, commit, words, alone):
-    """Operators go from an earlier version to this one, back, and on again, under load.
+def test_rollouts_between_an_earlier_commit_and_this_one_work_in_both_directions(
+    tmp_path, commit, arguments, no_predecessor
+):
+    """Under load, operators upgrade from an earlier version, go back to it, and upgrade to a newer one.
 
-    Requests would be lost, or quotas and servers that are out forgotten, where the versions do not
-    understand each other. A plan that names the earlier package's command goes on working.
+    If the versions did not understand each other, requests would be lost, or quotas and servers taken out
+    would be forgotten. A plan that names the earlier package's command must still work.
     """
 
-    async def case(made: Fleet):
-        old, here = earlier_version, version(ROOT, words)
-        assert (await made.bench.call_admin("g1", "OFFLINE s-2")) == "YES out"
-        assert alone in await made.bench.call_admin("g1", "RETIRE")
-        assert await made.to_end(made.upgrade(here, old, name="there")) == 0, made.log()
-        assert await run_by(made, ROOT)
-        assert await made.to_end(made.upgrade(old, here, name="home")) == 0, made.log()
-        assert alone in await made.bench.call_admin("g1", "RETIRE")
-        assert commit == BEFORE_ABOUT or await run_by(made, old.folder)
-        assert "1 servers out" in await made.bench.call_admin("g1", "HEALTH")
+    async def case(fleet: RolloutFleet):
+        old, present = earlier_version, program_in(ROOT, arguments)
+        assert (await fleet.bench.call_admin("g1", "OFFLINE s-2")) == "YES out"
+        assert no_predecessor in await fleet.bench.call_admin("g1", "RETIRE")
+        assert await fleet.run_to_end(fleet.program_plan(present, old, name="there")) == 0, fleet.log()
+        assert await all_run(fleet, ROOT)
+        assert await fleet.run_to_end(fleet.program_plan(old, present, name="home")) == 0, fleet.log()
+        assert no_predecessor in await fleet.bench.call_admin("g1", "RETIRE")
+        assert commit == BEFORE_ABOUT or await all_run(fleet, old.folder)
+        assert "1 servers out" in await fleet.bench.call_admin("g1", "HEALTH")
         assert all(
-            "nothing taken over" not in member.log() for member in made.bench.managed_gateways.values()
+            "nothing taken over" not in member.log() for member in fleet.bench.managed_gateways.values()
         )
-        assert await made.to_end(made.upgrade(next_version(tmp_path / "next"), old, name="two")) == 0
-        assert await run_by(made, tmp_path / "next")
-        assert "1 servers out" in await made.bench.call_admin("g1", "HEALTH")
+        assert (
+            await fleet.run_to_end(fleet.program_plan(next_version(tmp_path / "next"), old, name="two")) == 0
+        )
+        assert await all_run(fleet, tmp_path / "next")
+        assert "1 servers out" in await fleet.bench.call_admin("g1", "HEALTH")
 
-    earlier_version = earlier(tmp_path / "earlier", commit)
-    fleet(tmp_path, case, program=earlier_version)
+    earlier_version = checkout_version(tmp_path / "earlier", commit)
+    run_with_fleet(tmp_path, case, program=earlier_version)
 
 
-def test_this_version_killed_half_way_leaves_the_earlier_commit_serving(tmp_path):
-    """The new process dies while the earlier one is kept beside it.
+def test_earlier_commit_takes_over_again_if_this_version_dies_during_the_rollout(tmp_path):
+    """The new process dies while the predecessor is still alive.
 
-    A user would lose every request of this gateway until somebody starts it again, and its quotas. Instead
-    the earlier process takes back what it knows, the rollout goes back, and no other gateway is touched.
+    This gateway's requests would be lost until somebody starts it again, and its quotas as well. Instead the
+    predecessor takes over again with the state it knows, the rollout is rolled back, and no other gateway is
+    changed.
     """
 
-    async def case(made: Fleet):
-        assert (await made.bench.call_admin("g0", "OFFLINE s-2")) == "YES out"
-        here = version(ROOT, EARLIER_COMMAND)
-        plan = made.upgrade(here, earlier_version, watch_s=3.0)
-        running = await made.start(plan)
-        await made.seen(plan, journal_records.TargetChanged, "g0")
-        made.bench.managed_gateways["g0"].process.signal(signal.SIGKILL)
-        assert await running.wait() == 1, made.log()
+    async def case(fleet: RolloutFleet):
+        assert (await fleet.bench.call_admin("g0", "OFFLINE s-2")) == "YES out"
+        present = program_in(ROOT, EARLIER_COMMAND)
+        plan = fleet.program_plan(present, earlier_version, watch_s=3.0)
+        running = await fleet.start(plan)
+        await fleet.wait_for_record(plan, journal_records.TargetChanged, "g0")
+        fleet.bench.managed_gateways["g0"].process.signal(signal.SIGKILL)
+        assert await running.wait() == 1, fleet.log()
         state = journal.read(plan.with_suffix(".journal"))
         assert state.outcome == "back", state.rollback_reason
         assert state.attempted_targets == ["g0"]
         assert ENDED in state.rollback_reason
-        assert await run_by(made, earlier_version.folder)
-        assert "1 servers out" in await made.bench.call_admin("g0", "HEALTH")
+        assert await all_run(fleet, earlier_version.folder)
+        assert "1 servers out" in await fleet.bench.call_admin("g0", "HEALTH")
 
-    earlier_version = earlier(tmp_path / "earlier", BEFORE_RENAME)
-    fleet(tmp_path, case, may_break=CRASHES, program=earlier_version)
+    earlier_version = checkout_version(tmp_path / "earlier", BEFORE_RENAME)
+    run_with_fleet(tmp_path, case, may_break=CRASHES, program=earlier_version)
 
 
 @pytest.mark.parametrize(
-    ("fault", "why"),
+    ("fault", "reason"),
     [
-        ("apart", "versions too far apart: handover 1 and 2"),
-        ("config", "the next version refuses its configuration"),
-        ("beside", "want one process that serves"),
+        ("apart", "versions have different hot restart protocols: 1 and 2"),
+        ("config", "the new version rejects its configuration file"),
+        ("beside", "needs exactly one process, which serves"),
         ("other", "is run from"),
-        ("nowhere", "no folder"),
+        ("nowhere", "folder of a program version not found"),
     ],
 )
-def test_program_that_can_not_be_rolled_out_is_refused_with_nothing_touched(tmp_path, fault, why):
-    """A plan names a version that can't follow the present one.
+def test_program_that_can_not_be_rolled_out_is_rejected_before_any_gateway_is_changed(
+    tmp_path, fault, reason
+):
+    """A plan names a version that can't take over from the present one.
 
-    The first gateway would be lost for finding it out. Instead everything is checked before any is touched.
+    The first gateway would fail before this is noticed. Instead all is checked before any gateway is changed.
     """
 
-    async def case(made: Fleet):
-        new, before, member = next_version(tmp_path / "next", fault), None, made.bench.managed_gateways["g1"]
-        pids = [one.process.pid for one in made.bench.managed_gateways.values()]
+    async def case(fleet: RolloutFleet):
+        new, before, g1 = next_version(tmp_path / "next", fault), None, fleet.bench.managed_gateways["g1"]
+        pids = [gateway.process.pid for gateway in fleet.bench.managed_gateways.values()]
         if fault == "beside":
-            assert await member.ready(await member.start())
+            assert await g1.ready(await g1.start())
         if fault == "other":
             before = next_version(tmp_path / "other")
         if fault == "nowhere":
-            new = version(tmp_path / "nowhere")
-        assert await made.to_end(made.upgrade(new, before)) == 2, made.log()
-        assert why in made.log(), made.log()
-        assert [one.processes[0].pid for one in made.bench.managed_gateways.values()] == pids
+            new = program_in(tmp_path / "nowhere")
+        assert await fleet.run_to_end(fleet.program_plan(new, before)) == 2, fleet.log()
+        assert reason in fleet.log(), fleet.log()
+        assert [gateway.processes[0].pid for gateway in fleet.bench.managed_gateways.values()] == pids
         assert all(
-            one.processes[0].alive and len(one.processes) <= 2 for one in made.bench.managed_gateways.values()
+            gateway.processes[0].alive and len(gateway.processes) <= 2
+            for gateway in fleet.bench.managed_gateways.values()
         )
 
-    fleet(tmp_path, case)
+    run_with_fleet(tmp_path, case)
 
 
-def test_launcher_starts_one_process_a_door_ends_it_and_obeys_no_older_token(tmp_path):
-    """Two controllers ask for a process at the same address, or one asks after it was followed.
+def test_launcher_runs_one_process_per_admin_address_stops_it_and_rejects_older_tokens(tmp_path):
+    """Two controllers start a process at the same admin address, or one calls after it was replaced.
 
-    Two processes would have one address, or a process that serves would be ended. Instead one is started
-    once, and an older token is rejected.
+    Two processes would have one address, or a process that serves would be stopped. Instead one process is
+    started, and an older token is rejected.
     """
-    made = SCENARIO.world.settings(0)
-    host, door = own_host(), "20001"
+    gateway_settings = SCENARIO.world.settings(0)
+    host, admin_port = own_host(), "20001"
     document = {
         "name": "g0",
         "listen": f"{host}:20000",
@@ -873,32 +940,34 @@
         "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
         "known": {"generation": 1, "reset": True, "instances": []},
-        "settings": settings_document(made),
+        "settings": settings_document(gateway_settings),
     }
     config = tmp_path / "config.json"
     config.write_text(json.dumps(document))
 
-    def launch(call: str, token: int, command: str = f"exec {sys.executable} -m quota_gateway") -> str:
-        words = ["--door", f"{host}:{door}", "--tmp", tmp_path, "--token", str(token)]
-        if call == "start":
-            words += ["--name", "g0", "--folder", ROOT, "--command", command, "--config", config]
-        done = subprocess.run(
-            [sys.executable, "-m", "quota_gateway.rollout.launcher", call, *words],
+    def launch(
+        command: str, token: int, shell_command: str = f"exec {sys.executable} -m quota_gateway"
+    ) -> str:
+        options = ["--door", f"{host}:{admin_port}", "--tmp", tmp_path, "--token", str(token)]
+        if command == "start":
+            options += ["--name", "g0", "--folder", ROOT, "--command", shell_command, "--config", config]
+        result = subprocess.run(
+            [sys.executable, "-m", "quota_gateway.rollout.launcher", command, *options],
             cwd=ROOT,
             capture_output=True,
             text=True,
             check=False,
         )
-        return done.stdout.strip() if done.returncode == 0 else done.stderr.strip()
+        return result.stdout.strip() if result.returncode == 0 else result.stderr.strip()
 
-    assert "it ended with 7" in launch("start", 5, "exit 7")
-    assert launch("stop", 5) == "nobody there"
+    assert "process ended with exit code 7" in launch("start", 5, "exit 7")
+    assert launch("stop", 5) == "no process has this admin address"
     try:
         assert launch("start", 5) == "started"
         assert launch("start", 6) == "running"
-        assert "an older token: 6 has called" in launch("start", 5)
-        assert "an older token: 6 has called" in launch("stop", 5)
-        assert asyncio.run(call((host, int(door)), "HEALTH"))
+        assert "an older token: a call with token 6 came before" in launch("start", 5)
+        assert "an older token: a call with token 6 came before" in launch("stop", 5)
+        assert asyncio.run(call((host, int(admin_port)), "HEALTH"))
     finally:
         assert launch("stop", 7) == "ended"
-    assert not asyncio.run(call((host, int(door)), "HEALTH"))
+    assert not asyncio.run(call((host, int(admin_port)), "HEALTH"))
