--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A gateway with a scripted clock: sends events, keeps the answers, fires due timers itself."""
+"""The test rig of the policy's tests: a gateway without sockets, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -83,12 +83,15 @@
 
 @pytest.fixture(autouse=True)
 def illegal_transitions_raise(monkeypatch):
-    """In tests a transition that no table has is an error; in service it is logged and counted."""
+    """A transition that is in no transition table raises in tests; in production it is logged and counted."""
     monkeypatch.setattr(illegal_transitions, "raises", True)
 
 
 class Rig:
-    """One gateway, its clock, and the actions that it gave."""
+    """A test rig: one gateway, its simulated clock and timers, the attempts sent and the answers given.
+
+    ``sent`` has the servers of a request's attempts, by request id; ``answers`` has "Ok", "Reject" or "Fail".
+    """
 
     def __init__(self, settings: Settings = SETTINGS, seed: int = 1) -> None:
         self.gateway, self.now = Gateway(settings, seed), 1000.0
@@ -98,45 +101,51 @@
         self.answers: dict[str, str] = {}
         self.count = 0
 
-    def do(self, event) -> list:
+    def handle(self, event) -> list:
+        """Pass an event to the gateway, record the actions that it returns, and return them."""
         actions = self.gateway.handle(self.now, event)
         for action in actions:
             if isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay_ms, action.token))
             elif isinstance(action, Send):
-                assert action.request_id not in self.answers, "sent after the answer"
+                assert action.request_id not in self.answers, "attempt sent after the request's answer"
                 self.sent.setdefault(action.request_id, []).append(action.server)
             elif isinstance(action, (Reject, Fail)):
-                assert action.request_id not in self.answers, "answered twice"
+                assert action.request_id not in self.answers, "request answered twice"
                 self.answers[action.request_id] = type(action).__name__
         return actions
 
     def servers(self, *entries: ServerEntry, kind: ListKind = ListKind.COMPLETE) -> list:
-        return self.do(ServerList(kind, entries))
+        """Pass a list of servers to the gateway."""
+        return self.handle(ServerList(kind, entries))
 
-    def ask(self, plan="free", class_name="safe", customer="c", patience=4000.0, units=1, width=2) -> str:
-        """A new request; its id."""
+    def ask(
+        self, plan="free", class_name="safe", customer="c", client_timeout_ms=4000.0, units=1, width=2
+    ) -> str:
+        """Pass a new request, whose customer uses ``width`` gateways, to the gateway; return its id."""
         self.count += 1
         name = f"r{self.count}"
-        self.do(Request(name, class_name, plan, customer, patience, units, width))
+        self.handle(Request(name, class_name, plan, customer, client_timeout_ms, units, width))
         return name
 
     def finish(self, name: str, status=Status.OK, attempt=None, used=None, units=None, latency=50.0) -> list:
-        """The outcome of an attempt, the last by default."""
+        """End an attempt, by default the last one, with this status."""
         attempt = len(self.sent[name]) - 1 if attempt is None else attempt
         server = self.sent[name][attempt]
         if status is Status.OK:
             self.answers.setdefault(name, "Ok")
-        return self.do(AttemptEnded(name, attempt, server, status, latency, status is Status.OK, used, units))
+        return self.handle(
+            AttemptEnded(name, attempt, server, status, latency, status is Status.OK, used, units)
+        )
 
     def run(self, ms: float) -> None:
-        """Let time pass and fire what falls due."""
+        """Advance the clock and fire the timers that fall due."""
         end = self.now + ms
         while due := [timer for timer in self.timers if timer[0] <= end]:
             first = min(due)
             self.timers.remove(first)
             self.now = max(self.now, first[0])
-            self.do(TimerFired(first[1]))
+            self.handle(TimerFired(first[1]))
         self.now = end
 
 
@@ -145,16 +154,16 @@
 
 
 @pytest.fixture
-def no_rest(monkeypatch) -> None:
-    """Connections to servers may be used again as soon as their answer has come."""
+def immediate_connection_reuse(monkeypatch) -> None:
+    """Connections to servers may be used again as soon as their reply has arrived."""
     monkeypatch.setattr(pool, "REUSE_DELAY_S", 0.0)
 
 
 @pytest.fixture
 def rig() -> Rig:
-    made = Rig()
-    made.servers(entry(1), entry(2))
-    return made
+    new_rig = Rig()
+    new_rig.servers(entry(1), entry(2))
+    return new_rig
 
 
 def rig_with(**changes) -> Rig:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,7 @@
-"""Small stand-ins on loopback for what surrounds a gateway: servers, a client, discovery."""
+"""Test doubles on loopback for what a gateway talks to: servers, clients and discovery.
+
+``local_gateway`` runs a gateway within the test's own process.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
 from quota_gateway.net.driver import Driver
 from quota_gateway.net.servers import ServerPool
 
-LIMIT_S = 60.0  # generous: a test that takes so long hangs
+TEST_TIMEOUT_S = 60.0  # far more than any test needs: a test that takes this long hangs
 SETTINGS = Settings(
     gateways=2,
     index=0,
@@ -57,45 +60,47 @@
 )
 
 
-def run(test: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the loop that the gateway uses."""
-    uvloop.run(asyncio.wait_for(test, LIMIT_S))
+def run(coroutine: Coroutine[Any, Any, None]) -> None:
+    """Run a test's coroutine on uvloop, as the gateway does; fail after ``TEST_TIMEOUT_S``."""
+    uvloop.run(asyncio.wait_for(coroutine, TEST_TIMEOUT_S))
 
 
-async def until(true: Callable[[], bool]) -> None:
-    """Let the loop turn until something inside the gateway has come about."""
-    while not true():
+async def until(condition: Callable[[], bool]) -> None:
+    """Let the event loop run until the condition, on the gateway's state, is true."""
+    while not condition():
         await asyncio.sleep(0)
 
 
 def resp(*words: bytes | str) -> bytes:
-    """A command."""
+    """A command, encoded as a RESP array of bulk strings."""
     parts = [word if isinstance(word, bytes) else word.encode() for word in words]
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
 
 
-def array(value: bytes, used: bytes | None = None, load: bytes | None = None) -> bytes:
-    """A good answer of a server."""
+def server_reply(value: bytes, used: bytes | None = None, load: bytes | None = None) -> bytes:
+    """A server's reply to a successful request: a RESP array of value, metered use and load report."""
     parts = [
         b"$-1\r\n" if part is None else b"$%d\r\n%b\r\n" % (len(part), part) for part in (value, used, load)
     ]
     return b"*3\r\n" + b"".join(parts)
 
 
-class Line(Exception):  # noqa: N818
-    """An error line as a client reads it."""
+class ErrorLine(Exception):  # noqa: N818
+    """An error reply (a line that begins with a dash) as a client reads it."""
 
 
 class FakeServer:
-    """Answers each command as ``answer`` says: bytes, or None to stay silent, or b"" to hang up."""
+    """Replies to each command with the bytes of ``answer``; None sends nothing, b"" closes the connection."""
 
-    def __init__(self, answer: Callable[[list[bytes]], bytes | None] = lambda words: array(words[2])) -> None:
+    def __init__(
+        self, answer: Callable[[list[bytes]], bytes | None] = lambda words: server_reply(words[2])
+    ) -> None:
         self.answer = answer
         self.commands: list[list[bytes]] = []
-        self.by: list[int] = []  # the number of the connection of each command
+        self.connection_numbers: list[int] = []  # per command: its connection's index in ``writers``
         self.writers: list[asyncio.StreamWriter] = []
-        self.ended = 0
-        self.news = asyncio.Event()
+        self.closed_connections = 0
+        self.changed = asyncio.Event()
 
     async def start(self) -> FakeServer:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -109,15 +114,15 @@
             parser.feed(data)
             while (words := parser.gets()) is not False:
                 self.commands.append(words)
-                self.by.append(number)
+                self.connection_numbers.append(number)
                 reply = self.answer(words)
                 if reply == b"":
                     writer.close()
                 elif reply:
                     writer.write(reply)
-                self.news.set()
-        self.ended += 1
-        self.news.set()
+                self.changed.set()
+        self.closed_connections += 1
+        self.changed.set()
         writer.close()
 
     async def _read(self, reader: asyncio.StreamReader) -> bytes:
@@ -126,50 +131,57 @@
         except OSError:
             return b""
 
-    async def until(self, true: Callable[[], bool]) -> None:
-        """Wait for something to have come about here."""
-        while not true():
-            self.news.clear()
-            await self.news.wait()
+    async def until(self, condition: Callable[[], bool]) -> None:
+        """Wait until the condition, on this server's commands and connections, is true."""
+        while not condition():
+            self.changed.clear()
+            await self.changed.wait()
 
     def entry(self, number: int, **more: Any) -> tuple[ServerEntry, tuple[str, int]]:
+        """This server's entry in a list of servers, and its address."""
         return ServerEntry(number, more.pop("zone", "a"), **more), ("127.0.0.1", self.port)
 
 
-class Peer:
-    """A client of the gateway, or of anything that speaks RESP."""
+class RespClient:
+    """A client of the gateway, or of anything else that speaks RESP."""
 
-    async def open(self, port: int, host: str = "127.0.0.1") -> Peer:
+    async def open(self, port: int, host: str = "127.0.0.1") -> RespClient:
         self.reader, self.writer = await asyncio.open_connection(host, port)
-        self.parser = hiredis.Reader(replyError=Line)
+        self.parser = hiredis.Reader(replyError=ErrorLine)
         return self
 
     def send(self, *commands: bytes) -> None:
         self.writer.write(b"".join(commands))
 
     async def reply(self) -> Any:
-        """The next reply: bytes, an error line as text with its dash, or None when the connection ended."""
+        """The next reply: bytes, an error line as text with its dash, or None if the connection closed."""
         while (answer := self.parser.gets()) is False:
             data = await self.reader.read(65536)
             if not data:
                 return None
             self.parser.feed(data)
-        return f"-{answer}" if isinstance(answer, Line) else answer
+        return f"-{answer}" if isinstance(answer, ErrorLine) else answer
 
     async def ask(self, *commands: bytes) -> Any:
+        """Send the commands and return the next reply."""
         self.send(*commands)
         return await self.reply()
 
 
-def call(number: int, kind: str = "read", plan: str = "free", body: bytes = b"b", wait: int = 4000) -> bytes:
-    """A request; its number is its id."""
-    fields = f"c={kind},t={plan},d={wait},{'k=5c0f,' if kind == 'post' else ''}units=1,spread=2,first=0"
+def call(
+    number: int, class_name: str = "read", plan: str = "free", body: bytes = b"b", timeout_ms: int = 4000
+) -> bytes:
+    """A request as a CALL.GET or CALL.POST command; its id is the number in 16 hexadecimal digits."""
+    fields = (
+        f"c={class_name},t={plan},d={timeout_ms},"
+        f"{'k=5c0f,' if class_name == 'post' else ''}units=1,spread=2,first=0"
+    )
     words = ["00000000b4d65521", f"{number:016x}", fields]
-    return resp("CALL.GET", *words) if kind == "read" else resp("CALL.POST", *words, body)
+    return resp("CALL.GET", *words) if class_name == "read" else resp("CALL.POST", *words, body)
 
 
-class Node:
-    """The gateway's parts, wired up as the program does, but without discovery."""
+class LocalGateway:
+    """The gateway's parts, connected as in the program, but without discovery."""
 
     def __init__(self, settings: Settings, most_connections: int) -> None:
         self.servers = ServerPool(settings, most_connections)
@@ -177,34 +189,39 @@
         self.clients = ClientRegistry(self.driver, settings, most_connections)
         self.clients.ready = True
 
-    def told(self, *rows: tuple[ServerEntry, tuple[str, int]], kind: ListKind = ListKind.COMPLETE) -> None:
-        listing = ServerList(kind, tuple(entry for entry, _ in rows))
-        self.servers.update(listing, {entry.server: address for entry, address in rows})
-        self.driver.post(listing)
+    def update_servers(
+        self, *entries: tuple[ServerEntry, tuple[str, int]], kind: ListKind = ListKind.COMPLETE
+    ) -> None:
+        """Pass a list of servers on, as discovery does."""
+        server_list = ServerList(kind, tuple(entry for entry, _ in entries))
+        self.servers.update(server_list, {entry.server: address for entry, address in entries})
+        self.driver.post(server_list)
 
-    async def peer(self) -> Peer:
+    async def connect_client(self) -> RespClient:
         assert self.clients.listener
-        return await Peer().open(self.clients.listener.getsockname()[1])
+        return await RespClient().open(self.clients.listener.getsockname()[1])
 
 
 @asynccontextmanager
-async def node(*fakes: FakeServer, most_connections: int = 100, **changes: Any) -> AsyncIterator[Node]:
-    """A gateway before these servers, numbered from 1."""
-    made = Node(replace(SETTINGS, **changes), most_connections)
+async def local_gateway(
+    *fakes: FakeServer, most_connections: int = 100, **changes: Any
+) -> AsyncIterator[LocalGateway]:
+    """A running gateway with these servers, numbered from 1; ``changes`` replace fields of ``SETTINGS``."""
+    gateway = LocalGateway(replace(SETTINGS, **changes), most_connections)
     for fake in fakes:
         await fake.start()
-    made.told(*(fake.entry(number) for number, fake in enumerate(fakes, 1)))
-    await made.clients.listen("127.0.0.1", 0)
+    gateway.update_servers(*(fake.entry(number) for number, fake in enumerate(fakes, 1)))
+    await gateway.clients.listen("127.0.0.1", 0)
     try:
-        yield made
+        yield gateway
     finally:
-        made.clients.stop_listening()
-        made.clients.abort()
-        made.servers.close()
+        gateway.clients.stop_listening()
+        gateway.clients.abort()
+        gateway.servers.close()
 
 
 class FakeDiscovery:
-    """Keeps what was asked; each watch is a queue of lines to send."""
+    """A discovery service: keeps each requested path, and each watch open for the test to write to."""
 
     def __init__(self) -> None:
         self.targets: asyncio.Queue[str] = asyncio.Queue()
@@ -222,21 +239,23 @@
         self.watches.put_nowait(writer)
 
     async def watch(self) -> tuple[str, asyncio.StreamWriter]:
-        """The next watch: what it asked for and where to write lines."""
+        """The next watch: the path that was requested, and where to write the lines of the response."""
         return await self.targets.get(), await self.watches.get()
 
 
 def chunk(data: bytes) -> bytes:
+    """A chunk of an HTTP response with chunked transfer encoding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 def listing(generation: int, *rows: dict[str, Any], reset: bool = False) -> bytes:
-    """A line of a watch."""
+    """A line of a watch: a list of instances in JSON."""
     document = {"generation": generation, "reset": reset, "instances": rows}
     return json.dumps(document).encode() + b"\n"
 
 
 def row(name: str, port: int, state: str = "Ready", started: int = 0) -> dict[str, Any]:
+    """An instance in a ``listing``."""
     return {
         "instanceId": name,
         "hostPort": f"127.0.0.1:{port}",
@@ -249,13 +268,17 @@
     }
 
 
-class Raw:
-    """A client whose bytes are in the gateway's kernel as ``send`` returns, read or not."""
+class RawClient:
+    """A client on a plain socket: when ``send`` returns, the gateway's kernel has the bytes.
+
+    The gateway itself may not have read them yet.
+    """
 
-    def __init__(self, port: int, room: int = 0) -> None:
+    def __init__(self, port: int, receive_buffer_bytes: int = 0) -> None:
         self.sock = socket.socket()
-        if room:  # bytes that it takes without reading: what comes beyond stays in the gateway's kernel
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, room)
+        # The client's kernel takes this many bytes unread; those beyond stay in the gateway's kernel.
+        if receive_buffer_bytes:
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
         self.sock.connect(("127.0.0.1", port))
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
@@ -265,15 +288,15 @@
         self.sock.setblocking(False)
 
     async def read(self, size: int) -> bytes:
-        """So many bytes, or fewer at the end. Raises ConnectionResetError."""
+        """This many bytes, or fewer at the end of the stream. Raises ConnectionResetError."""
         self.sock.setblocking(False)
         data, loop = b"", asyncio.get_running_loop()
         while len(data) < size and (more := await loop.sock_recv(self.sock, min(65536, size - len(data)))):
             data += more
         return data
 
-    async def rest(self) -> tuple[bytes, str]:
-        """All until the end, and how it came: in order, or by a reset."""
+    async def read_to_end(self) -> tuple[bytes, str]:
+        """All bytes up to the end, and how the connection ended: "end" (closed in order) or "reset"."""
         data = b""
         try:
             while more := await self.read(1):
--- a/tests/test_concurrency_cap.py
+++ b/tests/test_concurrency_cap.py
@@ -162,6 +162,6 @@
     rig.servers(entry(1), entry(2))
     rig.finish(rig.ask("cap", width=60), used=10_000.0)
     (rejection,) = [
-        a for a in rig.do(Request("r", "safe", "cap", "c", 4000.0, 1, 60)) if isinstance(a, Reject)
+        a for a in rig.handle(Request("r", "safe", "cap", "c", 4000.0, 1, 60)) if isinstance(a, Reject)
     ]
     assert rejection.retry_after_ms == SETTINGS.meter_period_ms
--- a/tests/test_connection_news.py
+++ b/tests/test_connection_news.py
@@ -4,7 +4,7 @@
 
 import pytest
 from conftest import SETTINGS, Rig, entry
-from fakes import FakeServer, array, call, node, run, until
+from fakes import FakeServer, call, local_gateway, run, server_reply, until
 
 from quota_gateway import CloseIdle, IdleConnectionChanged, ServerAdminDown, Status
 from quota_gateway.net import servers as servers_module
@@ -31,16 +31,16 @@
 
 def test_server_with_an_idle_connection_is_preferred_among_equals():
     rig = rig_with_handshake_price(0.05)
-    rig.do(IdleConnectionChanged(4, True))
+    rig.handle(IdleConnectionChanged(4, True))
     assert set(chosen_servers(rig)) == {4}
-    rig.do(IdleConnectionChanged(4, False))
-    rig.do(IdleConnectionChanged(2, True))
+    rig.handle(IdleConnectionChanged(4, False))
+    rig.handle(IdleConnectionChanged(2, True))
     assert set(chosen_servers(rig)) == {2}
 
 
 def test_idle_connections_do_not_count_if_handshakes_cost_nothing():
     rig = rig_with_handshake_price(0.0)
-    rig.do(IdleConnectionChanged(4, True))
+    rig.handle(IdleConnectionChanged(4, True))
     assert set(chosen_servers(rig)) == {1, 2, 3, 4, 5, 6}
 
 
@@ -50,7 +50,7 @@
 
 def test_busy_or_failing_server_is_not_preferred_for_its_idle_connection():
     rig = rig_with_handshake_price(0.05, count=2)
-    rig.do(IdleConnectionChanged(1, True))
+    rig.handle(IdleConnectionChanged(1, True))
     names = [rig.ask() for _ in range(4)]
     assert {rig.sent[name][0] for name in names} == {1, 2}
     for name in names:
@@ -65,18 +65,18 @@
 
 def test_idle_connection_report_for_an_unlisted_server_is_ignored():
     rig = rig_with_handshake_price(0.05)
-    assert not rig.do(IdleConnectionChanged(99, True))
+    assert not rig.handle(IdleConnectionChanged(99, True))
 
 
-@pytest.mark.usefixtures("no_rest")
+@pytest.mark.usefixtures("immediate_connection_reuse")
 def test_policy_is_notified_of_each_change_of_idle_connections_and_of_nothing_else():
     async def test():
-        server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(b"v"))
-        async with node(server) as gateway:
+        server = FakeServer(lambda words: None if words[2].endswith(b"1") else server_reply(b"v"))
+        async with local_gateway(server) as gateway:
             servers_by_number, reported = gateway.driver.gateway.endpoints.servers, []
             post = gateway.servers.on_idle_changed
             gateway.servers.on_idle_changed = lambda event: (reported.append(event.has_idle), post(event))
-            peer, other = await gateway.peer(), await gateway.peer()
+            peer, other = await gateway.connect_client(), await gateway.connect_client()
             assert await peer.ask(call(2)) == b"v"
             assert reported == [True]
             assert servers_by_number[1].has_idle_connection
@@ -86,7 +86,7 @@
             assert not servers_by_number[1].has_idle_connection
             assert await other.ask(call(3)) == b"v"
             assert servers_by_number[1].has_idle_connection
-            server.writers[0].write(array(b"late"))
+            server.writers[0].write(server_reply(b"late"))
             assert await peer.reply() == b"late"
             assert reported == [True, False, True]  # a second idle connection is not reported
             gateway.driver._perform(CloseIdle(1))
@@ -104,13 +104,13 @@
     run(test())
 
 
-@pytest.mark.usefixtures("no_rest")
+@pytest.mark.usefixtures("immediate_connection_reuse")
 def test_admin_endpoint_shows_the_pools_with_counts_since_the_last_query():
     async def test():
-        server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(b"v"))
-        async with node(server, most_connections=2) as gateway:
+        server = FakeServer(lambda words: None if words[2].endswith(b"1") else server_reply(b"v"))
+        async with local_gateway(server, most_connections=2) as gateway:
             commands = AdminCommands(gateway.driver, gateway.clients, EndpointRegistry(), None).commands()
-            peer, other = await gateway.peer(), await gateway.peer()
+            peer, other = await gateway.connect_client(), await gateway.connect_client()
             for number in (2, 3, 4):
                 assert await peer.ask(call(number)) == b"v"
             assert await commands["POOLS"].handler("") == (
@@ -135,10 +135,10 @@
 
 def test_idle_connection_closed_to_make_room_is_counted():
     async def test():
-        servers = [FakeServer(lambda words: None), FakeServer(lambda words: array(b"v"))]
-        async with node(*servers, most_connections=1) as gateway:
+        servers = [FakeServer(lambda words: None), FakeServer(lambda words: server_reply(b"v"))]
+        async with local_gateway(*servers, most_connections=1) as gateway:
             gateway.driver.post(ServerAdminDown(1, True))
-            peer = await gateway.peer()
+            peer = await gateway.connect_client()
             assert await peer.ask(call(2)) == b"v"
             gateway.driver.post(ServerAdminDown(1, False))
             gateway.servers.describe_and_reset()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 
 import pytest
-from fakes import SETTINGS, FakeServer, Raw, array, call, node, resp, run, until
+from fakes import SETTINGS, FakeServer, RawClient, call, local_gateway, resp, run, server_reply, until
 
 from quota_gateway import Plan, SetServing
 from quota_gateway.net.clients import connection as connection_module
@@ -28,16 +28,16 @@
     return gateway.clients.listener.getsockname()[1]
 
 
-async def connect_and_request(gateway, command: bytes = b"") -> Raw:
+async def connect_and_request(gateway, command: bytes = b"") -> RawClient:
     """Connect a client that sends one request and reads its reply; it is idle afterwards."""
-    raw = Raw(port(gateway))
+    raw = RawClient(port(gateway))
     raw.send(command or call(900 + len(gateway.clients.connections)))
     assert await raw.read(len(bulk(b"v"))) == bulk(b"v")
     return raw
 
 
 def server() -> FakeServer:
-    return FakeServer(lambda words: array(b"v"))
+    return FakeServer(lambda words: server_reply(b"v"))
 
 
 CLOSES = {
@@ -51,27 +51,27 @@
 @pytest.mark.parametrize("kind", ["read", "post", "buy"])
 def test_request_sent_just_before_a_close_is_served_and_the_close_follows_its_reply(close_event, kind):
     async def test():
-        async with node(server()) as gateway:
+        async with local_gateway(server()) as gateway:
             raw, _ = await connect_and_request(gateway), await connect_and_request(gateway)
             raw.send(call(1, kind))
             CLOSES[close_event](gateway.clients)
             answer = bulk(b"v")
             assert await raw.read(len(answer)) == answer
             if close_event != "fewer connections":
-                assert await raw.rest() == (b"", "end")
+                assert await raw.read_to_end() == (b"", "end")
 
     run(test())
 
 
 def test_connection_in_the_listener_queue_at_shutdown_is_served():
     async def test():
-        async with node(server()) as gateway:
-            raws = [Raw(port(gateway)) for _ in range(5)]
+        async with local_gateway(server()) as gateway:
+            raws = [RawClient(port(gateway)) for _ in range(5)]
             for number, raw in enumerate(raws):
                 raw.send(call(number))
             gateway.clients.stop_listening()  # before the event loop could accept any of them
             for raw in raws:
-                assert await raw.rest() == (bulk(b"v"), "end")
+                assert await raw.read_to_end() == (bulk(b"v"), "end")
 
     run(test())
 
@@ -79,15 +79,15 @@
 @pytest.mark.parametrize("request_sent", [True, False])
 def test_connection_reset_in_the_listener_queue_does_not_hide_later_ones_at_shutdown(request_sent):
     async def test():
-        async with node(server()) as gateway:
-            gone, behind = Raw(port(gateway)), Raw(port(gateway))
+        async with local_gateway(server()) as gateway:
+            gone, behind = RawClient(port(gateway)), RawClient(port(gateway))
             if request_sent:
                 gone.send(call(1))
             gone.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             gone.sock.close()  # sends a reset
             behind.send(call(2))
             gateway.clients.stop_listening()
-            assert await behind.rest() == (bulk(b"v"), "end")
+            assert await behind.read_to_end() == (bulk(b"v"), "end")
             await until(gateway.clients.has_ended)
 
     run(test())
@@ -97,12 +97,12 @@
     monkeypatch.setattr(registry_module, "SHUTDOWN_GRACE_S", 3600.0)
 
     async def test():
-        async with node(server()) as gateway:
-            raw = Raw(port(gateway))
+        async with local_gateway(server()) as gateway:
+            raw = RawClient(port(gateway))
             gateway.clients.stop_listening()
             await until(lambda: len(gateway.clients.connections) == 1)
             raw.send(call(1))
-            assert await raw.rest() == (bulk(b"v"), "end")
+            assert await raw.read_to_end() == (bulk(b"v"), "end")
 
     run(test())
 
@@ -111,7 +111,7 @@
     monkeypatch.setattr(registry_module, "SHUTDOWN_GRACE_S", 3600.0)
 
     async def test():
-        async with node(server()) as gateway:
+        async with local_gateway(server()) as gateway:
             raw, command = await connect_and_request(gateway), call(1)
             raw.send(command[:20])
             await until(
@@ -119,7 +119,7 @@
             )
             gateway.clients.stop_listening()
             raw.send(command[20:])
-            assert await raw.rest() == (bulk(b"v"), "end")
+            assert await raw.read_to_end() == (bulk(b"v"), "end")
 
     run(test())
 
@@ -128,8 +128,8 @@
     monkeypatch.setattr(registry_module, "SHUTDOWN_GRACE_S", 3600.0)
 
     async def test():
-        async with node(server()) as gateway:
-            raws = [Raw(port(gateway)), await connect_and_request(gateway)]
+        async with local_gateway(server()) as gateway:
+            raws = [RawClient(port(gateway)), await connect_and_request(gateway)]
             raws[1].send(call(1)[:20])
             await until(
                 lambda: any(client.stream.is_within_command() for client in gateway.clients.connections)
@@ -140,7 +140,7 @@
             raws[1].send(call(1)[20:])
             gateway.clients._end_grace()  # before the event loop could read any of them
             for raw in raws:
-                assert await raw.rest() == (bulk(b"v"), "end")
+                assert await raw.read_to_end() == (bulk(b"v"), "end")
 
     run(test())
 
@@ -151,18 +151,18 @@
     monkeypatch.setattr(registry_module, "SHUTDOWN_GRACE_S", 3600.0)
 
     async def test():
-        async with node(server()) as gateway:
+        async with local_gateway(server()) as gateway:
             gateway.clients.stop_listening()
             if late:
                 gateway.clients._end_grace()
             with socket.create_server(("127.0.0.1", 0)) as listener:
-                raw = Raw(listener.getsockname()[1])
+                raw = RawClient(listener.getsockname()[1])
                 sock, _ = listener.accept()
             sock.setblocking(False)
             raw.send(call(1))
             gateway.clients.adopt(sock, had_request, 0.0)
             assert not gateway.clients.has_ended()
-            assert await raw.rest() == (bulk(b"v"), "end")
+            assert await raw.read_to_end() == (bulk(b"v"), "end")
             await until(gateway.clients.has_ended)
 
     run(test())
@@ -175,14 +175,14 @@
 
     async def test():
         fake = server()
-        async with node(fake) as gateway:
+        async with local_gateway(fake) as gateway:
             raw, command = await connect_and_request(gateway), call(1)
             served = len(fake.commands)
             raw.send(command[: 20 * parts])
             (client,) = gateway.clients.connections
             await until(lambda: client.stream.is_within_command() == bool(parts))
             gateway.clients.stop_listening()
-            assert await raw.rest() == (b"", "end")
+            assert await raw.read_to_end() == (b"", "end")
             raw.send(command[20 * parts :], call(2))  # arrives after the gateway has half-closed
             await until(lambda: client.throttle.discarded_bytes >= len(command) - 20 * parts)
             raw.sock.close()
@@ -198,13 +198,13 @@
     value = bytes(60_000)
 
     async def test():
-        async with node(FakeServer(lambda words: array(value))) as gateway:
-            raw = Raw(port(gateway), room=2048)
+        async with local_gateway(FakeServer(lambda words: server_reply(value))) as gateway:
+            raw = RawClient(port(gateway), receive_buffer_bytes=2048)
             raw.send(call(1))
             await until(lambda: gateway.driver.metrics.requests_total and not gateway.driver.requests)
             raw.send(behind)
             gateway.clients.stop_listening()
-            data, end = await raw.rest()
+            data, end = await raw.read_to_end()
             assert data.startswith(bulk(value))
             assert end == "end"
 
@@ -213,13 +213,13 @@
 
 def test_new_connection_beyond_the_limit_gets_an_error_although_its_request_has_arrived():
     async def test():
-        async with node(FakeServer(lambda words: None), most_connections=1) as gateway:
-            busy = Raw(port(gateway))
+        async with local_gateway(FakeServer(lambda words: None), most_connections=1) as gateway:
+            busy = RawClient(port(gateway))
             busy.send(call(1))
             await until(lambda: len(gateway.driver.requests) == 1)
-            raw = Raw(port(gateway))
+            raw = RawClient(port(gateway))
             raw.send(call(2))
-            assert await raw.rest() == (TOO_MANY_CONNECTIONS, "end")
+            assert await raw.read_to_end() == (TOO_MANY_CONNECTIONS, "end")
             assert list(gateway.driver.requests) == [f"{1:016x}"]
 
     run(test())
@@ -227,14 +227,14 @@
 
 def test_connection_with_an_unread_request_is_not_evicted_for_a_new_one():
     async def test():
-        async with node(server()) as gateway:
+        async with local_gateway(server()) as gateway:
             raw, newest = await connect_and_request(gateway), await connect_and_request(gateway)
             gateway.clients.most_connections = 1
             raw.send(call(1))
             gateway.clients.register(list(gateway.clients.connections)[-1])
             answer = bulk(b"v")
             assert await raw.read(len(answer)) == answer
-            assert await newest.rest() == (TOO_MANY_CONNECTIONS, "end")
+            assert await newest.read_to_end() == (TOO_MANY_CONNECTIONS, "end")
 
     run(test())
 
@@ -244,13 +244,13 @@
     monkeypatch.setattr(registry_module, "MAX_LINGERING", 2)
 
     async def test():
-        async with node(FakeServer(lambda words: None), most_connections=1) as gateway:
-            busy = Raw(port(gateway))
+        async with local_gateway(FakeServer(lambda words: None), most_connections=1) as gateway:
+            busy = RawClient(port(gateway))
             busy.send(call(1))
             await until(lambda: len(gateway.driver.requests) == 1)
             raws = []
             for _ in range(6):
-                raws.append(Raw(port(gateway)))
+                raws.append(RawClient(port(gateway)))
                 assert await raws[-1].read(len(TOO_MANY_CONNECTIONS)) == TOO_MANY_CONNECTIONS
             await until(lambda: len(gateway.clients.lingering) == 2)
             assert len(gateway.clients.connections) == 1
@@ -262,8 +262,8 @@
     monkeypatch.setattr(connection_module, "LINGER_S", 3600.0)
 
     async def test():
-        async with node(server()) as gateway:
-            raw = Raw(port(gateway))
+        async with local_gateway(server()) as gateway:
+            raw = RawClient(port(gateway))
             raw.send(b"junk\r\n")
             await until(lambda: bool(gateway.clients.lingering))
             with pytest.raises(OSError):  # noqa: PT011, PT012  reset or broken pipe, depending on the write
@@ -286,8 +286,8 @@
 def test_disconnect_of_a_client_with_the_maximum_in_flight_is_detected(more):
     async def test():
         fake = FakeServer(lambda words: None)
-        async with node(fake) as gateway:
-            raw = Raw(port(gateway))
+        async with local_gateway(fake) as gateway:
+            raw = RawClient(port(gateway))
             raw.send(*(call(number) for number in range(MAX_PIPELINED)), *more)
             await fake.until(lambda: len(fake.commands) == MAX_PIPELINED)
             raw.sock.close()
@@ -301,10 +301,10 @@
 
 def test_peer_gets_its_protocol_error_whatever_it_sends_afterwards():
     async def test():
-        async with node(server()) as gateway:
-            raw = Raw(port(gateway))
+        async with local_gateway(server()) as gateway:
+            raw = RawClient(port(gateway))
             raw.send(resp("PING"), b"junk\r\n", bytes(200_000))
-            data, end = await raw.rest()
+            data, end = await raw.read_to_end()
             assert data == b"+PONG\r\n-ERR Protocol error\r\n"
             assert end == "end"
 
@@ -314,8 +314,8 @@
 def test_disconnect_after_a_malformed_command_is_detected_while_an_earlier_request_is_in_flight():
     async def test():
         fake = FakeServer(lambda words: None)
-        async with node(fake) as gateway:
-            raw = Raw(port(gateway))
+        async with local_gateway(fake) as gateway:
+            raw = RawClient(port(gateway))
             raw.send(call(1), b"junk\r\n")
             await fake.until(lambda: len(fake.commands) == 1)
             raw.sock.close()
@@ -334,13 +334,13 @@
     )
 
     async def test():
-        fake = FakeServer(lambda words: array(b"v") if int(words[2], 16) not in first else None)
-        async with node(fake, classes=classes) as gateway:
-            raw = Raw(port(gateway))
+        fake = FakeServer(lambda words: server_reply(b"v") if int(words[2], 16) not in first else None)
+        async with local_gateway(fake, classes=classes) as gateway:
+            raw = RawClient(port(gateway))
             raw.send(
-                *(call(number, wait=60_000) for number in first),
-                call(1000, kind, wait=6000),
-                call(1001, kind, wait=1000),
+                *(call(number, timeout_ms=60_000) for number in first),
+                call(1000, kind, timeout_ms=6000),
+                call(1001, kind, timeout_ms=1000),
             )
             await fake.until(lambda: len(fake.commands) == MAX_PIPELINED)
             (client,) = gateway.clients.connections
@@ -349,7 +349,7 @@
             gateway.driver.clock = lambda: clock() + 2000.0
             for number in (0, 1):
                 position = [int(words[2], 16) for words in fake.commands].index(number)
-                fake.writers[fake.by[position]].write(array(b"v"))
+                fake.writers[fake.connection_numbers[position]].write(server_reply(b"v"))
             await until(lambda: gateway.driver.metrics.requests_total == MAX_PIPELINED + 2)
             await until(lambda: len(gateway.driver.requests) == MAX_PIPELINED - 2)
             behind = [words for words in fake.commands if int(words[2], 16) not in first]
@@ -373,12 +373,12 @@
     limits = replace(SETTINGS.limits, can_cancel=can_cancel)
 
     async def test():
-        fake = FakeServer(lambda words: None if words[2].endswith(b"9") else array(b"v"))
-        async with node(fake, plans=plans, limits=limits, gateways=1) as gateway:
-            first, raw = Raw(port(gateway)), Raw(port(gateway))
+        fake = FakeServer(lambda words: None if words[2].endswith(b"9") else server_reply(b"v"))
+        async with local_gateway(fake, plans=plans, limits=limits, gateways=1) as gateway:
+            first, raw = RawClient(port(gateway)), RawClient(port(gateway))
             plan = "free" if waits_for == "queued" else waits_for
             if waits_for == "queued":
-                gateway.told()  # no server is ready
+                gateway.update_servers()  # no server is ready
             else:
                 first.send(call(9, "read", plan))
                 await fake.until(lambda: len(fake.commands) == 1)
@@ -394,9 +394,9 @@
                     gateway.driver.clock = lambda: clock() + 1000.0
                     gateway.driver.timers.fire()
                 case "queued":
-                    gateway.told(fake.entry(1))
+                    gateway.update_servers(fake.entry(1))
                 case "under a cap":
-                    fake.writers[0].write(array(b"v"))
+                    fake.writers[0].write(server_reply(b"v"))
                     await until(lambda: f"{9:016x}" not in gateway.driver.requests)
             if disconnects:
                 await connect_and_request(gateway, call(2, "read", "free"))  # a later request is served
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 import pytest
-from fakes import SETTINGS, FakeServer, Raw, array, call, node, run, until
+from fakes import SETTINGS, FakeServer, RawClient, call, local_gateway, run, server_reply, until
 from test_net_driver import FakePolicy, accept_request
 from test_net_servers import OutcomeCollector
 
@@ -62,19 +62,19 @@
 def test_nothing_is_sent_on_a_connection_that_is_opened_too_late(limits, kind, event):
     async def test():
         fake = FakeServer()
-        async with node(fake, limits=LIMITS[limits]) as gateway:
-            gate, raw = Gate(gateway), Raw(port(gateway))
+        async with local_gateway(fake, limits=LIMITS[limits]) as gateway:
+            gate, raw = Gate(gateway), RawClient(port(gateway))
             raw.send(call(1, kind))
             await until(lambda: bool(gate.sockets))
             match event:
                 case "drain":
-                    gateway.told(fake.entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
+                    gateway.update_servers(fake.entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
                 case "gone":
-                    gateway.told(fake.entry(1, state=ServerState.REMOVED), kind=ListKind.CHANGES)
+                    gateway.update_servers(fake.entry(1, state=ServerState.REMOVED), kind=ListKind.CHANGES)
                 case "restart":  # another process runs there now: it needs a new connection
-                    gateway.told(fake.entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
-                    gateway.told(fake.entry(1, started_ms=1.0), kind=ListKind.CHANGES)
-                    gateway.told(fake.entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
+                    gateway.update_servers(fake.entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
+                    gateway.update_servers(fake.entry(1, started_ms=1.0), kind=ListKind.CHANGES)
+                    gateway.update_servers(fake.entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
                 case "client left":
                     raw.sock.close()
                     await until(lambda: gateway.driver.metrics.disconnected_total == 1)
@@ -104,7 +104,7 @@
 def test_descriptor_of_a_connection_that_is_closed_while_being_opened_is_closed_once(event, turns):
     async def test():
         fake = FakeServer()
-        async with node(fake) as gateway:
+        async with local_gateway(fake) as gateway:
             gate, collector = Gate(gateway), OutcomeCollector()
             attempt = collector.attempt()
             gateway.servers.start(1, attempt)
@@ -113,7 +113,7 @@
             for _ in range(turns):  # of the event loop, between connecting and the first byte
                 await asyncio.sleep(0)
             if event == "drain":
-                gateway.told(fake.entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
+                gateway.update_servers(fake.entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
             gateway.servers.cancel(attempt, Status.CANCELLED)
             assert await collector.status() in (Status.CANCELLED, Status.CONNECT_FAILED)
             assert not gateway.servers.connections
@@ -130,8 +130,8 @@
     async def test():
         fake = FakeServer(lambda words: b"")  # takes the command and closes: it may have run
         classes = (SETTINGS.classes[0], key, SETTINGS.classes[2])
-        async with node(fake, limits=LIMITS[limits], classes=classes) as gateway:
-            raw, gate = Raw(port(gateway)), Gate(gateway)
+        async with local_gateway(fake, limits=LIMITS[limits], classes=classes) as gateway:
+            raw, gate = RawClient(port(gateway)), Gate(gateway)
             gate.open.set()
             raw.send(call(1, "post"))
             await until(lambda: bool(fake.commands))
@@ -149,11 +149,11 @@
 @pytest.mark.parametrize(("memory_ms", "sent"), [(60_000.0, 2), (1.0, 1)])
 def test_retry_is_sent_only_within_its_idempotency_window(memory_ms, sent):
     async def test():
-        answers = iter([b"", array(b"v")])
+        answers = iter([b"", server_reply(b"v")])
         fake = FakeServer(lambda words: next(answers))
         key = replace(SETTINGS.classes[1], idempotency_window_ms=memory_ms)
-        async with node(fake, classes=(SETTINGS.classes[0], key, SETTINGS.classes[2])) as gateway:
-            raw = Raw(port(gateway))
+        async with local_gateway(fake, classes=(SETTINGS.classes[0], key, SETTINGS.classes[2])) as gateway:
+            raw = RawClient(port(gateway))
             raw.send(call(1, "post"))
             assert await raw.read(2) == (b"$1" if sent == 2 else b"-E")
             assert len(fake.commands) == sent
@@ -164,7 +164,7 @@
 def test_cancel_unsent_stops_only_an_attempt_whose_last_byte_was_not_sent():
     async def test():
         fake = FakeServer(lambda words: None)
-        async with node(fake) as gateway:
+        async with local_gateway(fake) as gateway:
             sent, unsent = OutcomeCollector(), OutcomeCollector()
             sent_attempt = sent.attempt()
             gateway.servers.start(1, sent_attempt)
@@ -180,11 +180,11 @@
     run(test())
 
 
-@pytest.mark.usefixtures("no_rest")
+@pytest.mark.usefixtures("immediate_connection_reuse")
 def test_second_attempt_is_not_sent_if_it_connects_after_the_request_was_answered():
     async def test():
-        quick, late = FakeServer(lambda words: array(b"v")), FakeServer()
-        async with node(quick, late) as gateway:
+        quick, late = FakeServer(lambda words: server_reply(b"v")), FakeServer()
+        async with local_gateway(quick, late) as gateway:
             collector = OutcomeCollector()
             gateway.servers.start(1, collector.attempt())
             assert await collector.status() is Status.OK  # leaves one idle connection
@@ -203,8 +203,8 @@
 def test_attempt_that_was_never_sent_is_not_counted_as_a_failure_of_its_server():
     async def test():
         fake = FakeServer()
-        async with node(fake, limits=LIMITS["no cancel"]) as gateway:
-            gate, raw = Gate(gateway), Raw(port(gateway))
+        async with local_gateway(fake, limits=LIMITS["no cancel"]) as gateway:
+            gate, raw = Gate(gateway), RawClient(port(gateway))
             raw.send(call(1))
             await until(lambda: bool(gate.sockets))
             raw.sock.close()
@@ -223,7 +223,7 @@
 
 def test_socket_is_closed_if_its_transport_can_not_be_created():
     async def test():
-        async with node(FakeServer()) as gateway:
+        async with local_gateway(FakeServer()) as gateway:
             gate, collector = Gate(gateway, broken=True), OutcomeCollector()
             gate.open.set()
             gateway.servers.start(1, collector.attempt())
@@ -243,15 +243,17 @@
     async def test():
         def answer(words):
             if words[2].endswith(b"2"):
-                fake.writers[0].write(array(b"of the first, once more"))
-            return array(words[2])
+                fake.writers[0].write(server_reply(b"of the first, once more"))
+            return server_reply(words[2])
 
         fake = FakeServer(answer)
-        async with node(fake) as gateway:
-            peer = await gateway.peer()
+        async with local_gateway(fake) as gateway:
+            peer = await gateway.connect_client()
             assert await peer.ask(call(1)) == b"%016x" % 1
             assert await peer.ask(call(2)) == b"%016x" % 2
-            await fake.until(lambda: fake.ended == 1)  # the reply without a request has closed its connection
+            await fake.until(
+                lambda: fake.closed_connections == 1
+            )  # the reply without a request has closed its connection
             assert await peer.ask(call(3)) == b"%016x" % 3
 
     run(test())
@@ -262,11 +264,11 @@
 
     async def test():
         fake = FakeServer()
-        async with node(fake) as gateway:
-            peer = await gateway.peer()
+        async with local_gateway(fake) as gateway:
+            peer = await gateway.connect_client()
             for number in range(4):
                 assert await peer.ask(call(number)) == b"%016x" % number
-            assert fake.by == [0, 0, 0, 0]
+            assert fake.connection_numbers == [0, 0, 0, 0]
 
     run(test())
 
@@ -286,13 +288,13 @@
     async def test():
         def answer(words):
             if fake.commands[0] is not words:
-                return array(words[2])
+                return server_reply(words[2])
             fake.writers[0].write(overlong_reply[:cut])
             return None
 
         fake = FakeServer(answer)
-        async with node(fake) as gateway:
-            peer = await gateway.peer()
+        async with local_gateway(fake) as gateway:
+            peer = await gateway.connect_client()
             peer.send(call(1, "buy"))
             await fake.until(lambda: len(fake.commands) == 1)
             if cut:
@@ -308,7 +310,7 @@
                 fake.writers[0].write(overlong_reply[cut:])
             assert await peer.reply() == "-ERR failed"  # it may have run
             assert await peer.ask(call(2, "buy")) == b"%016x" % 2
-            assert fake.by == [0, 1]
+            assert fake.connection_numbers == [0, 1]
 
     run(test())
 
@@ -321,8 +323,8 @@
         b"*0\r\n",
         b"*1\r\n:5\r\n",
         b"*3\r\n$-1\r\n$-1\r\n$-1\r\n",
-        array(b"v") * 2,
-        array(b"v") + b"*3\r\n$1",
+        server_reply(b"v") * 2,
+        server_reply(b"v") + b"*3\r\n$1",
         b"+half a li",
         b"*3\r\n$1\r\nv\r\n$",
         *OVERLONG_REPLIES,
@@ -333,35 +335,35 @@
 
     async def test():
         answers = iter([broken])
-        fake = FakeServer(lambda words: next(answers, array(words[2])))
-        async with node(fake) as gateway:
-            peer = await gateway.peer()
+        fake = FakeServer(lambda words: next(answers, server_reply(words[2])))
+        async with local_gateway(fake) as gateway:
+            peer = await gateway.connect_client()
             if b"ha" in broken or broken.endswith(b"v\r\n$"):  # incomplete: the client disconnects
                 peer.send(call(1))
                 await fake.until(lambda: len(fake.commands) == 1)
                 peer.writer.close()
-                await fake.until(lambda: fake.ended == 1)
-                peer = await gateway.peer()
+                await fake.until(lambda: fake.closed_connections == 1)
+                peer = await gateway.connect_client()
             else:
                 await peer.ask(call(1))
             assert await peer.ask(call(2)) == b"%016x" % 2
-            assert fake.by[-1] > 0
+            assert fake.connection_numbers[-1] > 0
 
     run(test())
 
 
-@pytest.mark.parametrize("partial_reply", [b"", array(b"v")[:-3], b"*3\r\n$100\r\nhalf", b"-ERR fail"])
+@pytest.mark.parametrize("partial_reply", [b"", server_reply(b"v")[:-3], b"*3\r\n$100\r\nhalf", b"-ERR fail"])
 @pytest.mark.parametrize("kind", KINDS)
 def test_each_request_is_answered_and_no_unsafe_one_sent_twice_if_a_server_closes_early(kind, partial_reply):
     async def test():
         def answer(words):
             if partial_reply:
-                bad.writers[bad.by[-1]].write(partial_reply)
+                bad.writers[bad.connection_numbers[-1]].write(partial_reply)
             return b""
 
         bad, good = FakeServer(answer), FakeServer()
-        async with node(bad, good) as gateway:
-            peer = await gateway.peer()
+        async with local_gateway(bad, good) as gateway:
+            peer = await gateway.connect_client()
             for number in range(12):
                 reply = await peer.ask(call(number, kind))
                 ran_at_bad = any(int(words[2], 16) == number for words in bad.commands)
--- a/tests/test_discovery_herd.py
+++ b/tests/test_discovery_herd.py
@@ -4,7 +4,7 @@
 
 from conftest import SETTINGS, Rig, entry
 from fakes import SETTINGS as NET_SETTINGS
-from fakes import node, run
+from fakes import local_gateway, run
 
 from quota_gateway import DiscoveryMode, Limits, ListKind
 from quota_gateway.net.discovery import Discovery
@@ -71,8 +71,8 @@
 
 def test_subscribe_action_in_poll_mode_logs_no_error(caplog):
     async def test():
-        async with node(**{"discovery": DiscoveryMode.POLL}) as gateway:
-            gateway.told(kind=ListKind.CACHED)
+        async with local_gateway(**{"discovery": DiscoveryMode.POLL}) as gateway:
+            gateway.update_servers(kind=ListKind.CACHED)
             gateway.driver.timers.call_at(0.0, lambda _: None, None)
             while gateway.driver.timers:
                 gateway.driver.timers.fire()
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,7 +1,7 @@
-"""The pages say what the code has: the glossary's names are found, and quoted log lines are printed.
+"""The documentation agrees with the code: names in the glossary, files, bounds and quoted log lines.
 
-An engineer on call looks a word of the operators' pages or a line of the log up; a row or a line that is no
-longer true sends that engineer to the wrong place.
+An engineer on call looks up a word of the operators' pages or a line of the log. An outdated entry sends that
+engineer to the wrong place.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def glossary_places() -> list[tuple[str, str]]:
-    """Each file of the last column, with each name that is to be found in it."""
+    """Each file that the glossary's last column names, paired with each name that it should contain."""
     places = []
     for line in (ROOT / "docs" / "glossary.md").read_text().splitlines():
         row = ROW.match(line)
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(("file", "name"), glossary_places())
-def test_every_row_of_the_glossary_names_what_is_there(file, name):
+def test_every_glossary_row_names_an_existing_file_and_a_name_in_it(file, name):
     path = ROOT / file if file.startswith("docs/") else PACKAGE / file
     assert path.is_file()
     assert re.search(rf"\b{name}\b", path.read_text())
@@ -46,16 +46,16 @@
 PAGES = sorted(p for p in [*(ROOT / "docs").glob("*.md"), ROOT / "README.md"] if p.name != "ROADMAP.md")
 
 
-def paths_named(page: Path) -> list[str]:
-    """Python files that a page names in code marks."""
+def python_files_named(page: Path) -> list[str]:
+    """Python files that a page names in backticks."""
     return sorted({code for code in CODE.findall(page.read_text()) if re.fullmatch(r"[\w/]+\.py", code)})
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.stem)
-def test_every_python_file_that_a_page_names_is_there(page):
+def test_every_python_file_that_a_page_names_exists(page):
     missing = [
         name
-        for name in paths_named(page)
+        for name in python_files_named(page)
         if not any((folder / name).is_file() for folder in (ROOT, PACKAGE, PACKAGE / "net"))
     ]
     assert missing == []
@@ -66,13 +66,13 @@
 
 
 def bounds() -> list[tuple[str, str, float]]:
-    """Each bound of the capacity page: its module, its constant and its value as the page has it."""
+    """Each bound on the capacity page: module, constant and the value that the page gives."""
     rows = map(BOUND.match, (ROOT / "docs" / "capacity.md").read_text().splitlines())
     return [(row[3].replace("/", "."), row[4], float(row[1]) * BYTES[row[2]]) for row in rows if row]
 
 
 @pytest.mark.parametrize(("module", "constant", "value"), bounds())
-def test_every_bound_of_the_capacity_page_is_the_code_s(module, constant, value):
+def test_every_bound_on_the_capacity_page_equals_its_constant(module, constant, value):
     assert getattr(importlib.import_module(f"quota_gateway.{module}"), constant) == value
 
 
@@ -85,7 +85,7 @@
 
 
 def quoted_log_lines() -> list[str]:
-    """Log lines that the on-call page quotes: in first columns of its tables, and heads of its list."""
+    """Log lines that the on-call page quotes in first columns of tables and at the start of list items."""
     text = (ROOT / "docs" / "on-call.md").read_text()
     lines = []
     for table in text.split(LOG_TABLE_HEAD)[1:]:
@@ -96,8 +96,8 @@
     return [" ".join(line.split()) for line in lines + heads]
 
 
-def literals(path: Path) -> list[str]:
-    """The texts of a module, with {} where a value is formatted in."""
+def string_literals(path: Path) -> list[str]:
+    """A module's string literals, with {} in place of each formatted value."""
     found = []
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Constant) and isinstance(node.value, str):
@@ -108,11 +108,11 @@
     return found
 
 
-TEXTS = [text for path in PACKAGE.rglob("*.py") for text in literals(path)]
+TEXTS = [text for path in PACKAGE.rglob("*.py") for text in string_literals(path)]
 
 
 def is_printed(line: str) -> bool:
-    """Whether a text of the code, with values in its places, is the quoted line, or begins with it."""
+    """Whether a string of the code, with its values filled in, equals the quoted line or begins with it."""
     quoted = line.removesuffix("...").rstrip(": ")
     for text in TEXTS:
         if text.startswith(quoted):
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize("line", quoted_log_lines())
-def test_every_log_line_that_the_on_call_page_quotes_is_printed(line):
+def test_every_log_line_that_the_on_call_page_quotes_is_in_the_code(line):
     assert is_printed(line)
 
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -1,4 +1,4 @@
-"""Edge sizes at which nothing may fault and every request gets its answer."""
+"""Every request is answered, without errors, at extreme sizes and without load reports, meter or servers."""
 
 from dataclasses import replace
 
@@ -8,8 +8,8 @@
 from quota_gateway import AttemptEnded, ListKind, Request, Status
 
 
-def play(rig: Rig, width: int, count: int = 40) -> None:
-    """Requests of every plan and class, each answered or ended; all are owed one answer."""
+def check_every_request_is_answered(rig: Rig, width: int, count: int = 40) -> None:
+    """Send requests of every plan and class, finish their attempts, and check that each has its answer."""
     names = [(p.name, c.name) for p in rig.settings.plans for c in rig.settings.classes]
     for number in range(count):
         plan, kind = names[number % len(names)]
@@ -23,24 +23,24 @@
 
 @pytest.mark.parametrize(("gateways", "width"), [(300, 1), (300, 300), (2, 50), (1, 1), (5000, 4000)])
 @pytest.mark.parametrize("servers", [1, 3, 400])
-def test_any_size_answers_all(gateways, width, servers):
+def test_every_request_is_answered_at_any_number_of_gateways_and_servers(gateways, width, servers):
     rig = Rig(replace(SETTINGS, gateways=gateways))
     rig.servers(*(entry(n, "ab"[n % 2]) for n in range(servers)), kind=ListKind.CACHED)
-    play(rig, width)
+    check_every_request_is_answered(rig, width)
 
 
 @pytest.mark.parametrize("load", [None, (), (None, None), (0.5,), (0.5, 3.0, 7.0)])
-def test_reports_may_be_missing_short_or_null(load):
+def test_load_reports_may_be_missing_short_long_or_null(load):
     rig = Rig(replace(SETTINGS, load_fields=("util", "queue")))
     rig.servers(entry(1))
     for _ in range(3):
         name = rig.ask()
-        rig.do(AttemptEnded(name, 0, 1, Status.OK, 50.0, True, load=load))
+        rig.handle(AttemptEnded(name, 0, 1, Status.OK, 50.0, True, load=load))
     assert rig.ask() in rig.sent
 
 
-def test_an_old_report_fades():
-    # server 1 reported 20 waiting; once enough time and attempts have passed it is taken as any other
+def test_old_load_report_loses_its_weight():
+    # Server 1 reported a queue of 20. Once enough time and attempts have passed, it is chosen like any other.
     rig = Rig(replace(SETTINGS, load_fields=("queue",)))
     rig.servers(entry(1), entry(2))
     rig.gateway.load_reports.record(rig.gateway.endpoints.servers[1], (20.0,))
@@ -49,17 +49,18 @@
     assert 1 in {rig.sent[rig.ask()][0] for _ in range(8)}
 
 
-def test_without_a_meter_a_customer_alone_at_its_gateway_may_retry():
-    # with a period of 0 no reading ever counts; the complete burst is here, so the share is not thin
+def test_without_a_meter_a_customer_that_uses_one_gateway_may_retry():
+    # With a meter period of 0 no reading ever counts. This gateway has the complete burst, so its share is
+    # large enough for a request.
     rig = Rig(replace(SETTINGS, meter_period_ms=0.0, gateways=300))
     rig.servers(entry(1))
-    rig.do(Request("x", "safe", "metered", "c", 4000.0, 1, 1, is_retry=True))
+    rig.handle(Request("x", "safe", "metered", "c", 4000.0, 1, 1, is_retry=True))
     assert "x" in rig.sent
 
 
-def test_a_complete_list_without_servers_queues_then_rejects():
+def test_request_is_queued_and_then_rejected_while_the_list_of_servers_is_empty():
     rig = Rig()
     rig.servers(kind=ListKind.CACHED)
-    name = rig.ask(patience=300.0)
+    name = rig.ask(client_timeout_ms=300.0)
     rig.run(299.0)
     assert rig.answers[name] == "Reject"
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from fakes import Peer
+from fakes import RespClient
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_fault_bench import ROOT, SCENARIO, run
@@ -267,8 +267,8 @@
         while '"in_hand":1' not in await self.rig.call_admin("g0", "FIGURES"):
             pass
 
-    async def connect(self) -> Peer:
-        return await Peer().open(self.rig.links["clients>g0"].listen_address[1], self.rig.host)
+    async def connect(self) -> RespClient:
+        return await RespClient().open(self.rig.links["clients>g0"].listen_address[1], self.rig.host)
 
 
 def run_supervised(tmp_path, case, seconds=30.0):
--- a/tests/test_fault_bench.py
+++ b/tests/test_fault_bench.py
@@ -11,7 +11,7 @@
 
 import msgspec
 import pytest
-from fakes import LIMIT_S, FakeServer, Peer, array, resp
+from fakes import TEST_TIMEOUT_S, FakeServer, RespClient, resp, server_reply
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -40,7 +40,7 @@
 
 def run(test):
     """On the loop that the rig uses."""
-    return asyncio.run(asyncio.wait_for(test, LIMIT_S))
+    return asyncio.run(asyncio.wait_for(test, TEST_TIMEOUT_S))
 
 
 ROOT = Path(__file__).parent.parent
@@ -371,13 +371,13 @@
 
 def test_relay_delays_holds_cuts_refuses_and_resets():
     async def test():
-        server, host = await FakeServer(lambda words: array(words[1])).start(), own_host()
+        server, host = await FakeServer(lambda words: server_reply(words[1])).start(), own_host()
         link = Link("a>b", (host, 20_000), ("127.0.0.1", server.port), Random(1))
         await link.listen()
         loop = asyncio.get_running_loop()
 
         async def peer():
-            return await Peer().open(link.listen_address[1], host)
+            return await RespClient().open(link.listen_address[1], host)
 
         one = await peer()
         assert (await one.ask(resp("X", "1")))[0] == b"1"
@@ -401,7 +401,7 @@
 
         link.impairments["down"].bytes_until_reset = 6
         one.send(resp("X", "5"))
-        assert await one.reader.readexactly(6) == array(b"5")[:6]
+        assert await one.reader.readexactly(6) == server_reply(b"5")[:6]
         with pytest.raises(ConnectionResetError):
             await one.reader.readexactly(1)
         two = await peer()
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -8,7 +8,7 @@
 
 import pytest
 from conftest import PLANS, Rig, entry, rig_with
-from fakes import FakeServer, Raw, array, call, node, row, run, until
+from fakes import FakeServer, RawClient, call, local_gateway, row, run, server_reply, until
 
 from quota_gateway import (
     DrainChanged,
@@ -42,7 +42,7 @@
 
 def successor_rig(old: Rig) -> Rig:
     """The successor's rig: the same settings and servers, but other numbers for the servers."""
-    old.do(HotRestartBegun())
+    old.handle(HotRestartBegun())
     document = json.loads(json.dumps(state_document.save(old.gateway, SERVER_IDS)))
     new = Rig(old.settings, seed=2)
     new.now = old.now
@@ -90,9 +90,9 @@
     usage_reports = [a for a in old.finish(request_ids[0]) if isinstance(a, PeerUsage)]
     assert usage_reports[-1].occupied_places == 1
     for report in usage_reports:
-        new.do(report)
+        new.handle(report)
     assert len(new.sent) == 1
-    new.do(PeerExited())
+    new.handle(PeerExited())
     assert count_sent(new, 1, plan="capped") == 1
 
 
@@ -103,7 +103,7 @@
     new = successor_rig(old)
     for action in old.finish(request_id, used=70.0, units=4):
         if isinstance(action, PeerUsage):
-            new.do(action)
+            new.handle(action)
     (customer,) = new.gateway.customers.rows.values()
     assert customer.metered_use_ratio == 0.7
     assert customer.excess_milliunits == old.gateway.customers.rows["metered", "c"].excess_milliunits > 1000.0
@@ -118,9 +118,9 @@
         old.finish(request_id, Status.ERROR if bad else Status.OK)
         if bad and len(old.sent[request_id]) > 1:
             old.finish(request_id)
-    old.do(ServerAdminDown(2, True))
+    old.handle(ServerAdminDown(2, True))
     old.run(100.0)
-    old.do(ServerAdminDown(2, False))
+    old.handle(ServerAdminDown(2, False))
     new = successor_rig(old)
     failing, restored = new.gateway.endpoints.servers[11], new.gateway.endpoints.servers[12]
     assert failing.failure_records == old.gateway.endpoints.servers[1].failure_records
@@ -148,7 +148,7 @@
     old = Rig()
     old.servers(entry(1), entry(2))
     count_sent(old, 3, plan="metered")
-    old.do(HotRestartBegun())
+    old.handle(HotRestartBegun())
     document = state_document.save(old.gateway, SERVER_IDS)
     document[path[0]] = value
     new = Rig()
@@ -204,7 +204,7 @@
 @asynccontextmanager
 async def process(folder, *fakes: FakeServer, identity=IDENTITY, **more):
     """A process of the gateway that has not tried to take over yet."""
-    async with node(**more) as gateway:
+    async with local_gateway(**more) as gateway:
         driver, clients, servers = gateway.driver, gateway.clients, gateway.servers
         driver.on_set_serving = clients.set_serving
 
@@ -230,15 +230,15 @@
 
 async def start_server_silent_on_request_1() -> FakeServer:
     """Start a server that answers all requests but those whose id ends in 1."""
-    return await FakeServer(lambda words: None if words[2].endswith(b"1") else array(words[2])).start()
+    return await FakeServer(lambda words: None if words[2].endswith(b"1") else server_reply(words[2])).start()
 
 
-@pytest.mark.usefixtures("no_rest")
+@pytest.mark.usefixtures("immediate_connection_reuse")
 def test_idle_client_and_server_connections_are_transferred_at_once_and_busy_ones_later(tmp_path):
     async def test():
         server = await start_server_silent_on_request_1()
         async with process(tmp_path, server) as old, process(tmp_path) as new:
-            idle, busy = await old.peer(), await old.peer()
+            idle, busy = await old.connect_client(), await old.connect_client()
             busy.send(call(1))
             await server.until(lambda: len(server.commands) == 1)
             assert await idle.ask(call(2)) == b"0000000000000002"
@@ -252,7 +252,7 @@
             assert len(old.clients.connections) == 1
             assert len(new.clients.connections) == 1
             await until(lambda: new.clients.peer_connections == 1)
-            server.writers[server.by[0]].write(array(b"late"))
+            server.writers[server.connection_numbers[0]].write(server_reply(b"late"))
             assert await busy.reply() == b"late"
             assert await busy.ask(call(5)) == b"0000000000000005"
             await until(lambda: not old.clients.connections and not old.servers.connections)
@@ -267,7 +267,7 @@
         async with process(tmp_path, server) as old, process(tmp_path) as new:
             old.hot_restart.offer()
             assert await new.hot_restart.take_over()
-            peer = await old.peer()
+            peer = await old.connect_client()
             peer.send(call(2))
             for _ in range(20):
                 await asyncio.sleep(0.001)
@@ -286,7 +286,7 @@
     async def test():
         server = await start_server_silent_on_request_1()
         async with process(tmp_path, server) as old:
-            predecessor, peer = old.hot_restart.predecessor, await old.peer()
+            predecessor, peer = old.hot_restart.predecessor, await old.connect_client()
             for number in (2, 4, 6):
                 assert await peer.ask(call(number)) == b"%016x" % number
                 old.hot_restart.offer()
@@ -374,7 +374,7 @@
         ):
             old.hot_restart.offer()
             assert not await new.hot_restart.take_over()
-            assert await (await old.peer()).ask(call(2)) == b"0000000000000002"
+            assert await (await old.connect_client()).ask(call(2)) == b"0000000000000002"
 
     run(test())
 
@@ -437,7 +437,7 @@
             assert new.hot_restart.operator_overrides() == OperatorOverrides(
                 ("s-9",), drained=False
             )  # the old process was running: the overrides that it saved hold
-            assert await (await new.peer()).ask(call(2)) == b"0000000000000002"
+            assert await (await new.connect_client()).ask(call(2)) == b"0000000000000002"
             new.hot_restart.offer()
             async with process(tmp_path) as later:
                 assert await later.hot_restart.take_over()
@@ -468,7 +468,7 @@
     async def test():
         server = await start_server_silent_on_request_1()
         async with process(tmp_path, server) as old, process(tmp_path, most_connections=12) as new:
-            peers = [await old.peer() for _ in range(10)]
+            peers = [await old.connect_client() for _ in range(10)]
             for number, peer in enumerate(peers, 2):
                 assert await peer.ask(call(number))
             old.hot_restart.offer()
@@ -507,7 +507,7 @@
                     stranger.send(message)
                 await until(lambda: predecessor.state is PredecessorState.SERVING)
             assert old.clients.peer_connections == old.servers.peer_connections == 0
-            assert await (await old.peer()).ask(call(2)) == b"0000000000000002"
+            assert await (await old.connect_client()).ask(call(2)) == b"0000000000000002"
             assert await new.hot_restart.take_over()
 
     run(test())
@@ -593,9 +593,9 @@
     return b"$16\r\n%016x\r\n" % number
 
 
-async def served_idle_client(gateway) -> tuple[Raw, Client]:
+async def served_idle_client(gateway) -> tuple[RawClient, Client]:
     """A client that has been served and is idle, and its connection at the gateway."""
-    raw = Raw(gateway.clients.listener.getsockname()[1])
+    raw = RawClient(gateway.clients.listener.getsockname()[1])
     raw.send(call(2))
     assert await raw.read(len(answer(2))) == answer(2)
     (client,) = gateway.clients.connections
@@ -617,7 +617,7 @@
             if after_grace:
                 old.clients._end_grace()
             await predecessor.reclaim()
-            assert await raw.rest() == (answer(3), "end")
+            assert await raw.read_to_end() == (answer(3), "end")
             assert not predecessor.offering  # no process takes over from one that is shutting down
 
     run(test())
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -1,4 +1,4 @@
-"""The library as a new user meets it: the README's example, discovery that must be asked, no meter."""
+"""The library's public face: the README's example, discovery by polling, no quota meter, invalid settings."""
 
 import re
 from operator import attrgetter
@@ -18,23 +18,23 @@
     assert "send r1 to 1" in capsys.readouterr().out
 
 
-def test_discovery_that_must_be_asked_is_asked_and_asked_again():
+def test_polled_discovery_is_asked_at_the_start_and_again_after_a_failure():
     rig = rig_with(discovery=DiscoveryMode.POLL)
-    asked = []
-    plain = rig.do
-    rig.do = lambda event: (lambda acts: asked.extend(a for a in acts if isinstance(a, Subscribe)) or acts)(
-        plain(event)
-    )
+    subscriptions = []
+    original_handle = rig.handle
+    rig.handle = lambda event: (
+        lambda actions: subscriptions.extend(a for a in actions if isinstance(a, Subscribe)) or actions
+    )(original_handle(event))
     rig.servers(entry(1), kind=ListKind.CACHED)
     rig.run(10.0)
-    assert len(asked) == 1
+    assert len(subscriptions) == 1
     rig.servers(kind=ListKind.FAILED)
-    rig.run(5000.0)  # half of the time in which discovery must be asked
-    assert len(asked) == 2
+    rig.run(5000.0)  # half of the interval within which discovery must be asked
+    assert len(subscriptions) == 2
     assert rig.ask() in rig.sent
 
 
-def test_plan_on_a_site_without_a_meter_keeps_the_floor():
+def test_plan_admits_its_even_share_where_no_meter_gives_readings():
     rig = Rig(rig_with(meter_period_ms=0.0).settings)
     rig.servers(entry(1), entry(2))
     assert [rig.ask("metered") in rig.sent for _ in range(5)] == [True] * 4 + [False]
@@ -43,19 +43,19 @@
 @pytest.mark.parametrize(
     ("field", "value"), [("gateways", 0), ("index", 2), ("tick_ms", -1.0), ("plans", ())]
 )
-def test_impossible_settings_name_the_field(field, value):
+def test_error_for_invalid_settings_names_the_field(field, value):
     with pytest.raises(ValueError, match=field):
         rig_with(**{field: value})
 
 
-def test_impossible_plan_names_the_field():
+def test_error_for_an_invalid_plan_names_the_field():
     with pytest.raises(ValueError, match="rate"):
         Plan("p", rate=float("nan"))
     assert Settings.__doc__
 
 
-def test_the_gateways_parts_own_the_state_that_others_read():
-    # what the admin endpoint, the state document and users of the library read, each at its owner
+def test_each_state_that_others_read_is_at_the_gateway_part_that_owns_it():
+    # what the admin endpoint, the state document and users of the library read
     paths = (
         "context.settings context.random context.classes context.timers context.last_token context.now_ms "
         "context.actions context.started_ms context.logged_once context.highest_priority_weight context.arm "
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -5,7 +5,7 @@
 
 import pytest
 from conftest import Rig, entry, rig_with
-from fakes import FakeServer, Raw, call, node, resp, run, until
+from fakes import FakeServer, RawClient, call, local_gateway, resp, run, until
 
 from quota_gateway import AttemptEnded, Limits, Status, StreamStarted
 from quota_gateway.net.clients import command_timer as command_timer_module
@@ -29,7 +29,7 @@
     """The server's writer for the connection on which the request came."""
     return next(
         server.writers[n]
-        for n, words in zip(server.by, server.commands, strict=True)
+        for n, words in zip(server.connection_numbers, server.commands, strict=True)
         if words[2] == b"%016x" % number
     )
 
@@ -59,13 +59,13 @@
     assert parse_long_value_head(head) == found
 
 
-@pytest.mark.usefixtures("no_rest")
+@pytest.mark.usefixtures("immediate_connection_reuse")
 @pytest.mark.parametrize("piece", [7, 1000, 65_536, LENGTH * 2])
 def test_long_value_arrives_complete_in_pieces_of_any_size_and_its_connections_are_reused(piece):
     async def test():
         server = server_silent_on(1)
-        async with node(server) as gateway:
-            peer = await gateway.peer()
+        async with local_gateway(server) as gateway:
+            peer = await gateway.connect_client()
             peer.send(call(1))
             await server.until(lambda: len(server.commands) == 1)
             answer = HEAD + VALUE + TAIL
@@ -86,9 +86,9 @@
 def test_first_bytes_are_passed_on_at_once_and_a_stream_that_has_begun_has_no_deadline():
     async def test():
         server = server_silent_on(1)
-        async with node(server) as gateway:
-            peer = await gateway.peer()
-            peer.send(call(1, wait=200))
+        async with local_gateway(server) as gateway:
+            peer = await gateway.connect_client()
+            peer.send(call(1, timeout_ms=200))
             await server.until(lambda: len(server.commands) == 1)
             server.writers[0].write(HEAD + VALUE[:10])
             first = await peer.reader.readexactly(len(b"$%d\r\n" % LENGTH) + 10)
@@ -105,8 +105,8 @@
 def test_value_cut_short_closes_the_client_connection_and_is_not_retried():
     async def test():
         server = server_silent_on(1)
-        async with node(server) as gateway:
-            peer = await gateway.peer()
+        async with local_gateway(server) as gateway:
+            peer = await gateway.connect_client()
             peer.send(call(1))
             await server.until(lambda: len(server.commands) == 1)
             server.writers[0].write(HEAD + VALUE[:100_000])
@@ -126,8 +126,8 @@
 def test_long_value_longer_than_declared_is_not_passed_on_as_complete(end, cut):
     async def test():
         server = server_silent_on(1)
-        async with node(server) as gateway:
-            peer = await gateway.peer()
+        async with local_gateway(server) as gateway:
+            peer = await gateway.connect_client()
             peer.send(call(1))
             await server.until(lambda: len(server.commands) == 1)
             read = asyncio.ensure_future(peer.reader.read())  # until the connection is closed
@@ -151,8 +151,8 @@
 
     async def test():
         server = server_silent_on(1)
-        async with node(server) as gateway:
-            peer = await gateway.peer()
+        async with local_gateway(server) as gateway:
+            peer = await gateway.connect_client()
             peer.send(call(1))
             await server.until(lambda: len(server.commands) == 1)
             server.writers[0].write(HEAD + VALUE[:100])
@@ -176,7 +176,7 @@
     async def test():
         loop, many = asyncio.get_running_loop(), 12
         server = server_silent_on(*range(1, many + 1))
-        async with node(server) as gateway:
+        async with local_gateway(server) as gateway:
             port = gateway.clients.listener.getsockname()[1]
             socks = [await connect_with_small_buffer(port) for _ in range(many)]
             for number, sock in enumerate(socks, 1):
@@ -199,9 +199,9 @@
     run(test())
 
 
-async def client_that_read_a_long_value_slowly(gateway, server: FakeServer) -> Raw:
+async def client_that_read_a_long_value_slowly(gateway, server: FakeServer) -> RawClient:
     """A client that left its reply unread until the gateway could write no more, and then read all of it."""
-    raw = Raw(gateway.clients.listener.getsockname()[1], room=4096)
+    raw = RawClient(gateway.clients.listener.getsockname()[1], receive_buffer_bytes=4096)
     raw.send(call(1))
     await server.until(lambda: len(server.commands) == 1)
     writer(server, 1).transport.set_write_buffer_limits(2 * LENGTH)
@@ -222,7 +222,7 @@
 
     async def test():
         server = server_silent_on(1)
-        async with node(server) as gateway:
+        async with local_gateway(server) as gateway:
             raw = await client_that_read_a_long_value_slowly(gateway, server)
             raw.send(call(2))
             assert await raw.read(7) == b"$1\r\nv\r\n"
@@ -236,7 +236,7 @@
 
     async def test():
         server = server_silent_on(1)
-        async with node(server) as gateway:
+        async with local_gateway(server) as gateway:
             raw = await client_that_read_a_long_value_slowly(gateway, server)
             raw.sock.close()
             await until(lambda: not gateway.clients.connections)
@@ -251,8 +251,8 @@
         value = b"$60000\r\n" + b"x" * 60_000 + b"\r\n"
         count = 60  # below the limit in flight on a connection; more bytes than both sockets buffer
         server = FakeServer(lambda _words: b"*3\r\n%b$-1\r\n$-1\r\n" % value)
-        async with node(server) as gateway:
-            raw = Raw(gateway.clients.listener.getsockname()[1], room=4096)
+        async with local_gateway(server) as gateway:
+            raw = RawClient(gateway.clients.listener.getsockname()[1], receive_buffer_bytes=4096)
             raw.send(*(call(number) for number in range(count)))
             await server.until(lambda: len(server.commands) == count)
             await until(lambda: not gateway.driver.requests)
@@ -268,7 +268,7 @@
 
 def test_reads_are_smaller_when_many_values_are_being_streamed():
     async def test():
-        async with node() as gateway:
+        async with local_gateway() as gateway:
             assert len(gateway.servers.read_buffer()) == pool_module.READ_BYTES
             for ongoing in (100, 1000, 100_000):
                 gateway.servers.streams = ongoing
@@ -281,8 +281,8 @@
 def test_client_that_disconnects_within_a_value_closes_the_server_connection():
     async def test():
         server = server_silent_on(1)
-        async with node(server) as gateway:
-            peer = await gateway.peer()
+        async with local_gateway(server) as gateway:
+            peer = await gateway.connect_client()
             peer.send(call(1))
             await server.until(lambda: len(server.commands) == 1)
             server.writers[0].write(HEAD + VALUE[:100_000])
@@ -296,8 +296,8 @@
 def test_long_value_waits_for_the_replies_before_it_on_its_connection():
     async def test():
         server = server_silent_on(1, 2)
-        async with node(server) as gateway:
-            peer = await gateway.peer()
+        async with local_gateway(server) as gateway:
+            peer = await gateway.connect_client()
             peer.send(call(1), call(2), resp("PING"))
             await server.until(lambda: len(server.commands) == 2)
             second = writer(server, 2)
@@ -322,8 +322,8 @@
                 None if words[2].endswith(b"0") else b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(body), body)
             )
         )
-        async with node(server) as gateway:
-            peers = [await gateway.peer() for _ in range(4)]
+        async with local_gateway(server) as gateway:
+            peers = [await gateway.connect_client() for _ in range(4)]
             # The server never answers the first request of each peer; the replies to the others wait for it.
             for index, peer in enumerate(peers):
                 peer.send(*(call(index * 16 + number) for number in range(6)))
@@ -338,8 +338,8 @@
 
     async def test():
         server = FakeServer()
-        async with node(server) as gateway:
-            peer, slow_peer = await gateway.peer(), await gateway.peer()
+        async with local_gateway(server) as gateway:
+            peer, slow_peer = await gateway.connect_client(), await gateway.connect_client()
             assert await peer.ask(call(2))
             assert await slow_peer.ask(call(3))
             command = call(4, "buy", body=b"b" * 40)
@@ -362,11 +362,11 @@
     rig = Rig(rig_with(limits=Limits(max_attempts=3, may_duplicate=True, can_cancel=True)).settings)
     rig.servers(entry(1), entry(2))
     name = rig.ask()
-    rig.do(StreamStarted(name, 0, rig.sent[name][0], 50.0))
+    rig.handle(StreamStarted(name, 0, rig.sent[name][0], 50.0))
     rig.run(10_000.0)
     assert len(rig.sent[name]) == 1
     assert name not in rig.answers
-    rig.do(AttemptEnded(name, 0, rig.sent[name][0], Status.RESET, 10_000.0, request_answered=True))
+    rig.handle(AttemptEnded(name, 0, rig.sent[name][0], Status.RESET, 10_000.0, request_answered=True))
     assert len(rig.sent[name]) == 1
     assert not rig.gateway.pending_requests.by_id
 
@@ -375,9 +375,9 @@
     latency_before = rig.gateway.concurrency_limit.latencies.mean_ms["safe"]
     name = rig.ask()
     server = rig.gateway.endpoints.servers[rig.sent[name][0]]
-    rig.do(StreamStarted(name, 0, server.id, 50.0))
+    rig.handle(StreamStarted(name, 0, server.id, 50.0))
     limit_before = rig.gateway.concurrency_limit.limit
     rig.run(3900.0)
-    rig.do(AttemptEnded(name, 0, server.id, Status.OK, 3900.0, request_answered=True))
+    rig.handle(AttemptEnded(name, 0, server.id, Status.OK, 3900.0, request_answered=True))
     assert rig.gateway.concurrency_limit.limit == limit_before
     assert rig.gateway.concurrency_limit.latencies.mean_ms["safe"] < latency_before
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -4,7 +4,7 @@
 
 import hiredis
 import pytest
-from fakes import FakeServer, array, call, node, resp, run, until
+from fakes import FakeServer, call, local_gateway, resp, run, server_reply, until
 
 from quota_gateway.net.clients import command_timer as command_timer_module
 from quota_gateway.net.clients.command_dispatcher import MAX_BAD_COMMANDS
@@ -18,9 +18,9 @@
 
 def test_request_is_forwarded_unchanged_except_for_its_timeout():
     async def test():
-        server = FakeServer(lambda words: array(b"val\r\nue"))
-        async with node(server) as gateway:
-            peer = await gateway.peer()
+        server = FakeServer(lambda words: server_reply(b"val\r\nue"))
+        async with local_gateway(server) as gateway:
+            peer = await gateway.connect_client()
             assert await peer.ask(call(1, "post", body=b"\x00\r\nx")) == b"val\r\nue"
             name, customer, request_id, fields, body = server.commands[0]
             assert (name, customer, request_id, body) == (
@@ -45,9 +45,9 @@
 
 def test_command_sent_byte_by_byte_and_a_64_kib_body_are_served():
     async def test():
-        server = FakeServer(lambda words: array(words[4]))
-        async with node(server) as gateway:
-            peer, body = await gateway.peer(), bytes(range(256)) * 256
+        server = FakeServer(lambda words: server_reply(words[4]))
+        async with local_gateway(server) as gateway:
+            peer, body = await gateway.connect_client(), bytes(range(256)) * 256
             for byte in call(1, "buy", body=b"small"):
                 peer.send(bytes([byte]))
                 await peer.writer.drain()
@@ -60,17 +60,19 @@
 
 def test_pipelined_replies_come_in_the_order_of_their_commands():
     async def test():
-        server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(words[2]))
-        async with node(server) as gateway:
-            peer = await gateway.peer()
+        server = FakeServer(lambda words: None if words[2].endswith(b"1") else server_reply(words[2]))
+        async with local_gateway(server) as gateway:
+            peer = await gateway.connect_client()
             peer.send(call(1), call(2), resp("PING"))
             await server.until(lambda: len(server.commands) == 2)
             first = next(
-                n for n, words in zip(server.by, server.commands, strict=True) if words[2].endswith(b"1")
+                n
+                for n, words in zip(server.connection_numbers, server.commands, strict=True)
+                if words[2].endswith(b"1")
             )
             # The second request is answered first; its reply waits for that of the first.
             await until(lambda: len(gateway.driver.requests) == 1)
-            server.writers[first].write(array(b"late"))
+            server.writers[first].write(server_reply(b"late"))
             assert await peer.reply() == b"late"
             assert await peer.reply() == b"0000000000000002"
             assert await peer.reply() == b"PONG"
@@ -112,8 +114,8 @@
 def test_bad_command_gets_an_error_and_the_connection_stays_open(words):
     async def test():
         server = FakeServer()
-        async with node(server) as gateway:
-            peer = await gateway.peer()
+        async with local_gateway(server) as gateway:
+            peer = await gateway.connect_client()
             peer.send(resp(*words), call(7))
             assert (await peer.reply()).startswith("-ERR ")
             assert await peer.reply() == b"0000000000000007"
@@ -140,11 +142,11 @@
 def test_malformed_resp_gets_an_error_and_a_close_after_the_earlier_replies(malformed):
     async def test():
         server = FakeServer(lambda words: None)
-        async with node(server) as gateway:
-            peer, other = await gateway.peer(), await gateway.peer()
+        async with local_gateway(server) as gateway:
+            peer, other = await gateway.connect_client(), await gateway.connect_client()
             peer.send(call(1), malformed)
             await server.until(lambda: len(server.commands) == 1)
-            server.writers[0].write(array(b"value"))
+            server.writers[0].write(server_reply(b"value"))
             assert await peer.reply() == b"value"
             assert (await peer.reply()).startswith("-ERR ")
             assert await peer.reply() is None
@@ -167,8 +169,8 @@
 @pytest.mark.parametrize("chunk_size", [1, 7, 100])
 def test_lengths_out_of_bounds_never_reach_the_parser(malformed, chunk_size):
     async def test():
-        async with node(FakeServer()) as gateway:
-            peer = await gateway.peer()
+        async with local_gateway(FakeServer()) as gateway:
+            peer = await gateway.connect_client()
             sent = resp("PING") + malformed
             for start in range(0, len(sent), chunk_size):
                 peer.send(sent[start : start + chunk_size])
@@ -210,8 +212,8 @@
 def test_command_longer_than_declared_gets_an_error_and_is_not_forwarded():
     async def test():
         server = FakeServer()
-        async with node(server) as gateway:
-            peer = await gateway.peer()
+        async with local_gateway(server) as gateway:
+            peer = await gateway.connect_client()
             peer.send(call(1).removesuffix(b"\r\n") + b"ab")
             assert await peer.reply() == "-ERR Protocol error"
             assert await peer.reply() is None
@@ -222,8 +224,8 @@
 
 def test_consecutive_bad_commands_close_the_connection_and_a_request_resets_their_count():
     async def test():
-        async with node(FakeServer()) as gateway:
-            peer, bad_commands = await gateway.peer(), (MAX_BAD_COMMANDS - 1) * [resp("JUNK")]
+        async with local_gateway(FakeServer()) as gateway:
+            peer, bad_commands = await gateway.connect_client(), (MAX_BAD_COMMANDS - 1) * [resp("JUNK")]
             for number in range(3):
                 peer.send(*bad_commands, call(number))
                 for _ in bad_commands:
@@ -240,12 +242,12 @@
 def test_second_request_with_an_id_in_flight_gets_an_error_and_the_first_is_served():
     async def test():
         server = FakeServer(lambda words: None)
-        async with node(server) as gateway:
-            peer, other = await gateway.peer(), await gateway.peer()
+        async with local_gateway(server) as gateway:
+            peer, other = await gateway.connect_client(), await gateway.connect_client()
             peer.send(call(1))
             await server.until(lambda: len(server.commands) == 1)
             assert (await other.ask(call(1))).startswith("-ERR ")
-            server.writers[0].write(array(b"value"))
+            server.writers[0].write(server_reply(b"value"))
             assert await peer.reply() == b"value"
 
     run(test())
@@ -254,15 +256,15 @@
 def test_client_disconnect_ends_its_attempts_and_removes_all_its_state():
     async def test():
         server = FakeServer(lambda words: None)
-        async with node(server) as gateway:
-            peer = await gateway.peer()
+        async with local_gateway(server) as gateway:
+            peer = await gateway.connect_client()
             peer.send(call(1), call(2))
             await server.until(lambda: len(server.commands) == 2)
             peer.writer.close()
             await until(lambda: not gateway.clients.connections)
             assert not gateway.driver.requests
             assert not gateway.servers.connections
-            await server.until(lambda: server.ended == 2)
+            await server.until(lambda: server.closed_connections == 2)
 
     run(test())
 
@@ -270,11 +272,11 @@
 def test_reading_pauses_while_a_client_is_slow_and_no_reply_is_lost():
     async def test():
         value = b"v" * 65536
-        server = FakeServer(lambda words: array(words[2] + value))
-        async with node(server) as gateway:
-            peer, many = await gateway.peer(), 300
+        server = FakeServer(lambda words: server_reply(words[2] + value))
+        async with local_gateway(server) as gateway:
+            peer, many = await gateway.connect_client(), 300
             peer.reader._limit = 1  # the stream stops reading at once
-            peer.send(*(call(number, wait=60_000) for number in range(many)))
+            peer.send(*(call(number, timeout_ms=60_000) for number in range(many)))
             (client,) = gateway.clients.connections
             await until(lambda: client.replies.is_stuck)
             assert client.throttle.is_paused
@@ -289,8 +291,8 @@
 def test_request_beyond_the_quota_is_rejected_immediately_and_not_sent():
     async def test():
         server = FakeServer()
-        async with node(server) as gateway:
-            peer = await gateway.peer()
+        async with local_gateway(server) as gateway:
+            peer = await gateway.connect_client()
             answers = [await peer.ask(call(number, plan="tiny")) for number in range(4)]
             assert answers[0] == b"0000000000000000"
             assert set(answers[1:]) == {"-BUSY"}
@@ -302,18 +304,18 @@
 def test_connection_beyond_the_limit_evicts_an_idle_one_or_else_gets_an_error():
     async def test():
         server = FakeServer(lambda words: None)
-        async with node(server, most_connections=2) as gateway:
-            idle, busy = await gateway.peer(), await gateway.peer()
+        async with local_gateway(server, most_connections=2) as gateway:
+            idle, busy = await gateway.connect_client(), await gateway.connect_client()
             assert await idle.ask(resp("PING")) == b"PONG"
             busy.send(call(1))
             await server.until(lambda: len(server.commands) == 1)
-            third = await gateway.peer()
+            third = await gateway.connect_client()
             third.send(call(2))
             assert await idle.reply() is None
             await server.until(lambda: len(server.commands) == 2)
-            fourth = await gateway.peer()
+            fourth = await gateway.connect_client()
             assert (await fourth.reply()).startswith("-ERR ")
-            server.writers[0].write(array(b"value"))
+            server.writers[0].write(server_reply(b"value"))
             assert await busy.reply() == b"value"
 
     run(test())
@@ -321,9 +323,9 @@
 
 def test_ping_gets_no_pong_before_the_server_list_is_known():
     async def test():
-        async with node() as gateway:
+        async with local_gateway() as gateway:
             gateway.clients.ready = False
-            peer = await gateway.peer()
+            peer = await gateway.connect_client()
             assert (await peer.ask(resp("PING"))).startswith("-LOADING")
             gateway.clients.ready = True
             assert await peer.ask(resp("PING")) == b"PONG"
@@ -333,11 +335,11 @@
 
 def test_oversized_command_gets_an_error_and_other_clients_are_served():
     async def test():
-        async with node(FakeServer()) as gateway:
-            peer = await gateway.peer()
+        async with local_gateway(FakeServer()) as gateway:
+            peer = await gateway.connect_client()
             peer.send(b"*4\r\n$500000000\r\n", b"x" * 2 * MAX_COMMAND_BYTES)
             assert (await peer.reply()).startswith("-ERR ")
-            assert await (await gateway.peer()).ask(resp("PING")) == b"PONG"
+            assert await (await gateway.connect_client()).ask(resp("PING")) == b"PONG"
 
     run(test())
 
@@ -356,8 +358,8 @@
     monkeypatch.setattr(command_timer_module, "COMMAND_TIMEOUT_S", 0.5)
 
     async def test():
-        async with node(FakeServer()) as gateway:
-            peer = await gateway.peer()
+        async with local_gateway(FakeServer()) as gateway:
+            peer = await gateway.connect_client()
             peer.send(sent)
             if sent.startswith(resp("PING")):
                 assert await peer.reply() == b"PONG"
@@ -373,17 +375,17 @@
     monkeypatch.setattr(command_timer_module, "COMMAND_TIMEOUT_S", 0.5)
 
     async def test():
-        server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(b"value"))
-        async with node(server) as gateway:
-            idle, waiting = await gateway.peer(), await gateway.peer()
+        server = FakeServer(lambda words: None if words[2].endswith(b"1") else server_reply(b"value"))
+        async with local_gateway(server) as gateway:
+            idle, waiting = await gateway.connect_client(), await gateway.connect_client()
             assert await idle.ask(call(2)) == b"value"
             waiting.send(call(1))
             await server.until(lambda: len(server.commands) == 2)
-            late = await gateway.peer()  # times out later than the others would
+            late = await gateway.connect_client()  # times out later than the others would
             assert await late.reply() is None
             assert await idle.ask(call(3)) == b"value"
             for writer in server.writers:
-                writer.write(array(b"value"))
+                writer.write(server_reply(b"value"))
             assert await waiting.reply() == b"value"
 
     run(test())
@@ -392,20 +394,24 @@
 def test_commands_read_but_not_parsed_yet_are_served_at_shutdown():
     async def test():
         held = []
-        server = FakeServer(lambda words: held.append(words) if len(held) < MAX_PIPELINED else array(b"v"))
-        async with node(server) as gateway:
-            peer, more = await gateway.peer(), 6
+        server = FakeServer(
+            lambda words: held.append(words) if len(held) < MAX_PIPELINED else server_reply(b"v")
+        )
+        async with local_gateway(server) as gateway:
+            peer, more = await gateway.connect_client(), 6
             peer.send(*(call(number) for number in range(MAX_PIPELINED + more)))
             await server.until(lambda: len(held) == MAX_PIPELINED)
             gateway.clients.stop_listening()
             first = next(
-                n for n, words in zip(server.by, server.commands, strict=True) if int(words[2], 16) == 0
+                n
+                for n, words in zip(server.connection_numbers, server.commands, strict=True)
+                if int(words[2], 16) == 0
             )
             for number, writer in enumerate(server.writers):
                 if number != first:
-                    writer.write(array(b"v"))
+                    writer.write(server_reply(b"v"))
             await until(lambda: len(gateway.driver.requests) == 1)
-            server.writers[first].write(array(b"v"))  # all replies that are due are written in one go
+            server.writers[first].write(server_reply(b"v"))  # all replies that are due are written in one go
             for _ in range(MAX_PIPELINED + more):
                 assert await peer.reply() == b"v"
             assert await peer.reply() is None
@@ -415,10 +421,10 @@
 
 def test_new_connections_at_once_do_not_evict_the_same_idle_one():
     async def test():
-        async with node(FakeServer()) as gateway:
+        async with local_gateway(FakeServer()) as gateway:
             peers = []
             for _ in range(3):
-                peers.append(await gateway.peer())
+                peers.append(await gateway.connect_client())
                 assert await peers[-1].ask(resp("PING")) == b"PONG"
             gateway.clients.most_connections = 1
             newest = list(gateway.clients.connections)[-1]
--- a/tests/test_net_driver.py
+++ b/tests/test_net_driver.py
@@ -3,7 +3,7 @@
 import asyncio
 import time
 
-from fakes import FakeServer, array, call, node, run, until
+from fakes import FakeServer, call, local_gateway, run, server_reply, until
 
 from quota_gateway import (
     AttemptEnded,
@@ -54,7 +54,7 @@
 
 def test_immediate_outcome_is_handled_after_the_remaining_actions():
     async def test():
-        async with node() as gateway:
+        async with local_gateway() as gateway:
             sends = []
             policy = FakePolicy(
                 Request=lambda e: [Send("r", 9), Send("r", 9), Log("after both")],
@@ -74,7 +74,7 @@
 
 def test_only_the_first_final_answer_is_sent_and_retry_advice_is_in_whole_milliseconds():
     async def test():
-        async with node() as gateway:
+        async with local_gateway() as gateway:
             policy = FakePolicy(Request=lambda e: [Reject("r", 249.6), Fail("r"), Reject("r"), Send("r", 1)])
             assert accept_request(gateway, policy) == [b"-BUSY 250\r\n"]
             assert policy.outcomes() == []
@@ -86,7 +86,7 @@
 def test_send_after_the_final_answer_is_not_sent_and_its_outcome_is_reported():
     async def test():
         server = FakeServer(lambda words: None)
-        async with node(server) as gateway:
+        async with local_gateway(server) as gateway:
             policy = FakePolicy(
                 Request=lambda e: [Send("r", 1), Fail("r"), Reject("r"), Send("r", 1), Cancel("r", 0)]
             )
@@ -104,7 +104,7 @@
 def test_cancelled_attempt_is_closed_before_the_next_is_sent():
     async def test():
         server, other = FakeServer(lambda words: None), FakeServer(lambda words: None)
-        async with node(server, other) as gateway:
+        async with local_gateway(server, other) as gateway:
             policy = FakePolicy(
                 Request=lambda e: [Send("r", 1)],
                 AttemptEnded=lambda e: [Send("r", 2)] if e.attempt == 0 else [],
@@ -113,7 +113,7 @@
             await server.until(lambda: len(server.commands) == 1)
             gateway.driver._perform(Cancel("r", 0))
             gateway.driver._perform(Cancel("r", 0))
-            await server.until(lambda: server.ended == 1)
+            await server.until(lambda: server.closed_connections == 1)
             await other.until(lambda: len(other.commands) == 1)
             assert policy.outcomes() == [(0, Status.CANCELLED, False)]
 
@@ -123,10 +123,10 @@
 def test_attempt_that_times_out_is_reported_and_its_connection_is_closed():
     async def test():
         server = FakeServer(lambda words: None)
-        async with node(server) as gateway:
+        async with local_gateway(server) as gateway:
             policy = FakePolicy(Request=lambda e: [Send("r", 1, 200.0)], AttemptEnded=lambda e: [Fail("r")])
             answers = accept_request(gateway, policy)
-            await server.until(lambda: server.ended == 1)
+            await server.until(lambda: server.closed_connections == 1)
             assert policy.outcomes() == [(0, Status.TIMEOUT, False)]
             assert answers == [b"-ERR failed\r\n"]
 
@@ -142,13 +142,13 @@
 
     async def test():
         server = FakeServer(lambda words: None)
-        async with node(server) as gateway:
+        async with local_gateway(server) as gateway:
             policy = FakePolicy(Request=lambda e: [Send("r", 1)])
             answers = accept_request(gateway, policy)
             await server.until(lambda: len(server.commands) == 1)
             gateway.driver.client_disconnected("r")
             gateway.driver.client_disconnected("r")
-            server.writers[0].write(array(b"late"))
+            server.writers[0].write(server_reply(b"late"))
             await until(lambda: bool(policy.outcomes()))
             assert policy.outcomes() == [(0, Status.OK, True)]
             assert answers == []
@@ -162,7 +162,7 @@
 
 def test_timers_fire_once_in_order_of_due_time_and_the_clock_never_goes_backwards():
     async def test():
-        async with node() as gateway:
+        async with local_gateway() as gateway:
             policy = FakePolicy(Request=lambda e: [SetTimer(3, 30.0), SetTimer(1, 10.0), SetTimer(2, 10.0)])
             accept_request(gateway, policy)
             await until(lambda: len(policy.events) == 4)
@@ -185,7 +185,7 @@
     monkeypatch.setattr(TimerQueue, "fire", lambda self: fired.append(1) or original_fire(self))
 
     async def test():
-        async with node() as gateway:
+        async with local_gateway() as gateway:
             driver, due = gateway.driver, asyncio.Event()
             for number in range(20):
                 due.clear()
@@ -216,11 +216,11 @@
         def failing(event):
             raise RuntimeError("no decision")
 
-        async with node(FakeServer()) as gateway:
+        async with local_gateway(FakeServer()) as gateway:
             real_policy = gateway.driver.gateway
             assert accept_request(gateway, FakePolicy(Request=failing)) == [b"-ERR failed\r\n"]
             gateway.driver.gateway = real_policy
-            assert await (await gateway.peer()).ask(call(1)) == b"0000000000000001"
+            assert await (await gateway.connect_client()).ask(call(1)) == b"0000000000000001"
 
     run(test())
 
@@ -228,11 +228,11 @@
 def test_warm_up_of_a_restarted_server_counts_from_the_start_time_that_discovery_gives():
     async def test():
         server = FakeServer()
-        async with node() as gateway:
+        async with local_gateway() as gateway:
             await server.start()
             _, address = server.entry(1)
             started = gateway.driver.clock() - 5_000.0  # half of the warm-up
-            gateway.told((ServerEntry(1, "a", started_ms=started), address), kind=ListKind.COMPLETE)
+            gateway.update_servers((ServerEntry(1, "a", started_ms=started), address), kind=ListKind.COMPLETE)
             (listed_server,) = gateway.driver.gateway.endpoints.servers.values()
             assert 0.59 < gateway.driver.gateway.slow_start.capacity_ratio(listed_server) < 1.0
             await asyncio.sleep(0)
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -17,16 +17,16 @@
 from fakes import (
     FakeDiscovery,
     FakeServer,
-    Peer,
-    Raw,
-    array,
+    RawClient,
+    RespClient,
     call,
     chunk,
     listing,
-    node,
+    local_gateway,
     resp,
     row,
     run,
+    server_reply,
     until,
 )
 from test_simulator_adapter import SETTINGS_DOCUMENT
@@ -60,7 +60,7 @@
 
 def test_passed_listener_is_adopted_and_outlives_the_process(tmp_path):
     async def test():
-        server, admin_port = await FakeServer(lambda words: array(b"v")).start(), free_port()
+        server, admin_port = await FakeServer(lambda words: server_reply(b"v")).start(), free_port()
         with socket.create_server(("127.0.0.1", 0)) as listener:
             admin_address = f"127.0.0.1:{admin_port}"
             async with program(tmp_path, server, listener, EDGE_ADMIN=admin_address) as (process, port, _):
@@ -77,11 +77,11 @@
     run(test())
 
 
-async def connect(port: int) -> Peer:
+async def connect(port: int) -> RespClient:
     """Connect as soon as the program listens."""
     while True:
         try:
-            return await Peer().open(port)
+            return await RespClient().open(port)
         except ConnectionRefusedError:
             await asyncio.sleep(0.01)
 
@@ -185,7 +185,7 @@
 
 def test_program_is_ready_once_it_has_a_server_list_and_serves(tmp_path):
     async def test():
-        server = await FakeServer(lambda words: array(b"v")).start()
+        server = await FakeServer(lambda words: server_reply(b"v")).start()
         async with program(tmp_path, server) as (process, port, discovery):
             peer = await connect(port)
             _, watch = await discovery.watch()
@@ -208,21 +208,23 @@
     """
 
     async def test():
-        server = await FakeServer(lambda words: None if words[2].endswith(b"1") else array(b"v")).start()
+        server = await FakeServer(
+            lambda words: None if words[2].endswith(b"1") else server_reply(b"v")
+        ).start()
         async with program(tmp_path, server) as (process, port, _):
             idle, busy, silent = await connect(port), await connect(port), await connect(port)
             assert await idle.ask(call(2)) == b"v"
-            silent.send(call(17, wait=60_000))
-            busy.send(call(1, wait=60_000))
+            silent.send(call(17, timeout_ms=60_000))
+            busy.send(call(1, timeout_ms=60_000))
             await server.until(lambda: len(server.commands) == 3)
             process.send_signal(signal.SIGTERM)
             assert await idle.reply() is None
             number = next(
                 n
-                for n, words in zip(server.by, server.commands, strict=True)
+                for n, words in zip(server.connection_numbers, server.commands, strict=True)
                 if words[2] == b"0000000000000001"
             )
-            server.writers[number].write(array(b"late"))
+            server.writers[number].write(server_reply(b"late"))
             assert await busy.reply() == b"late"
             assert await busy.reply() is None
             # The server does not answer this one and its client would wait for a minute: rejected in time.
@@ -235,7 +237,10 @@
 
 def test_sighup_reloads_the_configuration_and_changes_the_discovery_address(tmp_path):
     async def test():
-        server, other = FakeServer(lambda words: array(b"v")), FakeServer(lambda words: array(b"w"))
+        server, other = (
+            FakeServer(lambda words: server_reply(b"v")),
+            FakeServer(lambda words: server_reply(b"w")),
+        )
         await server.start()
         await other.start()
         async with program(tmp_path, server) as (process, port, discovery):
@@ -287,8 +292,8 @@
     monkeypatch.setattr(shutdown_module, "SIGKILL_DELAY_S", 0.8)  # accepts for 1 s, answers for 1.5 s
 
     async def test():
-        async with node(FakeServer()) as gateway:
-            old, clock = await gateway.peer(), asyncio.get_running_loop().time
+        async with local_gateway(FakeServer()) as gateway:
+            old, clock = await gateway.connect_client(), asyncio.get_running_loop().time
             shutdown = asyncio.ensure_future(
                 GracefulShutdown(FAKE_SETTINGS, gateway.driver, gateway.clients).run()
             )
@@ -297,7 +302,7 @@
             while clock() < ends:
                 await asyncio.sleep(0.01)
             assert await old.ask(call(2)) == b"0000000000000002"
-            late = await gateway.peer()
+            late = await gateway.connect_client()
             assert await late.ask(call(3)) == b"0000000000000003"
             assert await late.reply() is None
             assert await old.reply() is None
@@ -309,7 +314,7 @@
 
 def test_admin_endpoint_takes_servers_out_and_drains_the_gateway(tmp_path):
     async def test():
-        server, port = await FakeServer(lambda words: array(b"v")).start(), free_port()
+        server, port = await FakeServer(lambda words: server_reply(b"v")).start(), free_port()
         async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{port}") as (_, clients, discovery):
             _, watch = await discovery.watch()
             watch.write(chunk(listing(2, row("s-1", server.port), reset=True)))
@@ -339,7 +344,7 @@
     tmp_path, by_platform
 ):
     def no_answer_to_1(words):
-        return None if words[2].endswith(b"1") else array(b"v")
+        return None if words[2].endswith(b"1") else server_reply(b"v")
 
     async def test():
         first, second = await FakeServer(no_answer_to_1).start(), await FakeServer(no_answer_to_1).start()
@@ -357,7 +362,7 @@
                     await asyncio.sleep(0.01)
                 idle, busy = await connect(port), await connect(port)
                 assert await idle.ask(call(2)) == b"v"
-                busy.send(call(1, wait=60_000))
+                busy.send(call(1, timeout_ms=60_000))
                 await first.until(lambda: len(first.commands) == 2)
                 second.commands.clear()
                 async with next_process(tmp_path, port, discovery, passed) as (new, new_admin_port):
@@ -371,9 +376,11 @@
                     assert "drained" in await admin_call(new_admin_port, "HEALTH")
                     assert (await admin_call(admin_port, "JOIN")).startswith("YES")
                     number = next(
-                        n for n, w in zip(first.by, first.commands, strict=True) if w[2].endswith(b"1")
+                        n
+                        for n, w in zip(first.connection_numbers, first.commands, strict=True)
+                        if w[2].endswith(b"1")
                     )
-                    first.writers[number].write(array(b"late"))
+                    first.writers[number].write(server_reply(b"late"))
                     assert await busy.reply() == b"late"
                     assert await busy.ask(call(5)) == b"v"
                     old.send_signal(signal.SIGTERM)
@@ -397,7 +404,7 @@
     """
 
     async def test():
-        server, admin_port = await FakeServer(lambda words: array(b"v")).start(), free_port()
+        server, admin_port = await FakeServer(lambda words: server_reply(b"v")).start(), free_port()
         async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{admin_port}") as (old, port, discovery):
             await wait_until_healthy(admin_port)
             async with next_process(tmp_path, port, discovery) as (_, new_admin_port):
@@ -420,7 +427,7 @@
 
 def test_new_process_without_handover_waits_until_the_address_is_free_and_serves(tmp_path):
     async def test():
-        server, admin_port = await FakeServer(lambda words: array(b"v")).start(), free_port()
+        server, admin_port = await FakeServer(lambda words: server_reply(b"v")).start(), free_port()
         async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{admin_port}") as (old, port, discovery):
             await wait_until_healthy(admin_port)
             async with next_process(tmp_path, port, discovery, name="other") as (new, new_admin_port):
@@ -446,7 +453,7 @@
 
 def test_admin_endpoint_reloads_tries_and_rolls_back_the_configuration(tmp_path):
     async def test():
-        server, port = await FakeServer(lambda words: array(b"v")).start(), free_port()
+        server, port = await FakeServer(lambda words: server_reply(b"v")).start(), free_port()
         async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{port}") as (process, clients, _):
             await wait_until_healthy(port)
             path = tmp_path / "config.json"
@@ -465,7 +472,7 @@
 
 def test_rollback_after_an_upgrade_reverts_only_changes_of_the_new_process(tmp_path):
     async def test():
-        server, admin_port = await FakeServer(lambda words: array(b"v")).start(), free_port()
+        server, admin_port = await FakeServer(lambda words: server_reply(b"v")).start(), free_port()
         async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{admin_port}") as (old, port, discovery):
             await wait_until_healthy(admin_port)
             path = tmp_path / "config.json"
@@ -502,7 +509,7 @@
     """
 
     async def test():
-        server, admin_port = await FakeServer(lambda words: array(b"v")).start(), free_port()
+        server, admin_port = await FakeServer(lambda words: server_reply(b"v")).start(), free_port()
         async with program(tmp_path, server, EDGE_ADMIN=f"127.0.0.1:{admin_port}") as (
             process,
             port,
@@ -544,8 +551,8 @@
 
     async def test():
         server = FakeServer(lambda words: None)
-        async with node(server) as gateway:
-            raw, clock = Raw(gateway.clients.listener.getsockname()[1]), gateway.driver.clock
+        async with local_gateway(server) as gateway:
+            raw, clock = RawClient(gateway.clients.listener.getsockname()[1]), gateway.driver.clock
             raw.send(call(1, kind))
             await server.until(lambda: len(server.commands) == 1)
             shutdown = asyncio.ensure_future(
@@ -554,7 +561,7 @@
             await until(lambda: gateway.driver.gateway.responses.shutdown_at_ms < inf)
             began = clock()
             gateway.driver.clock = lambda: began + (clock() - began) / 2.0  # all timers fire late
-            data, end = await raw.rest()
+            data, end = await raw.read_to_end()
             assert data == (b"-BUSY\r\n" if kind == "read" else b"-ERR failed\r\n")
             assert end == "end"
             await shutdown
@@ -574,8 +581,8 @@
     monkeypatch.setattr(shutdown_module, "SIGKILL_DELAY_S", 0.8)
 
     async def test():
-        async with node(FakeServer(lambda words: array(b"v"))) as gateway:
-            raw = Raw(gateway.clients.listener.getsockname()[1])
+        async with local_gateway(FakeServer(lambda words: server_reply(b"v"))) as gateway:
+            raw = RawClient(gateway.clients.listener.getsockname()[1])
             raw.send(call(1))  # in the listener's queue; no other client is connected
             await GracefulShutdown(FAKE_SETTINGS, gateway.driver, gateway.clients).run()
             assert raw.sock.recv(100) == b"$1\r\nv\r\n"  # written before the shutdown returned
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -1,4 +1,4 @@
-"""Decisions alone, without a gateway; costs that must not grow with the fleet; hard cases of the package."""
+"""Single policy parts without a gateway, cost of a decision in long lists of servers, and corner cases."""
 
 import json
 from dataclasses import replace
@@ -38,9 +38,9 @@
 
 
 def context(now=1000.0, **changes) -> Context:
-    made = Context(replace(SETTINGS, **changes), 1, 4000.0)
-    made.begin_event(now)
-    return made
+    policy_context = Context(replace(SETTINGS, **changes), 1, 4000.0)
+    policy_context.begin_event(now)
+    return policy_context
 
 
 def pending(kind: RequestClass, now=1000.0, draw=0.5, name="r") -> PendingRequest:
@@ -48,16 +48,16 @@
     return PendingRequest(request, kind, Plan("free"), Customer(("free", "c"), now, 0.0, 0), now, draw, 0)
 
 
-# ---- Each decision without the others
+# ---- Each policy part without the others
 
 
-def test_the_meter_holds_then_refuses_and_drains():
+def test_quota_meter_admits_then_holds_then_rejects_and_drains_the_excess():
     meter = QuotaMeter(context())
     customer = Customer(("metered", "c"), 0.0, 0.0, 0)
     customer.serving_gateways = 2
     customer.largest_request_units = 1.0
     decisions = []
-    for _ in range(9):  # a share of 5 a second, burst 4
+    for _ in range(9):  # this gateway's share: 5 units a second, burst 4
         meter.record_demand(customer, METERED, 1.0, 0.0)
         decision = meter.decide(customer, METERED, 1.0, 0.0)
         decisions.append(decision)
@@ -73,7 +73,7 @@
     assert meter.can_forget(customer, METERED, 4000.0)
 
 
-def test_a_decision_of_the_meter_stores_nothing_until_it_is_applied():
+def test_quota_meter_decision_changes_nothing_until_its_excess_is_stored():
     meter = QuotaMeter(context())
     customer = Customer(("metered", "c"), 0.0, 0.0, 0)
     customer.largest_request_units = 1.0
@@ -88,7 +88,7 @@
     assert customer.excess_updated_ms == 100.0
 
 
-def test_a_plan_without_a_quota_admits_and_leaves_the_row_alone():
+def test_plan_without_a_quota_admits_and_leaves_the_customer_unchanged():
     meter = QuotaMeter(context())
     customer = Customer(("free", "c"), 7.0, 0.0, 0)
     meter.record_demand(customer, Plan("free"), 5.0, 100.0)
@@ -99,10 +99,10 @@
     assert (customer.demand_units, customer.demand_updated_ms) == (0.0, 7.0)
 
 
-def test_a_ceiling_starts_at_nought_and_a_cap_is_one_at_least():
-    made = context(now=0.0)
-    ceiling = RateCeiling(made)
-    cap = CustomerConcurrencyCap(made, QuotaMeter(made))
+def test_rate_ceiling_starts_at_zero_and_concurrency_cap_is_at_least_one():
+    policy_context = context(now=0.0)
+    ceiling = RateCeiling(policy_context)
+    cap = CustomerConcurrencyCap(policy_context, QuotaMeter(policy_context))
     plan = Plan("x", ceiling_rate=10.0, ceiling_burst=20.0, max_in_flight=1)
     waiting = pending(SETTINGS.classes[0])
     waiting.plan = plan
@@ -116,9 +116,9 @@
     assert cap.is_reached(waiting, 0.0)
 
 
-def test_outlier_detection_tells_a_class_from_a_server_and_forgets():
-    made = context()
-    detection, bad, good = OutlierDetection(made), Server(entry(1), 0.1), Server(entry(2), 0.2)
+def test_outlier_detection_counts_failures_by_class_and_server_and_forgets_them():
+    policy_context = context()
+    detection, bad, good = OutlierDetection(policy_context), Server(entry(1), 0.1), Server(entry(2), 0.2)
     one, other = (pending(kind) for kind in SETTINGS.classes[:2])
     for _ in range(4):
         detection.on_attempt_ended(one, bad, Status.ERROR)
@@ -129,12 +129,12 @@
     ]
     assert probabilities[0][0] > 0.7 > 0.2 > probabilities[0][1]
     assert probabilities[1][0] < 0.1
-    made.begin_event(61_000.0)
-    made.decay.attempts_started = 1000
+    policy_context.begin_event(61_000.0)
+    policy_context.decay.attempts_started = 1000
     assert detection.failure_probability(one, bad, (0.0, 0.0)) < 0.01
 
 
-def test_the_concurrency_limit_moves_by_what_responses_show():
+def test_concurrency_limit_rises_with_quick_responses_and_falls_with_slow_ones():
     concurrency, server, kind = (
         AdaptiveConcurrencyLimit(context()),
         Server(entry(1), 0.1),
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize(
-    ("effect", "scope", "age", "first", "wanted", "told"),
+    ("idempotency", "scope", "age_ms", "may_have_run", "expected_group", "client_may_retry"),
     [
         (Idempotency.IDEMPOTENT, "all", 9e9, True, ServerGroup(), True),
         (Idempotency.NOT_IDEMPOTENT, "all", 0.0, True, None, False),
@@ -166,18 +166,20 @@
         (Idempotency.WITH_KEY, "cell", 3000.0, False, ServerGroup(), True),
     ],
 )
-def test_where_a_request_may_be_retried_and_what_its_client_may_do(effect, scope, age, first, wanted, told):
+def test_retry_group_and_whether_the_client_may_retry(
+    idempotency, scope, age_ms, may_have_run, expected_group, client_may_retry
+):
     scopes = {item.idempotency_scope.value: item.idempotency_scope for item in SETTINGS.classes}
-    kind = RequestClass(
-        "k", 1000.0, 4000.0, effect, idempotency_scope=scopes[scope], idempotency_window_ms=3000.0
+    request_class = RequestClass(
+        "k", 1000.0, 4000.0, idempotency, idempotency_scope=scopes[scope], idempotency_window_ms=3000.0
     )
-    made = pending(kind)
-    made.first_possible_run = Attempt(Server(entry(1, "b", cell=7), 0.0), 1000.0) if first else None
-    assert retry_group(made, 1000.0 + age) == wanted
-    assert is_client_retry_harmless(made) is told
+    request = pending(request_class)
+    request.first_possible_run = Attempt(Server(entry(1, "b", cell=7), 0.0), 1000.0) if may_have_run else None
+    assert retry_group(request, 1000.0 + age_ms) == expected_group
+    assert is_client_retry_harmless(request) is client_may_retry
 
 
-# ---- The indexes choose as a plain loop over the complete list would
+# ---- The indexes choose as a loop over the complete list would, and no decision walks the list
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -218,24 +220,24 @@
         assert [s for s in near if slow_start.is_eligible(asked, s, len(ready))] == eligible
 
 
-class Counted(list):
-    """A list that counts the items it hands out."""
+class CountingList(list):
+    """A list that counts, over all its instances, the items read from it."""
 
-    seen = 0
+    items_read = 0
 
     def __iter__(self):
         for item in super().__iter__():
-            type(self).seen += 1
+            type(self).items_read += 1
             yield item
 
-    def __getitem__(self, place):
-        type(self).seen += 1
-        return super().__getitem__(place)
+    def __getitem__(self, position):
+        type(self).items_read += 1
+        return super().__getitem__(position)
 
 
 @pytest.mark.parametrize("warming_every", [0, 2], ids=["warm", "half of them warming up"])
-def test_no_decision_walks_the_list(warming_every):
-    seen = []
+def test_no_decision_walks_the_list_of_servers(warming_every):
+    items_read = []
     for size in (200, 20_000):
         rig = Rig(replace(SETTINGS, gateways=1))
         rig.servers(
@@ -250,58 +252,61 @@
             )
         )
         endpoints = rig.gateway.endpoints
-        rig.finish(rig.ask(), Status.RESET)  # a group is made once for each list
-        Counted.seen = 0
-        endpoints.ready, endpoints.warming_up = Counted(endpoints.ready), Counted(endpoints.warming_up)
+        rig.finish(rig.ask(), Status.RESET)  # its server group is built once for each list
+        CountingList.items_read = 0
+        endpoints.ready, endpoints.warming_up = (
+            CountingList(endpoints.ready),
+            CountingList(endpoints.warming_up),
+        )
         endpoints._groups = {
-            key: GroupIndex(Counted(found.servers), found.positions)
+            key: GroupIndex(CountingList(found.servers), found.positions)
             for key, found in endpoints._groups.items()
         }
         for _ in range(40):
             name = rig.ask()
             rig.finish(name, Status.RESET)
             rig.finish(name)
-        seen.append(Counted.seen)
-    assert 40 * 10 <= seen[1] <= 40 * 45
-    assert seen[1] <= 1.5 * seen[0] + 100
+        items_read.append(CountingList.items_read)
+    assert 40 * 10 <= items_read[1] <= 40 * 45
+    assert items_read[1] <= 1.5 * items_read[0] + 100
 
 
-# ---- Hard cases
+# ---- Corner cases
 
 
 def test_a_customer_with_a_pending_request_is_not_forgotten():
-    # its row holds the cap: forgotten while a request waits, a second row would count from nought
+    # Its row counts the attempts under the concurrency cap. If it were forgotten while a request is pending,
+    # a new row would count from zero.
     rig = Rig(replace(SETTINGS, plans=(CAPPED, Plan("free")), gateways=1, meter_period_ms=100.0))
-    mine = [rig.ask("only-cap", width=1) for _ in range(3)]  # queued: no server yet
-    rig.run(1000.0)  # all that is known of it is as new
+    request_ids = [rig.ask("only-cap", width=1) for _ in range(3)]  # queued, as there is no server yet
+    rig.run(1000.0)  # by now its row holds nothing that a new row would not
     for name in "xyz":
         rig.ask(customer=name, width=1)
-    mine += [rig.ask("only-cap", width=1) for _ in range(3)]
+    request_ids += [rig.ask("only-cap", width=1) for _ in range(3)]
     rig.servers(*(entry(number) for number in range(9)), kind=ListKind.CACHED)
-    assert sum(name in rig.sent for name in mine) == CAPPED.max_in_flight == 2
+    assert sum(name in rig.sent for name in request_ids) == CAPPED.max_in_flight == 2
 
 
-def test_customers_are_forgotten_at_the_bound_but_for_those_with_pending_requests():
-    made = context(now=0.0)
-    book = Customers(made, QuotaMeter(made), RateCeiling(made))
+def test_idle_customers_are_forgotten_except_those_with_pending_requests():
+    policy_context = context(now=0.0)
+    book = Customers(policy_context, QuotaMeter(policy_context), RateCeiling(policy_context))
     for number in range(3000):
-        made.begin_event(100.0 * number)
+        policy_context.begin_event(100.0 * number)
         found = book.find_or_add(Request(str(number), "safe", "metered", f"c{number}", 1000.0, 1.0), METERED)
-        found.pending_count = (
-            1 if number % 1000 == 0 else 0
-        )  # one that waits for hours stops nobody else's row
-    held = [customer.key[1] for customer in book.rows.values() if customer.pending_count]
-    assert sorted(held) == ["c0", "c1000", "c2000"]
+        # a customer whose request is pending for hours does not keep other customers from being forgotten
+        found.pending_count = 1 if number % 1000 == 0 else 0
+    names = [customer.key[1] for customer in book.rows.values() if customer.pending_count]
+    assert sorted(names) == ["c0", "c1000", "c2000"]
     assert 40 <= len(book.rows) <= 48
 
 
-def test_settings_that_change_between_two_attempts_keep_the_class_and_lift_no_bound():
+def test_settings_change_between_two_attempts_keeps_the_request_s_class_and_the_lower_cap():
     kind = replace(SETTINGS.classes[2], idempotency_window_ms=3000.0)
     rig = Rig(replace(SETTINGS, classes=(SETTINGS.classes[0], kind), gateways=1))
     rig.servers(entry(1, "a"), entry(2, "a"), entry(3, "b"))
     name = rig.ask("only-cap", kind.name, width=1)
     zone = "b" if rig.sent[name] == [3] else "a"
-    rig.do(
+    rig.handle(
         SettingsChanged(
             replace(
                 rig.gateway.context.settings,
@@ -310,18 +315,20 @@
             )
         )
     )
-    rig.finish(name, Status.RESET)  # resent under its own class, which is gone: within its zone, by its key
+    # The retry follows the request's own class, which is gone from the settings: it stays in the zone where
+    # its idempotency key is known.
+    rig.finish(name, Status.RESET)
     assert len(rig.sent[name]) == 2
     assert (rig.sent[name][1] == 3) == (zone == "b")
-    (mine,) = (c for c in rig.gateway.customers.rows.values() if c.key[0] == "only-cap")
-    assert mine.transition_plan
-    assert mine.transition_plan.max_in_flight == 2
+    (customer,) = (c for c in rig.gateway.customers.rows.values() if c.key[0] == "only-cap")
+    assert customer.transition_plan
+    assert customer.transition_plan.max_in_flight == 2
     rig.finish(name)
-    assert mine.transition_plan is None
+    assert customer.transition_plan is None
     assert rig.answers[name] == "Ok"
 
 
-def test_what_a_process_of_the_version_before_wrote_is_read():
+def test_state_document_of_the_previous_version_is_loaded():
     document = json.loads((RECORDINGS / "handover-before-package.json").read_text())
     names = {name: number for number, name in enumerate(document["servers"])}
     plans = tuple(Plan(name, rate=1.0, burst=2.0) for name in {row[0]: 0 for row in document["customers"]})
@@ -340,27 +347,32 @@
         "asked_at": "demand_updated_ms",
         "elsewhere": "peer_occupied_places",
     }
-    kept = [state_document.CUSTOMER_COLUMNS.index(name) + 2 for name in columns]
-    rows = {tuple(row[:2]): [row[place] for place in kept] for row in document["customers"]}
+    positions = [state_document.CUSTOMER_COLUMNS.index(name) + 2 for name in columns]
+    rows = {tuple(row[:2]): [row[position] for position in positions] for row in document["customers"]}
     found = rig.gateway.customers.rows
-    assert {key: [getattr(one, name) for name in columns.values()] for key, one in found.items()} == rows
+    assert {
+        key: [getattr(customer, name) for name in columns.values()] for key, customer in found.items()
+    } == rows
     assert list(rig.gateway.customers.rows) == [tuple(row[:2]) for row in document["customers"]]
     assert rig.gateway.concurrency_limit.limit == document["pool"]
     assert rig.gateway.concurrency_limit.latencies.mean_ms == document["latency"]
-    again = json.loads(json.dumps(state_document.save(rig.gateway, {n: name for name, n in names.items()})))
-    for row in (*again["servers"].values(), *document["servers"].values()):
-        del row["started"]  # the list says it, but for one put back by hand
-    assert again["servers"] == document["servers"]
-    assert again["marks"] == document["marks"]
+    saved_again = json.loads(
+        json.dumps(state_document.save(rig.gateway, {n: name for name, n in names.items()}))
+    )
+    for row in (*saved_again["servers"].values(), *document["servers"].values()):
+        # the list of servers says it, except for a server that an operator put back in use
+        del row["started"]
+    assert saved_again["servers"] == document["servers"]
+    assert saved_again["marks"] == document["marks"]
 
 
-def test_warming_servers_taken_over_have_their_share_at_once():
-    # their phases came with the document; in a long list they are found by an index of them
+def test_servers_warming_up_are_eligible_at_once_after_a_hot_restart():
+    # Their phases come with the state document. In a long list they are found by an index of such servers.
     old, new = Rig(seed=1), Rig(seed=2)
     names = {number: f"s-{number}" for number in range(60)}
     for rig in (old, new):
         rig.servers(*(entry(number, started_ms=900.0) for number in names), kind=ListKind.CACHED)
-    old.do(HotRestartBegun())
+    old.handle(HotRestartBegun())
     state_document.load(
         new.gateway, state_document.save(old.gateway, names), {name: number for number, name in names.items()}
     )
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -9,7 +9,7 @@
 
 import msgspec
 import pytest
-from fakes import Peer, call
+from fakes import RespClient, call
 from test_fault_bench import ROOT, SCENARIO, run, through
 
 from quota_gateway.fault_bench.bench import FaultBench
@@ -35,7 +35,7 @@
 def test_successor_that_hangs_is_killed_and_its_connections_are_taken_back(tmp_path):
     async def case(bench, gateway):
         old = gateway.process
-        idle = await Peer().open(bench.links["clients>g0"].listen_address[1], bench.host)
+        idle = await RespClient().open(bench.links["clients>g0"].listen_address[1], bench.host)
         assert await idle.ask(call_of(1)) == b"0000000000000001"
         new = await gateway.start()
         assert await gateway.ready(new)
@@ -56,7 +56,7 @@
 def test_untouched_connections_survive_the_successors_death_and_others_are_closed(tmp_path):
     async def case(bench, gateway):
         untouched, used = [
-            await Peer().open(bench.links["clients>g0"].listen_address[1], bench.host) for _ in range(2)
+            await RespClient().open(bench.links["clients>g0"].listen_address[1], bench.host) for _ in range(2)
         ]
         for number, peer in enumerate((untouched, used)):
             assert await peer.ask(call_of(number)) == b"%016x" % number
@@ -78,7 +78,7 @@
         assert await gateway.ready(new)
         assert not old.alive
         assert "the predecessor hangs" in gateway.log()
-        peer = await Peer().open(bench.links["clients>g0"].listen_address[1], bench.host)
+        peer = await RespClient().open(bench.links["clients>g0"].listen_address[1], bench.host)
         assert await peer.ask(call_of(1)) == b"0000000000000001"
 
     run_beside_load(tmp_path, case)
@@ -113,7 +113,7 @@
 
 def test_connection_closed_by_the_successor_is_closed_for_its_client(tmp_path):
     async def case(bench, gateway):
-        peer = await Peer().open(bench.links["clients>g0"].listen_address[1], bench.host)
+        peer = await RespClient().open(bench.links["clients>g0"].listen_address[1], bench.host)
         assert await peer.ask(call_of(1)) == b"0000000000000001"
         new = await gateway.start()
         assert await gateway.ready(new)
@@ -126,7 +126,7 @@
 
 
 def call_of(number: int) -> bytes:
-    return call(number, plan="basis", wait=4000)
+    return call(number, plan="basis", timeout_ms=4000)
 
 
 def test_retained_copies_are_bounded_and_only_untouched_ones_are_reclaimed():
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -51,10 +51,10 @@
         self.bucket_units, self.bucket_updated_ms, self.bucket_capacity = 0.0, self.now, 10.0
         self.refill_rate = 5.0
 
-    def do(self, event):
+    def handle(self, event):
         before = {name: len(sent) for name, sent in self.sent.items()}
         answered = set(self.answers)
-        actions = super().do(event)
+        actions = super().handle(event)
         for name, sent in self.sent.items():
             if len(sent) > before.get(name, 0):
                 self.check_send(name, sent, before.get(name, 0))
@@ -98,7 +98,7 @@
         self.refill()
         ceiling = next(plan for plan in SETTINGS.plans if plan.name == "ceiling")
         refill_rate, burst = ceiling.ceiling_rate * factor, ceiling.ceiling_burst * factor
-        self.do(
+        self.handle(
             SettingsChanged(
                 replace(
                     SETTINGS,
@@ -119,11 +119,11 @@
         if step[0] == "change":
             self.change(*step[1:])
         elif step[0] == "ask":
-            _, plan, class_name, patience, units = step
+            _, plan, class_name, client_timeout_ms, units = step
             name = f"r{self.count + 1}"
             request_class = next(item for item in SETTINGS.classes if item.name == class_name)
-            self.requests[name] = (request_class, plan, units, self.now + patience)
-            self.ask(plan, class_name, patience=patience, units=units)
+            self.requests[name] = (request_class, plan, units, self.now + client_timeout_ms)
+            self.ask(plan, class_name, client_timeout_ms=client_timeout_ms, units=units)
         elif step[0] == "wait":
             self.run(step[1])
         elif step[0] == "list":
@@ -133,7 +133,7 @@
         elif step[0] == "leave" and (unfinished := [n for n in self.requests if n not in self.finished]):
             name = unfinished[step[1] % len(unfinished)]
             self.finished.add(name)
-            self.do(ClientDisconnected(name))
+            self.handle(ClientDisconnected(name))
         elif step[0] == "end" and (in_flight := [n for n, attempt in self.in_flight.items() if attempt]):
             self.end(in_flight[step[1] % len(in_flight)], step[2])
 
@@ -145,7 +145,7 @@
         request_answered = status is Status.OK or name in self.finished
         if request_answered:
             self.finished.add(name)
-        self.do(AttemptEnded(name, number, server, status, self.now - sent, request_answered))
+        self.handle(AttemptEnded(name, number, server, status, self.now - sent, request_answered))
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
--- a/tests/test_quota_meter.py
+++ b/tests/test_quota_meter.py
@@ -65,7 +65,7 @@
 def test_request_whose_hold_would_outlast_its_deadline_is_rejected_and_adds_no_excess(rig):
     for _ in range(4):
         rig.ask("metered")
-    assert rig.answers.get(rig.ask("metered", patience=200.0)) == "Reject"
+    assert rig.answers.get(rig.ask("metered", client_timeout_ms=200.0)) == "Reject"
     assert rig.gateway.customers.rows["metered", "c"].excess_milliunits == 4000.0
 
 
@@ -112,7 +112,7 @@
 
 def test_held_request_whose_client_left_gives_its_units_back(rig):
     names = [rig.ask("metered") for _ in range(6)]
-    rig.do(ClientDisconnected(names[5]))
+    rig.handle(ClientDisconnected(names[5]))
     assert rig.gateway.customers.rows["metered", "c"].excess_milliunits == 5000.0
     rig.run(4000.0)
     assert names[5] not in rig.sent
@@ -184,7 +184,7 @@
 def ask_thin(rig, **more) -> str:
     rig.count += 1
     name = f"r{rig.count}"
-    rig.do(Request(name, "safe", "metered", "c", 4000.0, 1, rig.width, **more))
+    rig.handle(Request(name, "safe", "metered", "c", 4000.0, 1, rig.width, **more))
     return name
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -11,7 +11,7 @@
 from types import SimpleNamespace
 
 import pytest
-from fakes import FakeServer, array, call, node, resp, run, until
+from fakes import FakeServer, call, local_gateway, resp, run, server_reply, until
 from test_config import GOOD
 
 from quota_gateway import DrainChanged
@@ -95,7 +95,7 @@
     path = tmp_path / "config.json"
     settings = settings_from(DOCUMENT["settings"])
     values = {field.name: getattr(settings, field.name) for field in fields(settings)}
-    async with node(*fakes, **values) as gateway:
+    async with local_gateway(*fakes, **values) as gateway:
         fixture = ReloadFixture(gateway, path, {"EDGE_CONFIG": str(path), **environment})
         yield fixture
         fixture.reload.close()
@@ -108,9 +108,9 @@
 
 def test_hundred_reloads_and_some_rejected_files_lose_no_running_request(tmp_path):
     async def test():
-        server = FakeServer(lambda words: array(words[2]))
+        server = FakeServer(lambda words: server_reply(words[2]))
         async with reload_fixture(tmp_path, server) as fixture:
-            peers = [await fixture.gateway.peer() for _ in range(4)]
+            peers = [await fixture.gateway.connect_client() for _ in range(4)]
             answers, numbers = [], iter(range(1, 10_000))
             done = asyncio.Event()
 
@@ -153,7 +153,7 @@
 def test_rejected_file_changes_nothing_and_config_shows_the_reason(tmp_path, change, fault):
     async def test():
         async with reload_fixture(tmp_path, FakeServer()) as fixture:
-            peer = await fixture.gateway.peer()
+            peer = await fixture.gateway.connect_client()
             await peer.ask(call(1))
             before = fixture.state()
             fixture.write(**change)
@@ -214,17 +214,17 @@
     async def test():
         server = FakeServer(lambda words: None)
         async with reload_fixture(tmp_path, server) as fixture:
-            peer = await fixture.gateway.peer()
+            peer = await fixture.gateway.connect_client()
             peer.send(call(1))
             await server.until(lambda: len(server.commands) == 1)
             fixture.write_plan(name="other")
             assert (await fixture.command("RELOAD")).startswith("YES")
-            server.writers[0].write(array(b"v"))
+            server.writers[0].write(server_reply(b"v"))
             assert await peer.reply() == b"v"
             assert (await peer.ask(call(2))).startswith("-ERR unknown class or plan")
             fixture.write_plan()
             assert (await fixture.command("RELOAD")).startswith("YES")
-            server.answer = lambda words: array(b"w")
+            server.answer = lambda words: server_reply(b"w")
             assert await peer.ask(call(3)) == b"w"
 
     run(test())
@@ -235,17 +235,17 @@
         server = FakeServer(lambda words: None)
         async with reload_fixture(tmp_path, server) as fixture:
             clients, servers = fixture.gateway.clients, fixture.gateway.servers
-            peers = [await fixture.gateway.peer() for _ in range(8)]
+            peers = [await fixture.gateway.connect_client() for _ in range(8)]
             for number, peer in enumerate(peers[:6]):
                 peer.send(call(number + 1))
             await server.until(lambda: len(server.commands) == 6)
-            server.writers[0].write(array(b"v"))
-            server.writers[1].write(array(b"v"))
+            server.writers[0].write(server_reply(b"v"))
+            server.writers[1].write(server_reply(b"v"))
             answered_peers = [
                 peer
                 for number, peer in enumerate(peers[:6])
-                if server.commands[server.by.index(0)][2].endswith(b"%x" % (number + 1))
-                or server.commands[server.by.index(1)][2].endswith(b"%x" % (number + 1))
+                if server.commands[server.connection_numbers.index(0)][2].endswith(b"%x" % (number + 1))
+                or server.commands[server.connection_numbers.index(1)][2].endswith(b"%x" % (number + 1))
             ]
             for peer in answered_peers:
                 assert await peer.reply() == b"v"
@@ -261,7 +261,7 @@
                 assert await peer.reply() is None
             assert len(clients.connections) == 4
             for writer in server.writers[2:]:
-                writer.write(array(b"late"))
+                writer.write(server_reply(b"late"))
             waiting_peers = [peer for peer in peers[:6] if peer not in answered_peers]
             assert [await peer.reply() for peer in waiting_peers] == [b"late"] * 4
             await until(lambda: len(clients.connections) <= 2 and len(servers.connections) <= 2)
@@ -299,7 +299,7 @@
         async with reload_fixture(tmp_path, FakeServer()) as fixture:
             fixture.write_plan(refill=0.001, most_at_once=8.0)
             await fixture.command("RELOAD")
-            peer = await fixture.gateway.peer()
+            peer = await fixture.gateway.connect_client()
             for number in range(1, 5):
                 assert await peer.ask(call(number))
             fixture.write_plan(refill=0.002, most_at_once=8.0)
@@ -424,7 +424,7 @@
             fixture.reload.trial.expire()
             await until(lambda: fixture.reload.in_force.config is first_config)
             assert fixture.driver.gateway.drain.is_draining
-            peer = await fixture.gateway.peer()
+            peer = await fixture.gateway.connect_client()
             assert (await peer.ask(resp("PING"))).startswith("-DRAINING")
 
     run(test())
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -6,7 +6,7 @@
 from contextlib import asynccontextmanager
 
 import pytest
-from fakes import FakeServer, Raw, array, call, node, resp, run, until
+from fakes import FakeServer, RawClient, call, local_gateway, resp, run, server_reply, until
 
 from quota_gateway.net.clients import command_timer as command_timer_module
 from quota_gateway.net.clients import stall_timer as stall_timer_module
@@ -17,7 +17,7 @@
 LONG_VALUE_BYTES = 200_000  # more than the socket buffers of both ends hold
 LONG_VALUE = b"$%d\r\n" % LONG_VALUE_BYTES + bytes(LONG_VALUE_BYTES) + b"\r\n"
 ANSWERS = {
-    "value": array(b"v"),
+    "value": server_reply(b"v"),
     "long value": b"*3\r\n" + LONG_VALUE + b"$-1\r\n$-1\r\n",
     "error": b"-ERR failed\r\n",
     "overloaded": b"-BUSY\r\n",
@@ -37,7 +37,7 @@
 @asynccontextmanager
 async def node_with_small_buffers(server: FakeServer):
     """A gateway with small send buffers, so that it notices early when a client does not read."""
-    async with node(server) as gateway:
+    async with local_gateway(server) as gateway:
         gateway.clients.listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SOCKET_BUFFER_BYTES)
         yield gateway
 
@@ -48,27 +48,27 @@
     def __init__(self, gateway, rng: random.Random) -> None:
         self.gateway = gateway
         self.rng = rng
-        self.clients: list[Raw] = []
+        self.clients: list[RawClient] = []
         self.requests = 0
 
     def step(self) -> None:
         """Perform one random action of one client."""
         choice = self.rng.random()
         if choice < 0.2 or not self.clients:
-            self.clients.append(Raw(port(self.gateway), SOCKET_BUFFER_BYTES))
+            self.clients.append(RawClient(port(self.gateway), SOCKET_BUFFER_BYTES))
             return
         client = self.rng.choice(self.clients)
         if choice < 0.6:
             for _ in range(self.rng.randint(1, 4)):
                 self.requests += 1
-                client.send(call(self.requests, self.rng.choice(["read", "post", "buy"]), wait=300))
+                client.send(call(self.requests, self.rng.choice(["read", "post", "buy"]), timeout_ms=300))
         elif choice < 0.9:
             self.read_some(client)
         else:
             self.clients.remove(client)
             client.sock.close()
 
-    def read_some(self, client: Raw) -> None:
+    def read_some(self, client: RawClient) -> None:
         """Read once, without waiting."""
         client.sock.setblocking(False)
         try:
@@ -83,7 +83,7 @@
     return metrics.requests_total == metrics.ended_total() + gateway.driver.unanswered_count()
 
 
-async def last_bytes(client: Raw) -> bytes:
+async def last_bytes(client: RawClient) -> bytes:
     """The last bytes that a client gets, up to a reply to PING or to the connection's end."""
     tail = b""
     while not tail.endswith(PONG):
@@ -131,32 +131,32 @@
 # ---- Connections that this gateway closes with replies pending
 
 
-async def begin_reply(gateway, server: FakeServer, answer: bytes) -> tuple[Raw, asyncio.StreamWriter]:
+async def begin_reply(gateway, server: FakeServer, answer: bytes) -> tuple[RawClient, asyncio.StreamWriter]:
     """A client with two requests at the server, which has sent ``answer`` in reply to the first one."""
-    raw = Raw(port(gateway), SOCKET_BUFFER_BYTES)
+    raw = RawClient(port(gateway), SOCKET_BUFFER_BYTES)
     raw.send(call(1), call(2))
     await server.until(lambda: len(server.commands) == 2)
     first = next(n for n, words in enumerate(server.commands) if words[2] == b"%016x" % 1)
-    writer = server.writers[server.by[first]]
+    writer = server.writers[server.connection_numbers[first]]
     writer.write(answer)
     return raw, writer
 
 
-async def break_off_value(gateway, server: FakeServer) -> Raw:
+async def break_off_value(gateway, server: FakeServer) -> RawClient:
     raw, writer = await begin_reply(gateway, server, b"*3\r\n" + LONG_VALUE[:100_000])
     await raw.read(100_000)
     writer.close()
     return raw
 
 
-async def stall_client(gateway, server: FakeServer) -> Raw:
+async def stall_client(gateway, server: FakeServer) -> RawClient:
     raw, _ = await begin_reply(gateway, server, ANSWERS["long value"])
     (client,) = gateway.clients.connections
     await until(lambda: client.replies.is_stuck)
     return raw
 
 
-async def exceed_unsent_budget(gateway, server: FakeServer) -> Raw:
+async def exceed_unsent_budget(gateway, server: FakeServer) -> RawClient:
     raw = await stall_client(gateway, server)
     gateway.clients.unsent.limit_bytes = 0
     gateway.clients.unsent.add(1)
@@ -164,7 +164,7 @@
     return raw
 
 
-async def abort_clients(gateway, server: FakeServer) -> Raw:
+async def abort_clients(gateway, server: FakeServer) -> RawClient:
     raw = await stall_client(gateway, server)
     gateway.clients.abort()
     return raw
@@ -205,8 +205,8 @@
 def test_request_whose_client_disconnected_is_not_counted_as_dropped_by_the_gateway(caplog):
     async def test():
         server = silent_server()
-        async with node(server) as gateway:
-            raw = Raw(port(gateway))
+        async with local_gateway(server) as gateway:
+            raw = RawClient(port(gateway))
             raw.send(call(1))
             await server.until(lambda: len(server.commands) == 1)
             raw.sock.close()
--- a/tests/test_request_rules.py
+++ b/tests/test_request_rules.py
@@ -138,8 +138,8 @@
 
 def test_the_longest_hold_is_bounded_by_weighted_objective_client_timeout_and_shutdown(rig):
     admission = rig.gateway.admission
-    request = pending(rig, patience=300.0).request
-    patient = pending(rig, patience=4000.0).request
+    request = pending(rig, client_timeout_ms=300.0).request
+    patient = pending(rig, client_timeout_ms=4000.0).request
     assert admission.useful_wait_ms(SAFE) == 2000.0 - 400.0
     assert admission.longest_hold_ms(patient, SAFE) == (2000.0 - 400.0) / 3.0  # its weight is a third
     assert admission.longest_hold_ms(patient, UNSAFE) == 1000.0 - 200.0
--- a/tests/test_request_state.py
+++ b/tests/test_request_state.py
@@ -51,7 +51,7 @@
 
 def test_a_request_whose_client_disconnected_is_pending_until_its_attempt_has_ended(rig):
     name = rig.ask()
-    rig.do(ClientDisconnected(name))
+    rig.handle(ClientDisconnected(name))
     assert state(rig, name) is RequestState.ANSWERED
     rig.finish(name, Status.CANCELLED)
     assert name not in rig.gateway.pending_requests.by_id
@@ -60,14 +60,14 @@
 def test_a_streaming_response_is_not_answered_again_on_disconnection_or_after_the_deadline():
     rig = rig_with(limits=Limits(max_attempts=3))
     rig.servers(entry(1), entry(2))
-    disconnected, expired = rig.ask(), rig.ask(patience=300.0)
-    rig.do(StreamStarted(disconnected, 0, rig.sent[disconnected][0], 50.0))
+    disconnected, expired = rig.ask(), rig.ask(client_timeout_ms=300.0)
+    rig.handle(StreamStarted(disconnected, 0, rig.sent[disconnected][0], 50.0))
     assert state(rig, disconnected) is RequestState.STREAMING
-    rig.do(ClientDisconnected(disconnected))
+    rig.handle(ClientDisconnected(disconnected))
     assert state(rig, disconnected) is RequestState.ANSWERED_STREAMING
     rig.run(300.0)
     assert state(rig, expired) is RequestState.ANSWERED
-    rig.do(StreamStarted(expired, 0, rig.sent[expired][0], 300.0))
+    rig.handle(StreamStarted(expired, 0, rig.sent[expired][0], 300.0))
     assert state(rig, expired) is RequestState.ANSWERED_STREAMING
     assert rig.answers == {expired: "Reject"}
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -21,14 +21,14 @@
     ("class_name", "answer"), [("safe", "Reject"), ("keyed", "Fail"), ("unsafe", "Fail")]
 )
 def test_request_with_a_silent_attempt_is_answered_before_the_client_gives_up(rig, class_name, answer):
-    name = rig.ask(class_name=class_name, patience=300.0)
+    name = rig.ask(class_name=class_name, client_timeout_ms=300.0)
     rig.run(299.0)
     assert rig.answers[name] == answer
 
 
 def test_without_servers_a_request_is_queued_then_rejected():
     rig = Rig()
-    name = rig.ask(patience=300.0)
+    name = rig.ask(client_timeout_ms=300.0)
     rig.run(290.0)
     assert name not in rig.answers
     rig.run(9.0)
@@ -45,7 +45,7 @@
 
 
 def test_no_attempt_is_sent_after_the_final_answer(rig):
-    name = rig.ask(patience=300.0)
+    name = rig.ask(client_timeout_ms=300.0)
     rig.run(299.0)
     rig.finish(name, Status.ERROR)
     assert len(rig.sent[name]) == 1
@@ -101,7 +101,7 @@
 
 
 def test_request_with_an_idempotency_key_fails_outside_its_window(rig):
-    name = rig.ask(class_name="keyed", patience=3900.0)
+    name = rig.ask(class_name="keyed", client_timeout_ms=3900.0)
     rig.gateway.pending_requests.by_id[name].tried_servers.clear()  # the window alone decides
     rig.now += 3000.0
     rig.finish(name, Status.ERROR)
@@ -274,7 +274,7 @@
 
 def test_attempts_cut_short_by_the_client_do_not_make_the_server_suspected(rig):
     for _ in range(4):
-        name = rig.ask(patience=100.0)
+        name = rig.ask(client_timeout_ms=100.0)
         rig.run(100.0)
         rig.finish(name, Status.CANCELLED, latency=98.0)
     assert not any(server.failure_records for server in rig.gateway.endpoints.servers.values())
@@ -290,7 +290,7 @@
 
 def test_while_all_servers_drain_a_request_is_queued_then_rejected(rig):
     rig.servers(entry(1, state=ServerState.DRAINING), entry(2, state=ServerState.DRAINING))
-    name = rig.ask(patience=300.0)
+    name = rig.ask(client_timeout_ms=300.0)
     rig.run(299.0)
     assert rig.answers[name] == "Reject"
     assert name not in rig.sent
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -30,7 +30,7 @@
 
 
 def tell(rig: Rig, **changes) -> None:
-    rig.do(SettingsChanged(replace(rig.gateway.context.settings, **changes)))
+    rig.handle(SettingsChanged(replace(rig.gateway.context.settings, **changes)))
 
 
 def sent(rig: Rig, count: int, **more) -> list[str]:
@@ -322,7 +322,7 @@
     for plan in ("q", "c", "gone"):
         sent(old, 1, plan=plan, customer=plan)
     old.run(1000.0)  # drained at the old rate of one unit a second, up to the hand-over
-    old.do(HotRestartBegun())
+    old.handle(HotRestartBegun())
     document = state_document.save(old.gateway, {1: "s-1", 2: "s-2"})
     lower = Plan("c", ceiling_rate=2.0, ceiling_burst=4.0)
     new = rig_with(gateways=8, plans=(replace(QUOTA, rate=0.1), lower))
@@ -338,7 +338,7 @@
 def test_settings_changed_and_changed_back_after_a_hot_restart_keep_the_excess():
     old = a_rig(QUOTA)
     sent(old, 4, plan="q")
-    old.do(HotRestartBegun())
+    old.handle(HotRestartBegun())
     new = Rig(old.settings, seed=2)
     new.now = old.now
     new.servers(entry(1), entry(2))
--- a/tests/test_state_document.py
+++ b/tests/test_state_document.py
@@ -161,7 +161,7 @@
 def test_document_is_written_again_as_the_earlier_version_wrote_it(successor):
     state_document.load(successor.gateway, document(), NUMBERS)
     successor.now += 250.0
-    successor.do(HotRestartBegun())
+    successor.handle(HotRestartBegun())
     written = as_json(state_document.save(successor.gateway, IDS))
     expected = json.loads((DATA / "written-again.json").read_text())
     assert list(written) == list(expected)  # also the order of the keys
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -8,7 +8,7 @@
 def test_shutdown_answers_pending_and_new_requests_within_its_time(rig):
     pending = [rig.ask(class_name=name) for name in ("safe", "unsafe")]
     rig.run(100.0)
-    rig.do(ShutdownBegun(1000.0))
+    rig.handle(ShutdownBegun(1000.0))
     late = rig.ask(class_name="safe")
     rig.run(990.0)
     assert not rig.answers
@@ -17,8 +17,8 @@
 
 
 def test_shutdown_does_not_extend_a_shorter_client_timeout(rig):
-    rig.do(ShutdownBegun(1000.0))
-    name = rig.ask(patience=100.0)
+    rig.handle(ShutdownBegun(1000.0))
+    name = rig.ask(client_timeout_ms=100.0)
     rig.run(100.0)
     assert rig.answers == {name: "Reject"}
 
@@ -26,7 +26,7 @@
 def test_request_that_would_be_held_past_the_shutdown_is_rejected_at_once(rig):
     for _ in range(4):
         rig.ask("metered")
-    rig.do(ShutdownBegun(150.0))
+    rig.handle(ShutdownBegun(150.0))
     assert rig.answers.get(rig.ask("metered")) == "Reject"  # it would be held for 200 ms
 
 
@@ -55,21 +55,21 @@
 
 def test_periodic_log_line_counts_requests_given_up_by_reason_and_plan(rig):
     lines, rejected = [], 0
-    original_do = rig.do
+    original_handle = rig.handle
 
-    def do(event):
+    def handle(event):
         nonlocal rejected
-        actions = original_do(event)
+        actions = original_handle(event)
         rejected += sum(isinstance(action, Reject) for action in actions)
         for action in actions:
             if isinstance(action, Log):
                 lines.append((action.text, rejected))
         return actions
 
-    rig.do = do
+    rig.handle = handle
     for _ in range(12):  # seconds
         for _ in range(20):  # requests a second, of which the quota share admits five
-            name = rig.ask("metered", patience=10.0)
+            name = rig.ask("metered", client_timeout_ms=10.0)
             if name in rig.sent:
                 rig.finish(name)
         rig.run(1000.0)
@@ -82,20 +82,20 @@
 def test_request_given_up_for_lack_of_a_server_or_capacity_has_a_retry_after():
     limits = Limits(max_attempts=3, can_advise_retry=True, max_retry_after_ms=5000.0)
     rig, retry_after = rig_with(limits=limits), {}
-    original_do = rig.do
+    original_handle = rig.handle
 
-    def do(event):
-        actions = original_do(event)
+    def handle(event):
+        actions = original_handle(event)
         retry_after.update({a.request_id: a.retry_after_ms for a in actions if isinstance(a, Reject)})
         return actions
 
-    rig.do = do
+    rig.handle = handle
     rig.servers(entry(1), entry(2))
     capped = [rig.ask("only-cap") for _ in range(3)]  # this gateway's share of the cap is one attempt
     rig.run(4000.0)
     assert set(retry_after) == set(capped)
     assert all(0.0 < ms <= 5000.0 for ms in retry_after.values())
-    retry = rig.ask("only-cap", patience=0.5)
+    retry = rig.ask("only-cap", client_timeout_ms=0.5)
     rig.run(10.0)
     assert retry_after[retry] > 0.0
 
@@ -103,15 +103,15 @@
 def first_rejection(rig: Rig) -> Reject:
     """Send requests of one customer, all at the same time, until one is rejected."""
     found: list[Reject] = []
-    original_do = rig.do
+    original_handle = rig.handle
 
-    def do(event):
-        actions = original_do(event)
+    def handle(event):
+        actions = original_handle(event)
         found.extend(action for action in actions if isinstance(action, Reject))
         return actions
 
-    rig.do = do
+    rig.handle = handle
     while not found:
         rig.ask("metered")
-    rig.do = original_do
+    rig.handle = original_handle
     return found[0]
