--- a/quota_gateway/fault_bench/__main__.py
+++ b/quota_gateway/fault_bench/__main__.py
@@ -1,4 +1,7 @@
-"""The command: ``python -m quota_gateway.fault_bench run SCENARIO.toml``; see ``--help``."""
+"""The command line of the fault bench: runs a scenario against real gateways, or judges a stored history.
+
+For instance ``python -m quota_gateway.fault_bench run SCENARIO.toml``; ``--help`` lists the options.
+"""
 
 from __future__ import annotations
 
@@ -16,155 +19,199 @@
 
 from quota_gateway.compatibility import package_in
 from quota_gateway.fault_bench.bench import FaultBench
-from quota_gateway.fault_bench.history import read
+from quota_gateway.fault_bench.history import read_history
 from quota_gateway.fault_bench.processes import Program
 from quota_gateway.fault_bench.referee import Verdict, judge
-from quota_gateway.fault_bench.scenario import Scenario, load
+from quota_gateway.fault_bench.scenario import Scenario, load_scenario
 from quota_gateway.fault_bench.timeline import Timeline
 from quota_gateway.rollout.rollout_state import RolloutState
 from quota_gateway.simulation.world import WorldError
 
-KEPT = 0
-BROKEN = 1
-NO_RIG = 2
-QUANTILES = (50.0, 90.0, 99.0, 99.9)
+EXIT_RULES_KEPT = 0
+EXIT_RULE_BROKEN = 1
+EXIT_NO_VALID_RUN = 2
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 class Result(msgspec.Struct, frozen=True):
-    """A play: the referee's verdict, and what the clients measured (ms from the intended moment)."""
+    """The result of a run: the referee's verdict, and what the bench measured.
+
+    ``latency_ms``: of served requests, by percentile, from the moment when each was intended to be sent.
+    """
 
     verdict: Verdict
     latency_ms: dict[str, float]
-    faults: list[str]  # of the play itself, sums or steps that were missed: then it counts for nothing
-    no_gateway: int
-    handshakes: int  # towards servers, all gateways
+    faults: list[str]  # of the run itself: counts that differ, missed steps; any fault makes it invalid
+    no_gateway: int  # operations that found no gateway ready
+    handshakes: int  # of all gateways with servers
     discovery_calls: int
-    rollouts: dict[str, str]  # what became of each
+    rollouts: dict[str, str]  # by name: a summary of each
 
 
-async def play(
-    scenario: Scenario, folder: Path, seed: int, program: Program, following: Program, progress: Progress
+async def run_scenario(
+    scenario: Scenario, folder: Path, seed: int, program: Program, next_program: Program, progress: Progress
 ) -> Result:
-    """Start everything, run the timeline under load, judge. Raises RuntimeError, OSError, TimeoutError."""
-    begun = progress.add_task("start", total=1)
+    """Start all processes, run the timeline under load, and judge the history.
+
+    Raises RuntimeError, OSError or TimeoutError where the bench can't be started or used.
+    """
+    start_task = progress.add_task("start", total=1)
     async with FaultBench(scenario, folder, seed, program) as bench:
-        progress.update(begun, completed=1)
-        shown = progress.add_task("play", total=scenario.world.seconds)
-        timeline = Timeline(bench, following)
+        progress.update(start_task, completed=1)
+        run_task = progress.add_task("play", total=scenario.world.seconds)
+        timeline = Timeline(bench, next_program)
         timeline.start()
-        asking = asyncio.get_running_loop().create_task(bench.load.run())
+        load_task = asyncio.get_running_loop().create_task(bench.load.run())
         try:
             start = bench.clock.now
-            while not asking.done():
-                progress.update(shown, completed=(bench.clock.now - start) / 1000.0)
-                await asyncio.wait([asking], timeout=0.2)
-            await asking
+            while not load_task.done():
+                progress.update(run_task, completed=(bench.clock.now - start) / 1000.0)
+                await asyncio.wait([load_task], timeout=0.2)
+            await load_task
             await timeline.finish()
             await bench.load.finish()
         finally:
-            asking.cancel()
+            load_task.cancel()
             await timeline.close()
         verdict = bench.verdict()
         latency = bench.load.latency
         return Result(
             verdict,
-            {f"{q:g}%": latency.get_value_at_percentile(q) / 1000.0 for q in QUANTILES},
-            [*bench.sums(verdict), *timeline.missed],
+            {
+                f"{percentile:g}%": latency.get_value_at_percentile(percentile) / 1000.0
+                for percentile in PERCENTILES
+            },
+            [*bench.count_mismatches(verdict), *timeline.missed],
             bench.load.no_gateway,
             sum(link.opened for name, link in bench.links.items() if ">s-" in name),
             bench.discovery.calls,
-            {name: became(timeline.rollouts.state(name)) for name in timeline.controllers},
+            {name: rollout_summary(timeline.rollouts.state(name)) for name in timeline.rollout_tasks},
         )
 
 
-def became(state: RolloutState) -> str:
-    """A rollout in a line: its end, whom it touched, how long it took."""
+def rollout_summary(state: RolloutState) -> str:
+    """A rollout in one line: how it ended, how many targets it attempted to change, how long it took."""
     end = state.outcome or (f"halted: {state.halt_reason}" if state.halt_reason else "not ended")
     seconds = state.history[-1].at_s - state.started.at_s if state.started else 0.0
-    why = f", {state.rollback_reason}" if state.rollback_reason else ""
-    return f"{end}, {len(state.attempted_targets)} touched, {seconds:.1f} s{why}"
+    reason = f", {state.rollback_reason}" if state.rollback_reason else ""
+    return f"{end}, {len(state.attempted_targets)} touched, {seconds:.1f} s{reason}"
 
 
-def table(result: Result, scenario: Scenario) -> Table:
-    """One row a figure."""
+def result_table(result: Result, scenario: Scenario) -> Table:
+    """A table of the result, with one row per figure."""
     world = scenario.world
     verdict = result.verdict
-    made = Table(title=f"{world.gateways} gateways, {world.machines.count} servers, {world.seconds:g} s")
+    table = Table(title=f"{world.gateways} gateways, {world.machines.count} servers, {world.seconds:g} s")
     for name in ("figure", "value"):
-        made.add_column(name, justify="left" if name == "figure" else "right")
-    rows: list[tuple[str, object]] = [("asked", verdict.asked)]
+        table.add_column(name, justify="left" if name == "figure" else "right")
+    rows: list[tuple[str, object]] = [("asked", verdict.requests_total)]
     rows += Counter(verdict.outcomes).most_common()
     rows += [(f"excused by a fault: {name}", n) for name, n in sorted(verdict.excused.items())]
-    rows += [(f"served within, {name}", f"{value:.1f} ms") for name, value in result.latency_ms.items()]
+    rows += [
+        (f"latency of served requests, {name}", f"{value:.1f} ms")
+        for name, value in result.latency_ms.items()
+    ]
     rows += [
         ("attempts at servers", verdict.attempts),
-        ("units beyond quotas", f"{verdict.beyond:g}"),
+        ("units forwarded beyond quotas", f"{verdict.beyond_quota_units:g}"),
         ("handshakes with servers", result.handshakes),
-        ("calls of discovery", result.discovery_calls),
-        ("wishes that found no gateway", result.no_gateway),
-        ("the rig late by", f"{verdict.late_ms:.0f} ms"),
+        ("calls to discovery", result.discovery_calls),
+        ("operations that found no gateway ready", result.no_gateway),
+        ("largest delay of the bench's event loop", f"{verdict.max_loop_delay_ms:.0f} ms"),
     ]
     rows += [(f"rollout {name}", text) for name, text in result.rollouts.items()]
-    rows += [(f"broken: {rule}", n) for rule, n in sorted(verdict.broken.items())]
+    rows += [(f"rule broken: {rule}", n) for rule, n in sorted(verdict.broken.items())]
     for name, value in rows:
-        made.add_row(name, str(value))
-    return made
+        table.add_row(name, str(value))
+    return table
 
 
 @click.group()
 def main() -> None:
-    """Real gateways as processes, faults between them, and a referee who sees only what was seen outside."""
+    """Run real gateways under load and faults, and check from outside that they keep their rules."""
 
 
 @main.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--seed", default=1, show_default=True, type=click.IntRange(0, 2**31))
-@click.option("--gateways", type=click.IntRange(1, 50), help="in place of the file's number")
-@click.option("--folder", type=click.Path(path_type=Path), help="keep history and logs in this new folder")
-@click.option("--program", type=click.Path(path_type=Path), default=".", help="a tree of this repository")
+@click.option(
+    "--seed",
+    default=1,
+    show_default=True,
+    type=click.IntRange(0, 2**31),
+    help="seed of the random numbers for load, servers and faults",
+)
+@click.option("--gateways", type=click.IntRange(1, 50), help="number of gateways, instead of the file's")
+@click.option(
+    "--folder",
+    type=click.Path(path_type=Path),
+    help="folder to create for history and logs; without it they are deleted",
+)
+@click.option(
+    "--program",
+    type=click.Path(path_type=Path),
+    default=".",
+    help="source tree of the gateways to run; default: the working directory",
+)
 @click.option(
     "--next",
-    "following",
+    "next_folder",
     type=click.Path(path_type=Path, exists=True, file_okay=False),
-    help="another tree, for rollouts of the program; else this one from another folder",
+    help="source tree that program rollouts install; default: the same program in another folder",
 )
-@click.option("--json", "as_json", is_flag=True, help="the result as JSON")
+@click.option("--json", "as_json", is_flag=True, help="print the result as JSON instead of a table")
 def run(
     file: Path,
     seed: int,
     gateways: int | None,
     folder: Path | None,
     program: Path,
-    following: Path | None,
+    next_folder: Path | None,
     as_json: bool,
 ) -> None:
-    """Play a scenario. Exit code 0: all rules kept; 1: one was broken; 2: no rig, or not the play."""
+    """Run the scenario FILE and print its result.
+
+    Exit code 0: all rules were kept; 1: a rule was broken; 2: there is no result, or it is invalid.
+    """
     console = Console(stderr=True)
     result = None
     try:
-        scenario = load(file, gateways)
+        scenario = load_scenario(file, gateways)
         if folder and folder.exists():
-            raise RuntimeError(f"{folder}: is there already")
+            raise RuntimeError(f"{folder}: already exists, --folder needs a new one")
         with (
             tempfile.TemporaryDirectory(prefix="rig-") as scratch,
             Progress(console=console, transient=True) as progress,
         ):
-            at = folder.resolve() if folder else Path(scratch)
-            this = Program.of(program.resolve())
-            next_one = Program.of(following.resolve()) if following else again(this, Path(scratch) / "next")
-            result = asyncio.run(play(scenario, at, seed, this, next_one, progress))
+            bench_folder = folder.resolve() if folder else Path(scratch)
+            first_program = Program.of(program.resolve())
+            next_program = (
+                Program.of(next_folder.resolve())
+                if next_folder
+                else linked_copy(first_program, Path(scratch) / "next")
+            )
+            result = asyncio.run(
+                run_scenario(scenario, bench_folder, seed, first_program, next_program, progress)
+            )
     except KeyboardInterrupt:
-        console.print("stopped", style="red")
+        console.print("interrupted; the run has no result", style="red")
     except (WorldError, OSError, RuntimeError, TimeoutError, KeyError, ValueError) as error:
-        console.print(f"no rig: {error or type(error).__name__}", style="red", markup=False)
+        console.print(
+            f"the scenario could not be run: {error or type(error).__name__}", style="red", markup=False
+        )
     if result is None:
-        sys.exit(NO_RIG)
-    report(result, scenario, as_json)
-    sys.exit(NO_RIG if result.faults else KEPT if result.verdict.kept else BROKEN)
-
-
-def again(program: Program, folder: Path) -> Program:
-    """The same program from another folder."""
+        sys.exit(EXIT_NO_VALID_RUN)
+    print_result(result, scenario, as_json)
+    sys.exit(
+        EXIT_NO_VALID_RUN
+        if result.faults
+        else EXIT_RULES_KEPT
+        if result.verdict.all_rules_kept
+        else EXIT_RULE_BROKEN
+    )
+
+
+def linked_copy(program: Program, folder: Path) -> Program:
+    """The same program in a new folder, by symbolic links."""
     folder.mkdir()
     for name in (package_in(program.folder), ".venv"):
         if (program.folder / name).exists():
@@ -172,28 +219,28 @@
     return Program(folder, program.command)
 
 
-def report(result: Result, scenario: Scenario, as_json: bool) -> None:
-    """Print it."""
+def print_result(result: Result, scenario: Scenario, as_json: bool) -> None:
+    """Print a result as JSON, or as a table with the first breaches and the faults of the run."""
     if as_json:
         click.echo(msgspec.json.encode(result))
         return
     out = Console()
-    out.print(table(result, scenario))
-    for text in [f"broken: {told}" for told in result.verdict.told[:10]] + result.faults:
+    out.print(result_table(result, scenario))
+    for text in [f"rule broken: {breach}" for breach in result.verdict.breaches[:10]] + result.faults:
         out.print(text, style="red", markup=False)
 
 
 @main.command(name="judge")
 @click.argument("history", type=click.Path(path_type=Path))
 def judge_file(history: Path) -> None:
-    """Judge a history that was kept. Exit codes as of ``run``."""
+    """Judge the stored file HISTORY and print the verdict as JSON. The exit codes are those of ``run``."""
     try:
-        verdict = judge(read(history))
+        verdict = judge(read_history(history))
     except (OSError, ValueError, msgspec.MsgspecError) as error:
-        click.echo(f"no history: {error}", err=True)
-        sys.exit(NO_RIG)
+        click.echo(f"{history}: can't be judged: {error}", err=True)
+        sys.exit(EXIT_NO_VALID_RUN)
     click.echo(msgspec.json.encode(verdict))
-    sys.exit(KEPT if verdict.kept else BROKEN)
+    sys.exit(EXIT_RULES_KEPT if verdict.all_rules_kept else EXIT_RULE_BROKEN)
 
 
 if __name__ == "__main__":
--- a/quota_gateway/fault_bench/bench.py
+++ b/quota_gateway/fault_bench/bench.py
@@ -1,6 +1,8 @@
-"""Everything around N gateways, put together, and taken down whatever happens.
+"""The fault bench: starts gateways as processes with all that surrounds them, and always stops them again.
 
-Each bench has a loopback address of its own, by its process's id, so that several run side by side.
+Around the gateways are stand-ins for servers, discovery and platform, a load balancer, clients, and links
+between all of them. Each bench has its own loopback address, derived from its process's id, so that several
+can run at the same time.
 """
 
 from __future__ import annotations
@@ -18,8 +20,7 @@
 
 from quota_gateway import api
 from quota_gateway.fault_bench import records
-from quota_gateway.fault_bench.history import History
-from quota_gateway.fault_bench.history import read as read_history
+from quota_gateway.fault_bench.history import History, read_history
 from quota_gateway.fault_bench.load import LoadGenerator
 from quota_gateway.fault_bench.load_balancer import LoadBalancer
 from quota_gateway.fault_bench.platform import Platform
@@ -31,22 +32,22 @@
 from quota_gateway.settings_reader import settings_document
 from quota_gateway.simulation.models import Server
 
-READY_S = 30.0  # for all gateways to serve
-RECORDED_DELAY_MS = 20.0  # of the loop: a shorter one is not recorded
+READY_TIMEOUT_S = 30.0  # for all gateways to serve
+MIN_RECORDED_DELAY_MS = 20.0  # shorter delays of the event loop are not recorded
 POLL_INTERVAL_S = 0.02
-# Who calls at a gateway's first and second admin endpoint, whichever process is the newest.
+# Callers of a gateway's first and second admin endpoint, whichever of its processes is the newest.
 ADMIN_CALLERS = ("doors-0", "doors-1")
-BENCHES = count()  # of this process
+BENCH_NUMBERS = count()  # within this process
 
 
 def own_host() -> str:
-    """A loopback address that no other living bench has: by the process's id and the bench's number in it."""
-    number = (os.getpid() * 4 + next(BENCHES) % 4) & 0x3FFFFF
+    """A loopback address of this bench alone, by the process's id and the bench's number within it."""
+    number = (os.getpid() * 4 + next(BENCH_NUMBERS) % 4) & 0x3FFFFF
     return f"127.{64 + (number >> 16)}.{number >> 8 & 255}.{number & 255}"
 
 
 class FaultBench:
-    """``async with FaultBench(...)``: processes are started on entering, and ended on leaving."""
+    """Use it as ``async with FaultBench(...)``: processes are started on entering and ended on leaving."""
 
     def __init__(
         self,
@@ -67,10 +68,10 @@
         self.random = Random(seed)
         self.tasks: list[asyncio.Task[None]] = []
 
-    def _port(self) -> Address:
+    def _next_address(self) -> Address:
         return self.host, next(self.ports)
 
-    def _draw(self, stream: int) -> np.random.Generator:
+    def _generator(self, stream: int) -> np.random.Generator:
         return np.random.default_rng([self.seed, stream])
 
     async def __aenter__(self) -> Self:
@@ -79,8 +80,8 @@
         self.history = History(self.folder / "history.jsonl")
         self.history.add(records.Header(self.clock.now, self.seed, self.scenario))
         try:
-            await self._stand_ins()
-            await self._gateways()
+            await self._start_stand_ins()
+            await self._start_gateways()
         except BaseException:
             await self._close()
             raise
@@ -89,17 +90,17 @@
     async def __aexit__(self, *_: object) -> None:
         await self._close()
 
-    # ---- What is around
+    # ---- Servers and discovery
 
-    async def _stand_ins(self) -> None:
+    async def _start_stand_ins(self) -> None:
         world = self.scenario.world
         meters = Meters(world, self.clock)
-        speeds = self._draw(3)
+        speeds = self._generator(3)
         self.discovery = Discovery(
             self.clock,
             self.history,
             world.discovery_delay_ms,
-            self._draw(4),
+            self._generator(4),
             lambda gateway, server: self.links[f"{gateway}>{server}"].listen_address,
         )
         for number, name in enumerate(self.scenario.servers(), 1):
@@ -107,25 +108,25 @@
             speed = float(speeds.uniform(machines.min_speed, machines.max_speed))
             entry = api.ServerEntry(number, world.zones[number % len(world.zones)])
             model = Server(self.clock, machines, entry, speed)
-            server = StandInServer(name, model, meters, self.history, self._draw(100 + number))
+            server = StandInServer(name, model, meters, self.history, self._generator(100 + number))
             self.servers[name] = server
             self.announce(server)
-            at = self._port()
-            await server.listen(at)
+            address = self._next_address()
+            await server.listen(address)
             for gateway in self.scenario.gateways():
-                await self._link(f"{gateway}>{name}", at)
-        at = self._port()
-        await self.discovery.listen(at)
+                await self._open_link(f"{gateway}>{name}", address)
+        address = self._next_address()
+        await self.discovery.listen(address)
         for gateway in self.scenario.gateways():
-            await self._link(f"{gateway}>discovery", at)
+            await self._open_link(f"{gateway}>discovery", address)
 
-    async def _link(self, name: str, target: Address) -> Link:
-        link = self.links[name] = Link(name, self._port(), target, self.random)
+    async def _open_link(self, name: str, target: Address) -> Link:
+        link = self.links[name] = Link(name, self._next_address(), target, self.random)
         await link.listen()
         return link
 
     def announce(self, server: StandInServer) -> None:
-        """Record a server as it is now, and list it so at discovery."""
+        """Record a server's current state, and publish it through discovery."""
         model = server.model
         state = model.entry.state.value
         started = model.started
@@ -135,43 +136,45 @@
         self.discovery.set(server.name, model.entry, started)
 
     def set_state(self, server: StandInServer, state: api.ServerState) -> None:
-        """A server drains, or is back."""
+        """Change a server's state, for instance to draining, and announce it."""
         server.model.entry = replace(server.model.entry, state=state)
         self.announce(server)
 
     # ---- The gateways
 
-    async def _gateways(self) -> None:
-        """Put the gateways behind their links, with everybody who calls at them, and start them."""
+    async def _start_gateways(self) -> None:
+        """Set up gateways, links, platform, load balancer and load generator; start the gateways."""
         for number, name in enumerate(self.scenario.gateways()):
-            self.managed_gateways[name] = await self._gateway(name, number)
+            self.managed_gateways[name] = await self._create_gateway(name, number)
         admin_links = {
             name: [self.links[f"{caller}>{name}"] for caller in ADMIN_CALLERS]
             for name in self.managed_gateways
         }
         self.platform = Platform(self.managed_gateways, admin_links)
-        await self.platform.listen((await self._link("controller>platform", self._port())).target)
+        await self.platform.listen(
+            (await self._open_link("controller>platform", self._next_address())).target
+        )
         client_links = {name: self.links[f"clients>{name}"] for name in self.managed_gateways}
         self.load_balancer = LoadBalancer(client_links, self.clock)
         self.load = LoadGenerator(
             self.scenario, client_links, self.load_balancer, self.clock, self.history, self.seed
         )
         self.tasks.append(asyncio.get_running_loop().create_task(self._watch_loop()))
-        await self._start()
-
-    async def _gateway(self, name: str, number: int) -> ManagedGateway:
-        """A gateway with its links and its configuration; its process is started later."""
-        listen = self._port()
-        admin_addresses = [self._port(), self._port()]
-        await self._link(f"clients>{name}", listen)
-        newest = await self._link(f"doors>{name}", admin_addresses[0])
+        await self._start_processes()
+
+    async def _create_gateway(self, name: str, number: int) -> ManagedGateway:
+        """Set up a gateway's links and configuration, without starting its process."""
+        listen = self._next_address()
+        admin_addresses = [self._next_address(), self._next_address()]
+        await self._open_link(f"clients>{name}", listen)
+        newest_link = await self._open_link(f"doors>{name}", admin_addresses[0])
         for caller, admin_address in zip(ADMIN_CALLERS, admin_addresses, strict=True):
-            await self._link(f"{caller}>{name}", admin_address)
+            await self._open_link(f"{caller}>{name}", admin_address)
         document = {
             "name": name,
-            "listen": _text(listen),
-            "discovery": _text(self.links[f"{name}>discovery"].listen_address),
-            "admin": _text(admin_addresses[0]),
+            "listen": _address_text(listen),
+            "discovery": _address_text(self.links[f"{name}>discovery"].listen_address),
+            "admin": _address_text(admin_addresses[0]),
             "seed": f"{self.seed * 1000 + number:016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": self.discovery.document(name, list(self.servers), True),
@@ -182,64 +185,66 @@
             self.folder / name,
             document,
             admin_addresses,
-            newest,
+            newest_link,
             self.clock,
             self.history,
             self.program,
         )
 
-    async def _start(self) -> None:
-        """Start all gateways and wait until they serve. Raises RuntimeError or TimeoutError."""
+    async def _start_processes(self) -> None:
+        """Start all gateways' processes and wait until they serve. Raises RuntimeError or TimeoutError."""
         processes = [await managed.start() for managed in self.managed_gateways.values()]
-        async with asyncio.timeout(READY_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             pairs = zip(self.managed_gateways.values(), processes, strict=True)
             up = await asyncio.gather(*(managed.ready(process) for managed, process in pairs))
         failed = [name for name, is_up in zip(self.managed_gateways, up, strict=True) if not is_up]
         if failed:
             raise RuntimeError(
-                f"no start: {', '.join(failed)}: {self.managed_gateways[failed[0]].log()[-400:]}"
+                f"gateways ended before they were ready: {', '.join(failed)}; end of the log of the first: "
+                f"{self.managed_gateways[failed[0]].log()[-400:]}"
             )
         await self.until(lambda: all(self.load_balancer.is_up(name) for name in self.managed_gateways))
 
     async def _watch_loop(self) -> None:
-        """Record when the bench itself is late: no gateway on this machine could be quicker."""
+        """Record delays of the bench's own event loop: no gateway on this machine could be quicker."""
         loop = asyncio.get_running_loop()
         while True:
             due_s = loop.time() + POLL_INTERVAL_S
             await asyncio.sleep(POLL_INTERVAL_S)
             late_ms = 1000.0 * (loop.time() - due_s)
-            if late_ms > RECORDED_DELAY_MS:
+            if late_ms > MIN_RECORDED_DELAY_MS:
                 self.history.add(records.LoopDelayed(self.clock.now, late_ms))
 
-    async def until(self, true: Callable[[], bool], seconds: float = READY_S) -> None:
-        """Wait for something to have come about. Raises TimeoutError."""
+    async def until(self, condition: Callable[[], bool], seconds: float = READY_TIMEOUT_S) -> None:
+        """Wait until a condition holds. Raises TimeoutError after ``seconds``."""
         async with asyncio.timeout(seconds):
-            while not true():
+            while not condition():
                 await asyncio.sleep(POLL_INTERVAL_S / 2.0)
 
     async def call_admin(self, gateway: str, line: str) -> str:
-        """A call at a gateway's admin endpoint, over its link."""
+        """Send a command to a gateway's admin endpoint, over its link; the answer is empty if none comes."""
         return await call(self.links[f"doors>{gateway}"].listen_address, line)
 
     # ---- The end
 
     def verdict(self) -> Verdict:
-        """By the history so far, which ends here."""
+        """Close the history and judge it."""
         self.history.close()
         return judge(read_history(self.history.path))
 
-    def sums(self, verdict: Verdict) -> list[str]:
-        """Where the referee's counts are not what the clients counted; empty if they are."""
+    def count_mismatches(self, verdict: Verdict) -> list[str]:
+        """Describe where the verdict's counts differ from those of the clients; empty if they agree."""
         counted = {outcome.value: total for outcome, total in self.load.outcomes.items() if total}
         requests = self.load.requests_total
-        faults = []
-        if requests != verdict.asked or sum(counted.values()) != verdict.asked:
-            faults.append(
-                f"asked {requests}, came to {sum(counted.values())}, in the history {verdict.asked}"
+        mismatches = []
+        if requests != verdict.requests_total or sum(counted.values()) != verdict.requests_total:
+            mismatches.append(
+                f"clients sent {requests} requests and counted {sum(counted.values())} outcomes, "
+                f"but the history has {verdict.requests_total} requests"
             )
         if {name: total for name, total in verdict.outcomes.items() if total} != counted:
-            faults.append(f"clients counted {counted}, the history has {verdict.outcomes}")
-        return faults
+            mismatches.append(f"clients counted outcomes {counted}, but the history has {verdict.outcomes}")
+        return mismatches
 
     async def _close(self) -> None:
         self.history.close()
@@ -261,6 +266,6 @@
             self.discovery.close()
 
 
-def _text(address: Address) -> str:
+def _address_text(address: Address) -> str:
     host, port = address
     return f"{host}:{port}"
--- a/quota_gateway/fault_bench/fault_windows.py
+++ b/quota_gateway/fault_bench/fault_windows.py
@@ -1,4 +1,4 @@
-"""Which faults were on at which gateway and when, and what they excuse."""
+"""The time windows in which faults were active at each gateway, and which rule breaches they excuse."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class Excuse(Enum):
-    """What a fault excuses in a request that was in flight meanwhile; the value is the report's word."""
+    """What a fault excuses for requests in flight during it; the values are keys of the verdict's JSON."""
 
-    LOST = "lost"
-    LATE = "late"
+    LOST = "lost"  # the request got no reply
+    LATE = "late"  # the reply came after the deadline
 
 
 LOST_OR_LATE = frozenset((Excuse.LOST, Excuse.LATE))
 LOST = frozenset((Excuse.LOST,))
 LATE = frozenset((Excuse.LATE,))
-EXCUSES: dict[str, frozenset[Excuse]] = {  # of faults at the gateway, or on its clients' link
+EXCUSES: dict[str, frozenset[Excuse]] = {  # by the action of a fault at the gateway or on its clients' link
     "kill": LOST_OR_LATE,
     "stop": LOST_OR_LATE,
     "memory": LOST_OR_LATE,
@@ -32,13 +32,13 @@
     "cut": LOST,
     "refuse": LOST,
 }
-# Requests that are sent so long after a fault are excused as well: what it spoilt is noticed late.
+# Requests sent this soon after the end of a fault are excused too: some of its damage shows only later.
 AFTERMATH_MS = 1500.0
-CLIENTS = "clients"  # the party whose links to the gateways count
+CLIENTS = "clients"  # faults of the links from this party to the gateways excuse the gateways
 
 
 class FaultWindow(NamedTuple):
-    """A fault at a gateway, and from when to when it was on."""
+    """A fault at a gateway, and when it began and ended."""
 
     action: str
     begin_ms: float
@@ -46,14 +46,17 @@
 
 
 class FaultWindows:
-    """The faults that gateways are excused for. Towards servers and discovery a gateway has to cope."""
+    """Collects the faults that excuse a gateway.
+
+    Faults on its links to servers and discovery excuse nothing: the gateway has to cope with them.
+    """
 
     def __init__(self) -> None:
         self._windows: dict[str, list[FaultWindow]] = {}  # by gateway
-        self._open: dict[tuple[int, str], int] = {}  # by step and target: which of the gateway's windows
+        self._open: dict[tuple[int, str], int] = {}  # by step and target: index in the gateway's list
 
     def record(self, step: StepCarriedOut) -> None:
-        """Take note of a step that is carried out, or undone."""
+        """Open a window for a fault that is carried out, or close that of one that is undone."""
         if step.action not in EXCUSES:
             return
         for target in step.targets:
@@ -68,7 +71,8 @@
     def _begin(self, step: StepCarriedOut, target: str, gateway: str) -> None:
         windows = self._windows.setdefault(gateway, [])
         self._open[step.number, target] = len(windows)
-        end_ms = step.time_ms if step.action == "kill" else inf  # a kill's is moved on to the new start
+        # The end of a kill's window moves to the restart, if there is one.
+        end_ms = step.time_ms if step.action == "kill" else inf
         windows.append(FaultWindow(step.action, step.time_ms, end_ms))
 
     def _close(self, step: StepCarriedOut, target: str, gateway: str) -> None:
@@ -78,11 +82,11 @@
             self._windows[gateway][index] = FaultWindow(step.action, begin_ms, step.time_ms)
 
     def actions_at(self, gateway: str) -> set[str]:
-        """The excusing faults that a gateway has had so far, also those that are over."""
+        """The excusing faults of a gateway so far, including those that are over."""
         return {window.action for window in self._windows.get(gateway, ())}
 
     def is_excused(self, gateway: str, sent_ms: float, ended_ms: float, excuse: Excuse) -> bool:
-        """Whether a fault excuses a request that was in flight there from one time to the other."""
+        """Whether a fault excuses a request that was in flight from ``sent_ms`` to ``ended_ms``."""
         return any(
             excuse in EXCUSES[window.action]
             and window.begin_ms <= ended_ms
@@ -92,7 +96,7 @@
 
 
 def _gateway_of(target: str) -> str | None:
-    """The gateway that a step's target is, or whose clients' link it is; None for other links."""
+    """The gateway of a target: the target itself, or the end of a link from clients; None for other links."""
     caller, arrow, called = target.partition(">")
     if not arrow:
         return target
--- a/quota_gateway/fault_bench/history.py
+++ b/quota_gateway/fault_bench/history.py
@@ -1,4 +1,4 @@
-"""The history of a play: a file of records, a JSON object a line."""
+"""The history of a run: a file of records, with one JSON object per line."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from quota_gateway.fault_bench.records import AnyRecord
 
-BUFFER_BYTES = 64 * 1024  # held before they are written
+BUFFER_BYTES = 64 * 1024  # buffered in memory before they are written
 
 
 class History:
-    """Writes records, in the order of their times."""
+    """Writes records to a file, in the order of their times."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -22,7 +22,7 @@
         self._buffer = bytearray()
 
     def add(self, record: AnyRecord) -> None:
-        """Write, or hold for a while; nothing once it is closed."""
+        """Append a record to the buffer, and flush a full buffer; ignored once the file is closed."""
         if self._file.closed:
             return
         self._buffer += self._encoder.encode(record) + b"\n"
@@ -30,20 +30,25 @@
             self.flush()
 
     def flush(self) -> None:
-        """Write what is held."""
+        """Write the buffered records."""
         self._file.write(self._buffer)
         self._file.flush()
         self._buffer.clear()
 
     def close(self) -> None:
-        """At the end; once is enough."""
+        """Flush and close the file; further calls do nothing."""
         if not self._file.closed:
             self.flush()
             self._file.close()
 
 
-def read(path: Path) -> Iterator[AnyRecord]:
-    """The records of a file; an incomplete last line is passed over. Raises msgspec.MsgspecError."""
+def read_history(path: Path) -> Iterator[AnyRecord]:
+    """Yield the records of a file; an incomplete last line is skipped.
+
+    Raises:
+        OSError: the file can't be read.
+        msgspec.MsgspecError: a line is not a record.
+    """
     decoder = msgspec.json.Decoder(AnyRecord)
     with path.open("rb") as file:
         for line in file:
--- a/quota_gateway/fault_bench/records.py
+++ b/quota_gateway/fault_bench/records.py
@@ -1,7 +1,8 @@
-"""What clients, servers, discovery and the bench itself saw, as records; the referee reads nothing else.
+"""The records of a history: what clients, servers, discovery and the fault bench itself observed.
 
-Times are milliseconds since the bench's beginning, by one clock for all. Keys and tags of the stored JSON are
-those of earlier versions.
+The referee judges a run by these records alone. Times are milliseconds since the bench started, all by the
+same clock. The keys and tags of the stored JSON stay those of earlier versions, so that old histories can
+still be read.
 """
 
 from __future__ import annotations
@@ -19,20 +20,20 @@
     SERVED = "ok"
     REJECTED = "busy"
     FAILED = "error"
-    CONNECTION_ENDED = "cut"  # before its reply
-    NO_REPLY = "none"  # until well after its deadline
-    NOT_ACCEPTED = "unheard"  # nobody accepted the connection
-    FOREIGN_VALUE = "foreign"  # a value that is not this request's
+    CONNECTION_ENDED = "cut"  # its connection ended before the reply
+    NO_REPLY = "none"  # its client gave it up, well after its deadline
+    NOT_ACCEPTED = "unheard"  # the connection to the gateway was not accepted
+    FOREIGN_VALUE = "foreign"  # the reply carries a value that is not this request's
 
 
 class Record(Struct, tag_field="what", frozen=True, omit_defaults=True, rename={"time_ms": "t"}):
-    """Something that was seen at a time."""
+    """An observation and when it was made."""
 
     time_ms: float
 
 
 class Header(Record, tag="rig", frozen=True):
-    """The first record."""
+    """The first record of a history: what was run."""
 
     seed: int
     scenario: Scenario
@@ -51,9 +52,9 @@
         "idempotency_key": "key",
     },
 ):
-    """A client begins to write a request; latency counts from the intended moment.
+    """A client begins to write a request; its latency counts from ``intended_ms``.
 
-    A client's retries of the same operation are requests of their own.
+    Each retry of an operation is a request of its own, with the same ``operation_id``.
     """
 
     request_id: str
@@ -69,26 +70,26 @@
 
 
 class RequestResent(Record, tag="resent", frozen=True, rename={"request_id": "id"}):
-    """The connection ended first, and its client writes the request once more, on a new one."""
+    """A request's connection ended before the reply; its client sends it once more on a new connection."""
 
     request_id: str
 
 
 class RequestEnded(Record, tag="answered", frozen=True, rename={"request_id": "id", "outcome": "how"}):
-    """How a request ended."""
+    """A request has ended for its client, with or without a reply."""
 
     request_id: str
     outcome: RequestOutcome
 
 
 class UnexpectedReply(Record, tag="extra", frozen=True):
-    """A reply that no request waited for, on a client's connection."""
+    """A client's connection received a reply that no request waited for."""
 
     gateway: str
 
 
 class AttemptArrived(Record, tag="arrived", frozen=True, rename={"request_id": "id", "work_ms": "work"}):
-    """A server has an attempt's last byte; the work is in ms of a core of speed 1."""
+    """A server has received an attempt completely; ``work_ms`` is its time on a core of speed 1."""
 
     request_id: str
     number: int
@@ -109,7 +110,7 @@
 
 
 class ServerChanged(Record, tag="server", frozen=True, rename={"started_ms": "started"}):
-    """A server's state, as it is from now on."""
+    """A server's state from now on."""
 
     server: str
     zone: str
@@ -127,7 +128,10 @@
 
 
 class ProcessChanged(Record, tag="process", frozen=True):
-    """A gateway's process: started, ready, ended (with its exit code, below 0 for a signal)."""
+    """A gateway's process has started, is ready, or has ended.
+
+    ``code``: the exit code of a process that has ended; negative: the signal that ended it.
+    """
 
     gateway: str
     pid: int
@@ -138,17 +142,17 @@
 class StepCarriedOut(
     Record, tag="act", frozen=True, rename={"action": "do", "targets": "on", "answer": "said"}
 ):
-    """A step of the timeline is carried out, or undone."""
+    """A step of the scenario's timeline is carried out, or undone."""
 
     number: int
     action: str
     targets: list[str]
     undone: bool = False
-    answer: str = ""  # of an admin endpoint that was called
+    answer: str = ""  # of the admin endpoint that the step called, or how a rollout ended
 
 
 class LoopDelayed(Record, tag="late", frozen=True, rename={"delay_ms": "by"}):
-    """The bench's own loop was late: a machine with too much to do."""
+    """The bench's own event loop was late, because the machine is overloaded."""
 
     delay_ms: float
 
--- a/quota_gateway/fault_bench/referee.py
+++ b/quota_gateway/fault_bench/referee.py
@@ -1,6 +1,7 @@
-"""The referee over a history: knows the rules and nothing of the program. The rules are the simulation's.
+"""Judges a history: finds each breach of the gateways' rules from what was observed outside the gateways.
 
-What a fault has done to a request is no fault of its gateway: ``fault_windows`` has what each excuses.
+The rules are those of the simulation's referee; nothing here depends on how the gateway works. A breach that
+an injected fault explains is not counted against the gateway: ``fault_windows`` has what each fault excuses.
 """
 
 from __future__ import annotations
@@ -20,49 +21,59 @@
 from quota_gateway.simulation.referee import ObservedRequest, Referee
 from quota_gateway.simulation.world import ANSWER_SLACK_MS, World
 
-SOCKETS_MS = 50.0  # every time limit is so much longer on sockets
-NOTIFIED_MS = 6000.0  # what discovery has to tell counts as told by then, whether it arrived or not
-RECENT_DELAYS = 50  # of the bench's loop that are looked at
-RECENT_DELAY_MS = 2000.0
-NOT_ENDED = "open"  # in a verdict, of requests whose end the history does not have
-
-
-class Verdict(Struct, frozen=True):
-    """What a play came to. ``outcomes`` add up to ``asked``."""
-
-    asked: int
+SOCKET_ALLOWANCE_MS = 50.0  # added to each of the simulation's time limits, as sockets take time
+# After this time a gateway counts as notified of a server's state, even if no notification has arrived.
+NOTIFICATION_LIMIT_MS = 6000.0
+MAX_RECENT_DELAYS = 50  # delays of the bench's event loop that are considered
+RECENT_DELAY_WINDOW_MS = 2000.0
+NOT_ENDED = "open"  # outcome in a verdict of requests whose end is not in the history
+
+
+class Verdict(
+    Struct,
+    frozen=True,
+    rename={
+        "requests_total": "asked",
+        "beyond_quota_units": "beyond",
+        "breaches": "told",
+        "max_loop_delay_ms": "late_ms",
+    },
+):
+    """The result of judging a run. The counts in ``outcomes`` add up to ``requests_total``."""
+
+    requests_total: int
     outcomes: dict[str, int]
-    excused: dict[str, int]
-    attempts: int
-    beyond: float  # units that were sent on beyond quotas
-    broken: dict[str, int]
-    told: list[str]
-    late_ms: float  # by which the bench itself was late, at the most
+    excused: dict[str, int]  # requests that a fault excuses, by kind
+    attempts: int  # that arrived at servers
+    beyond_quota_units: float  # forwarded although the customer's quota was used up
+    broken: dict[str, int]  # breaches by rule
+    breaches: list[str]  # descriptions of the first ones
+    max_loop_delay_ms: float  # of the bench's own event loop
 
     @property
-    def kept(self) -> bool:
+    def all_rules_kept(self) -> bool:
         """Whether no rule was broken."""
         return not self.broken
 
 
 class HistoryClock:
-    """The clock of a history: as late as the record at hand."""
+    """A clock that stands at the time of the latest record processed."""
 
     def __init__(self) -> None:
         self.now = 0.0
 
     def after(self, delay: float, *_: object) -> None:
-        """Nothing runs here."""
+        """Ignored: no timers run while a history is judged."""
 
 
 class JudgedRequest:
-    """One request, as its client and the servers saw it."""
+    """A request, as its client and the servers saw it."""
 
     def __init__(self, sent: records.RequestSent, request_class: api.RequestClass) -> None:
         self.sent = sent
         name = f"{sent.request_id} at {sent.gateway}"
         self.judged = ObservedRequest(name, request_class, sent.time_ms, sent.deadline_ms, sent.units)
-        # The simulation's number of an attempt, by its server and its number there.
+        # By server and the attempt's number there: the attempt's number at the simulation's referee.
         self.attempt_numbers: dict[tuple[str, int], int] = {}
         self.arrived_attempts = 0
         self.outcome: RequestOutcome | None = None
@@ -76,7 +87,7 @@
 
 
 class HistoryReferee:
-    """Takes records in their order; ``verdict`` at the end."""
+    """Judges records one after the other, in the order of their times; ``verdict`` ends the judgement."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -87,7 +98,7 @@
         self.tariffs = {plan.name: plan for plan in world.plans}
         self.requests: dict[str, JudgedRequest] = {}
         self.servers: dict[str, Server] = {}
-        self.drained_ms: dict[tuple[str, str], float] = {}  # by gateway and server: notified since
+        self.drained_ms: dict[tuple[str, str], float] = {}  # by gateway and server: when it was notified
         self.quotas: dict[str, TokenBucket] = {}
         self.ceilings: dict[str, TokenBucket] = {}
         self.faults = FaultWindows()
@@ -111,22 +122,25 @@
             records.RequestResent: self._on_request_resent,
         }
 
-    def take(self, record: records.AnyRecord) -> None:
-        """The next record."""
+    def process(self, record: records.AnyRecord) -> None:
+        """Judge the next record."""
         self.clock.now = max(self.clock.now, record.time_ms)
         self.handlers[type(record)](record)
 
     # ---- Processes, servers, discovery
 
     def _on_process_changed(self, record: records.ProcessChanged) -> None:
-        """One that ends with an error has crashed, unless it was made to; one that hung may be ended."""
+        """A process that ends with an error has crashed, unless a fault made it end.
+
+        A process that was stopped looks hung, so it may be killed by a signal as well.
+        """
         if record.state != "ended":
             return
         self.process_ends.setdefault(record.gateway, []).append(record.time_ms)
         actions = self.faults.actions_at(record.gateway)
-        was_made_to = "memory" in actions or (record.code < 0 and actions & {"kill", "stop"})
-        if record.code and not was_made_to:
-            self.referee.breach("crash", f"{record.gateway} ended with {record.code}")
+        is_caused_by_fault = "memory" in actions or (record.code < 0 and actions & {"kill", "stop"})
+        if record.code and not is_caused_by_fault:
+            self.referee.breach("crash", f"a process of {record.gateway} ended with exit code {record.code}")
 
     def _on_server_changed(self, record: records.ServerChanged) -> None:
         number = int(record.server.rpartition("-")[2])
@@ -140,7 +154,7 @@
         else:
             for gateway in range(self.world.gateways):
                 pair = (f"g{gateway}", record.server)
-                self.drained_ms.setdefault(pair, record.time_ms + NOTIFIED_MS)
+                self.drained_ms.setdefault(pair, record.time_ms + NOTIFICATION_LIMIT_MS)
 
     def _on_gateway_notified(self, record: records.GatewayNotified) -> None:
         pair = (record.gateway, record.server)
@@ -153,12 +167,13 @@
         self.requests[record.request_id] = JudgedRequest(record, self.classes[record.class_name])
 
     def _on_unexpected_reply(self, record: records.UnexpectedReply) -> None:
-        self.referee.breach("answers", f"{record.gateway}: one that nobody asked for")
+        self.referee.breach("answers", f"{record.gateway}: a reply that no request waited for")
 
     def _on_request_resent(self, record: records.RequestResent) -> None:
-        """Judge what was forwarded before at the end.
+        """Note a request with earlier attempts, to be judged at the end of the history.
 
-        Only a process that has died may leave it so, and none that lives can know of it.
+        Only a process that has died may leave a forwarded request without a reply, and a process that lives
+        can't know of the attempts of one that died: so they don't count as copies of the resent request.
         """
         request = self.requests[record.request_id]
         if request.arrived_attempts:
@@ -169,7 +184,9 @@
         self.attempts += 1
         request = self.requests.get(record.request_id)
         if request is None:
-            self.referee.breach("attempts", f"{record.request_id} at {record.server}, which nobody asked")
+            self.referee.breach(
+                "attempts", f"{record.request_id} at {record.server}: no client has sent this request"
+            )
             return
         if request.arrived_attempts == 0:
             self._charge(request)
@@ -180,7 +197,9 @@
             request.judged,
             self.servers[record.server],
             record.work_ms,
-            None if drained_ms == inf else drained_ms + SOCKETS_MS + self._recent_delay_ms(record.time_ms),
+            None
+            if drained_ms == inf
+            else drained_ms + SOCKET_ALLOWANCE_MS + self._recent_delay_ms(record.time_ms),
             record.time_ms,
         )
 
@@ -202,7 +221,7 @@
             ceiling = self.ceilings.setdefault(
                 sent.customer, TokenBucket(tariff.ceiling_rate, tariff.ceiling_burst)
             )
-            slack = tariff.ceiling_slack + tariff.ceiling_rate * 3.0 * SOCKETS_MS / 1000.0
+            slack = tariff.ceiling_slack + tariff.ceiling_rate * 3.0 * SOCKET_ALLOWANCE_MS / 1000.0
             self.referee.ceiling_charged(request.judged, ceiling, slack, self.clock.now)
 
     def _on_request_ended(self, record: records.RequestEnded) -> None:
@@ -219,8 +238,8 @@
     def _judge_answer(self, request: JudgedRequest, record: records.RequestEnded) -> None:
         judged = request.judged
         if record.outcome is RequestOutcome.FOREIGN_VALUE:
-            self.referee.breach("answers", f"{judged.name}: another's value")
-        limit_ms = judged.deadline_ms + SOCKETS_MS + self._recent_delay_ms(record.time_ms)
+            self.referee.breach("answers", f"{judged.name}: the reply has the value of another request")
+        limit_ms = judged.deadline_ms + SOCKET_ALLOWANCE_MS + self._recent_delay_ms(record.time_ms)
         if record.time_ms > limit_ms + ANSWER_SLACK_MS and self._is_excused(
             request, record.time_ms, Excuse.LATE
         ):
@@ -230,15 +249,18 @@
         self.referee.answered(judged, record.outcome is RequestOutcome.REJECTED, record.time_ms)
 
     def _judge_lost(self, request: JudgedRequest, record: records.RequestEnded) -> None:
-        """No reply: a breach if it never came, or if the connection ended after an attempt had arrived."""
+        """A request without a reply.
+
+        It is a breach if the client gave it up, or if its connection ended after an attempt had arrived.
+        """
         request.judged.lost = True
         if self._is_excused(request, record.time_ms, Excuse.LOST):
             self.excused[Excuse.LOST.value] += 1
         elif record.outcome is RequestOutcome.NO_REPLY or request.arrived_attempts:
-            self.referee.breach("lost", f"{request.judged.name}: {record.outcome}")
+            self.referee.breach("lost", f"{request.judged.name}: no reply, outcome `{record.outcome}`")
 
     def _count_not_accepted(self, request: JudgedRequest, record: records.RequestEnded) -> None:
-        """Nobody took the request, so no rule is broken: its client may retry."""
+        """The connection was not accepted, so no rule is broken: the client may retry."""
         request.judged.lost = True
         if self._is_excused(request, record.time_ms, Excuse.LOST):
             self.excused[RequestOutcome.NOT_ACCEPTED.value] += 1
@@ -247,12 +269,15 @@
         return self.faults.is_excused(request.sent.gateway, request.sent.time_ms, ended_ms, excuse)
 
     def _recent_delay_ms(self, now_ms: float) -> float:
-        """By how much the bench was late lately: no gateway on this machine could be quicker."""
+        """The largest recent delay of the bench's event loop.
+
+        Gateways are allowed as much: no gateway on this machine could be quicker.
+        """
         return max(
             (
                 delay.delay_ms
-                for delay in self.loop_delays[-RECENT_DELAYS:]
-                if delay.time_ms >= now_ms - RECENT_DELAY_MS
+                for delay in self.loop_delays[-MAX_RECENT_DELAYS:]
+                if delay.time_ms >= now_ms - RECENT_DELAY_WINDOW_MS
             ),
             default=0.0,
         )
@@ -260,44 +285,49 @@
     # ---- The end
 
     def verdict(self) -> Verdict:
-        """The end of the history."""
+        """End the judgement, after the last record."""
         for request in self.requests.values():
             self.referee.check_answered(request.judged)
         for resent in self.resent_after_arrival:
             self._judge_resent(resent)
         outcomes = Counter(str(request.outcome or NOT_ENDED) for request in self.requests.values())
         return Verdict(
-            asked=len(self.requests),
+            requests_total=len(self.requests),
             outcomes=dict(outcomes),
             excused=dict(self.excused),
             attempts=self.attempts,
-            beyond=self.beyond_quota_units,
+            beyond_quota_units=self.beyond_quota_units,
             broken=dict(self.referee.broken),
-            told=self.referee.breach_messages,
-            late_ms=max((delay.delay_ms for delay in self.loop_delays), default=0.0),
+            breaches=self.referee.breach_messages,
+            max_loop_delay_ms=max((delay.delay_ms for delay in self.loop_delays), default=0.0),
         )
 
     def _judge_resent(self, resent: ResentRequest) -> None:
-        """Forwarded, and then its connection was closed: only the end of its process excuses that."""
+        """A forwarded request's connection ended without a reply.
+
+        Only the end of its gateway's process, or another fault that excuses lost requests, allows that.
+        """
         request = resent.request
         ends_ms = self.process_ends.get(request.sent.gateway, ())
         has_died = any(
             request.sent.time_ms <= end_ms <= resent.resent_ms + AFTERMATH_MS for end_ms in ends_ms
         )
         if not has_died and not self._is_excused(request, resent.resent_ms, Excuse.LOST):
-            self.referee.breach("lost", f"{request.judged.name}: sent on, then its connection was closed")
+            self.referee.breach(
+                "lost", f"{request.judged.name}: forwarded, then its connection was closed without a reply"
+            )
 
 
 def judge(history: Iterable[records.AnyRecord]) -> Verdict:
-    """The verdict over a history. Raises ValueError where it has no header."""
+    """Judge a history. Raises ValueError where it does not begin with a header."""
     referee: HistoryReferee | None = None
     for record in history:
         if isinstance(record, records.Header):
             referee = HistoryReferee(record.scenario.world)
         elif referee is None:
-            raise ValueError("no history: the first record is no header")
+            raise ValueError("history has no header: its first record is another one")
         else:
-            referee.take(record)
+            referee.process(record)
     if referee is None:
-        raise ValueError("no history: it is empty")
+        raise ValueError("history has no header: it is empty")
     return referee.verdict()
--- a/quota_gateway/fault_bench/rollouts.py
+++ b/quota_gateway/fault_bench/rollouts.py
@@ -1,7 +1,7 @@
-"""Rollouts on the fault bench: plans over its gateways, and the controllers that carry them out.
+"""Rollouts on the fault bench: writes plans for its gateways, and starts the controllers that carry them out.
 
-A controller is a process of its own, as on the operators' side. It sees admin endpoints and platform over
-links like any other party's, and ends with the bench.
+A controller is a separate process, as it is for operators. It reaches the gateways' admin endpoints and the
+platform over links, which faults can disturb like all others, and ends with the bench.
 """
 
 from __future__ import annotations
@@ -29,19 +29,19 @@
 
 CONTROLLER = ("-m", "quota_gateway.rollout")
 LAUNCH = DIE_WITH_PARENT + "os.execv(sys.executable, [sys.executable, *sys.argv[2:]])"
-MAX_LINE_CHARACTERS = 300  # of a controller's last line that are passed on
-NO_GATEWAY = -1  # in the history, of an act that is no gateway's
+MAX_LINE_CHARACTERS = 300  # of a controller's last log line in a report
+NO_STEP = -1  # step number in the history's record of a rollout's end, which is not a step
 ROOT = Path(__file__).parents[2]
 Fields = dict[str, Any]
 
 
 def changed_document(document: Fields, changes: Mapping[str, Any]) -> Fields:
-    """A configuration with other values at dotted paths, such as ``settings.tariffs.0.refill``.
+    """A copy of a configuration with changed values at dotted paths, such as ``settings.tariffs.0.refill``.
 
     Raises:
-        KeyError: there is no such field.
-        IndexError: there is no such element.
-        ValueError: an element's number is none.
+        KeyError: a path names a field that does not exist.
+        IndexError: a path names an element that a list does not have.
+        ValueError: a path has something else than a number for a list's element.
     """
     copy: Fields = json.loads(json.dumps(document))
     for path, value in changes.items():
@@ -50,13 +50,13 @@
         for key in parents:
             node = node[int(key)] if isinstance(node, list) else node[key]
         if isinstance(node, dict) and last not in node:
-            raise KeyError(f"{path}: no such field")
+            raise KeyError(f"{path}: the configuration has no such field")
         node[int(last) if isinstance(node, list) else last] = value
     return copy
 
 
 class Rollouts:
-    """Plans by name, each in a file beside its journal, and the controllers that run them."""
+    """Holds plans by name, each in a file beside its journal, and the controllers that carry them out."""
 
     def __init__(self, bench: FaultBench, folder: Path) -> None:
         self.bench = bench
@@ -68,7 +68,7 @@
     # ---- Plans
 
     def write_settings_plan(self, name: str, changes: Mapping[str, Any], fields: Fields) -> dict[str, bytes]:
-        """Write a plan that changes all gateways' settings; their new files' contents."""
+        """Write a plan that changes all gateways' settings; returns their new configuration files."""
         targets = []
         files = {}
         for gateway, managed in self.bench.managed_gateways.items():
@@ -80,7 +80,7 @@
         return files
 
     def write_program_plan(self, name: str, after: Program, before: Program, fields: Fields) -> None:
-        """Write a plan that changes all gateways' program."""
+        """Write a plan that replaces all gateways' program ``before`` by ``after``."""
         platform = "{}:{}".format(*self.bench.links["controller>platform"].listen_address)
         client = (sys.executable, "-m", "quota_gateway.fault_bench.platform_client", platform)
         change = {
@@ -105,7 +105,7 @@
         self._write_plan(name, change | fields, targets)
 
     def _admin_address(self, gateway: str, caller: str) -> str:
-        """A gateway's admin address, as a caller from outside knows it."""
+        """The address of a gateway's admin endpoint on the link from ``caller``."""
         return "{}:{}".format(*self.bench.links[f"{caller}>{gateway}"].listen_address)
 
     def _write_plan(self, name: str, fields: Fields, targets: Sequence[Target]) -> None:
@@ -116,7 +116,7 @@
         self.plans[name] = path
 
     def state(self, name: str) -> RolloutState:
-        """What a plan's journal says; as if nothing had begun where there is none."""
+        """The state of a rollout by its journal; the initial state if there is no journal."""
         try:
             return journal.read(self.plans[name].with_suffix(".journal"))
         except OSError:
@@ -130,7 +130,7 @@
         command: str = "start",
         program: Sequence[str] = CONTROLLER,
     ) -> asyncio.subprocess.Process:
-        """Start a process that carries a plan out, or that leaves a command for the one that does."""
+        """Start a controller: it carries out a plan, or leaves a command for the controller that does."""
         with (self.folder / "controller.log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -150,34 +150,34 @@
         return process
 
     async def run(self, name: str) -> None:
-        """Begin a plan, or go on with it; its end stands in the history."""
+        """Start or continue a rollout until its controller ends, and record the end in the history."""
         process = await self.start_controller(self.plans[name])
         exit_code = await process.wait()
         state = self.state(name)
         end = f"{exit_code}: {state.outcome or state.rollback_reason}"
         self.bench.history.add(
-            records.StepCarriedOut(self.bench.clock.now, NO_GATEWAY, "rollout", [name], True, end)
+            records.StepCarriedOut(self.bench.clock.now, NO_STEP, "rollout", [name], True, end)
         )
 
     def signal_controllers(self, number: int) -> None:
-        """Send a signal to all controllers that live."""
+        """Send a signal to all running controllers."""
         for process in self.controllers:
             if process.returncode is None:
                 with suppress(ProcessLookupError):
                     process.send_signal(number)
 
     async def close(self) -> None:
-        """Kill all controllers that live, and wait for their ends."""
+        """Kill all running controllers, and wait until they have ended."""
         self.signal_controllers(signal.SIGKILL)
         for process in self.controllers:
             await process.wait()
 
     def last_line(self) -> str:
-        """The last line that a controller has logged."""
+        """The last line that a controller has logged, shortened."""
         return last_line(self.log())[:MAX_LINE_CHARACTERS]
 
     def log(self) -> str:
-        """All that the controllers have logged."""
+        """The log of all controllers."""
         path = self.folder / "controller.log"
         return path.read_text(errors="replace") if path.exists() else ""
 
@@ -191,7 +191,7 @@
 
 
 def _toml(value: Any) -> str:
-    """A value on one line; tables inline."""
+    """A value as TOML on one line, with inline tables."""
     if isinstance(value, dict):
         return "{" + ", ".join(f"{key} = {_toml(item)}" for key, item in value.items()) + "}"
     if isinstance(value, list | tuple):
--- a/quota_gateway/fault_bench/timeline.py
+++ b/quota_gateway/fault_bench/timeline.py
@@ -1,4 +1,4 @@
-"""The timeline: carries out each step at its time and once its condition holds, and undoes it."""
+"""Carries out each step of a scenario at its time, once its condition holds, and undoes it later."""
 
 from __future__ import annotations
 
@@ -10,44 +10,48 @@
 from quota_gateway.fault_bench.processes import Program
 from quota_gateway.fault_bench.relay import Link
 from quota_gateway.fault_bench.rollouts import Rollouts
-from quota_gateway.fault_bench.scenario import CONDITION, CONTROLLER, OF_LINK, OF_SERVER, Step
+from quota_gateway.fault_bench.scenario import CONDITION, CONTROLLER, LINK_ACTIONS, SERVER_ACTIONS, Step
 from quota_gateway.fault_bench.undo import Undo, undo_nothing
 
-POLL_INTERVAL_S = 0.005  # between two looks at a step's condition
+POLL_INTERVAL_S = 0.005  # between two checks of a step's condition
 
 
 class Timeline:
-    """Runs the steps of a scenario on a bench."""
+    """Runs the steps of a bench's scenario.
 
-    def __init__(self, bench: FaultBench, following: Program | None = None) -> None:
+    ``missed`` describes each step that was not carried out and each rollout that has not ended, once `finish`
+    has returned.
+    """
+
+    def __init__(self, bench: FaultBench, next_program: Program | None = None) -> None:
         self.bench = bench
         self.scenario = bench.scenario
         self.tasks: list[asyncio.Task[None]] = []
-        self.next = following or bench.program  # the version that rollouts of the program are to
+        self.next_program = next_program or bench.program  # the version that program rollouts install
         self.rollouts = Rollouts(bench, bench.folder / "rollouts")
-        self.controllers: dict[str, asyncio.Task[None]] = {}  # by rollout
-        self.waiting = set(range(len(self.scenario.steps)))  # numbers of steps yet to be carried out
+        self.rollout_tasks: dict[str, asyncio.Task[None]] = {}  # by rollout
+        self.pending_steps = set(range(len(self.scenario.steps)))  # numbers of steps yet to be carried out
         self.missed: list[str] = []
 
     def start(self) -> None:
-        """The first request is about to come."""
+        """Start the steps' clocks, right before the load starts."""
         loop = asyncio.get_running_loop()
         self.tasks = [loop.create_task(self._run(n, step)) for n, step in enumerate(self.scenario.steps)]
 
     async def finish(self) -> None:
-        """Nothing more is asked: steps that still wait for their moment are missed, the others are undone.
+        """End the timeline after the last request: wait for the steps that were begun, and for their undoing.
 
-        Raises what one of them raised.
+        Steps that are still pending are cancelled and count as missed. Raises the exception of a failed step.
         """
-        for number in self.waiting:
+        for number in self.pending_steps:
             self.tasks[number].cancel()
         self.missed = [
-            f"step {number}, {self.scenario.steps[number].do}, never came about: "
-            f"{self.scenario.steps[number].when or 'too late'}"
-            for number in sorted(self.waiting)
+            f"step {number}, {self.scenario.steps[number].do}, was not carried out: "
+            f"{self.scenario.steps[number].when or 'its time came after the end of the load'}"
+            for number in sorted(self.pending_steps)
         ]
         results = await asyncio.gather(*self.tasks, return_exceptions=True)
-        for name in self.controllers:
+        for name in self.rollout_tasks:
             state = self.rollouts.state(name)
             if not state.outcome:
                 self.missed.append(
@@ -58,40 +62,42 @@
                 raise result
 
     async def close(self) -> None:
-        """End them at once."""
+        """Cancel all steps and kill the rollouts' controllers."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         await self.rollouts.close()
-        await asyncio.gather(*self.controllers.values(), return_exceptions=True)
+        await asyncio.gather(*self.rollout_tasks.values(), return_exceptions=True)
 
     async def _run(self, number: int, step: Step) -> None:
         await asyncio.sleep(step.at_s)
-        while step.when and not self.holds(step.when):
+        while step.when and not self.condition_holds(step.when):
             await asyncio.sleep(POLL_INTERVAL_S)
-        self.waiting.discard(number)
-        on = self.scenario.targets(step) or list(step.on)
+        self.pending_steps.discard(number)
+        targets = self.scenario.targets(step) or list(step.on)
         if step.do == "partition":
-            on = [link.name for link in self.cut_by(step.groups)]
-        self._note(number, step, on)
-        undo = await self.carry_out(step, on, number)
+            targets = [link.name for link in self.links_between_groups(step.groups)]
+        self._record(number, step, targets)
+        undo = await self.carry_out(step, targets, number)
         if step.for_s:
             await asyncio.sleep(step.for_s)
             await undo()
-            self._note(number, step, on, undone=True)
+            self._record(number, step, targets, undone=True)
 
-    def _note(self, number: int, step: Step, on: list[str], undone: bool = False, said: str = "") -> None:
+    def _record(
+        self, number: int, step: Step, targets: list[str], undone: bool = False, answer: str = ""
+    ) -> None:
         self.bench.history.add(
-            records.StepCarriedOut(self.bench.clock.now, number, step.do, on, undone, said)
+            records.StepCarriedOut(self.bench.clock.now, number, step.do, targets, undone, answer)
         )
 
-    def holds(self, condition: str) -> bool:
-        """Whether "asked >= 400", "open g1 >= 5" or the like is true now."""
+    def condition_holds(self, condition: str) -> bool:
+        """Whether a condition such as "asked >= 400" or "open g1 >= 5" is true now."""
         match = CONDITION.fullmatch(condition)
         assert match
-        word = match[1]
+        figure = match[1]
         gateway = match[2]
-        least = int(match[3])
+        minimum = int(match[3])
         load = self.bench.load
         open_requests = load.open[gateway] if gateway else load.open.total()
         figures = {
@@ -100,43 +106,43 @@
             "asked": load.requests_total,
             "answered": load.requests_total - load.open.total(),
         }
-        return figures[word] >= least
+        return figures[figure] >= minimum
 
-    def cut_by(self, groups: tuple[tuple[str, ...], ...]) -> list[Link]:
-        """The links between parties of different groups; who is in none is cut off from nobody."""
-        group = {name: number for number, names in enumerate(groups) for name in names}
-        group |= {f"doors-{place}": group["doors"] for place in (0, 1) if "doors" in group}
+    def links_between_groups(self, groups: tuple[tuple[str, ...], ...]) -> list[Link]:
+        """The links between parties of different groups; a party in no group keeps all its links."""
+        group_of = {name: number for number, names in enumerate(groups) for name in names}
+        group_of |= {f"doors-{place}": group_of["doors"] for place in (0, 1) if "doors" in group_of}
         return [
             link
             for link in self.bench.links.values()
-            if len({group[end] for end in link.name.split(">") if end in group}) == 2
+            if len({group_of[end] for end in link.name.split(">") if end in group_of}) == 2
         ]
 
-    # ---- Acts
+    # ---- Actions
 
-    async def carry_out(self, step: Step, on: list[str], number: int = 0) -> Undo:
-        """Do it; what it gives undoes it."""
+    async def carry_out(self, step: Step, targets: list[str], number: int = 0) -> Undo:
+        """Carry out a step on its targets; returns the function that undoes it."""
         bench = self.bench
-        if step.do == "partition" or step.do in OF_LINK:
-            return await link_faults.carry_out(step, [bench.links[name] for name in on])
-        if step.do in OF_SERVER:
-            return server_faults.carry_out(step, [bench.servers[name] for name in on], bench)
+        if step.do == "partition" or step.do in LINK_ACTIONS:
+            return await link_faults.carry_out(step, [bench.links[name] for name in targets])
+        if step.do in SERVER_ACTIONS:
+            return server_faults.carry_out(step, [bench.servers[name] for name in targets], bench)
         if step.do in ("no-discovery", "skew"):
             return server_faults.disturb_discovery(step, bench.discovery)
         if step.do == "rollout":
-            for name in on:
-                self._begin(name)
+            for name in targets:
+                self._run_rollout(name)
             return undo_nothing
-        if on == [CONTROLLER]:
-            return self._controller(step)
+        if targets == [CONTROLLER]:
+            return self._signal_controllers(step)
         if step.do == "call":
-            return await self._call_admin(step, on, number)
-        return await self._disturb_processes(step, on)
+            return await self._call_admin(step, targets, number)
+        return await self._disturb_processes(step, targets)
 
     async def _call_admin(self, step: Step, gateways: list[str], number: int) -> Undo:
         for name in gateways:
             answer = await self.bench.call_admin(name, step.line)
-            self._note(number, step, [name], said=answer or "nothing")
+            self._record(number, step, [name], answer=answer or "nothing")
         return undo_nothing
 
     async def _disturb_processes(self, step: Step, gateways: list[str]) -> Undo:
@@ -150,27 +156,27 @@
 
     # ---- Rollouts
 
-    def _begin(self, name: str) -> None:
-        """Begin one, or go on with it; who carries it out may be killed and started again."""
-        rolling = next(one for one in self.scenario.rollouts if one.name == name)
+    def _run_rollout(self, name: str) -> None:
+        """Start a rollout, or continue it with a new controller after the previous one was killed."""
+        spec = next(rollout for rollout in self.scenario.rollouts if rollout.name == name)
         if name not in self.rollouts.plans:
-            if rolling.settings:
-                self.rollouts.write_settings_plan(name, rolling.settings, rolling.plan)
+            if spec.settings:
+                self.rollouts.write_settings_plan(name, spec.settings, spec.plan)
             else:
-                self.rollouts.write_program_plan(name, self.next, self.bench.program, rolling.plan)
+                self.rollouts.write_program_plan(name, self.next_program, self.bench.program, spec.plan)
         task = asyncio.get_running_loop().create_task(self.rollouts.run(name))
-        self.controllers[name] = task
+        self.rollout_tasks[name] = task
 
-    def _controller(self, step: Step) -> Undo:
-        running = [name for name, task in self.controllers.items() if not task.done()]
+    def _signal_controllers(self, step: Step) -> Undo:
+        running = [name for name, task in self.rollout_tasks.items() if not task.done()]
         self.rollouts.signal_controllers(signal.SIGKILL if step.do == "kill" else signal.SIGSTOP)
 
-        async def start_again() -> None:
+        async def resume_controllers() -> None:
             if step.do == "stop":
                 self.rollouts.signal_controllers(signal.SIGCONT)
                 return
             for name in running:
-                await self.controllers[name]
-                self._begin(name)
+                await self.rollout_tasks[name]
+                self._run_rollout(name)
 
-        return start_again
+        return resume_controllers
--- a/tests/test_fault_bench.py
+++ b/tests/test_fault_bench.py
@@ -1,4 +1,4 @@
-"""The fault bench: the referee sees each rule broken and no other; relays obey; processes end."""
+"""The fault bench: the referee reports exactly the broken rules, links apply faults, no process is left."""
 
 import asyncio
 import json
@@ -27,24 +27,23 @@
 )
 from quota_gateway.fault_bench import records
 from quota_gateway.fault_bench.bench import FaultBench, own_host
-from quota_gateway.fault_bench.history import History
-from quota_gateway.fault_bench.history import read as read_history
+from quota_gateway.fault_bench.history import History, read_history
 from quota_gateway.fault_bench.processes import Program
 from quota_gateway.fault_bench.referee import judge
 from quota_gateway.fault_bench.relay import Link, relayed_connection_of
-from quota_gateway.fault_bench.scenario import Scenario, Step, load
+from quota_gateway.fault_bench.scenario import Scenario, Step, load_scenario
 from quota_gateway.fault_bench.timeline import Timeline
 from quota_gateway.settings_reader import settings_document, settings_from
 from quota_gateway.simulation.world import ClassConfig, Machines, PlanConfig, World, WorldError
 
 
 def run(test):
-    """On the loop that the rig uses."""
+    """Run a coroutine on an event loop, as the fault bench does."""
     return asyncio.run(asyncio.wait_for(test, TEST_TIMEOUT_S))
 
 
 ROOT = Path(__file__).parent.parent
-FLEET = ROOT / "examples" / "fault_bench" / "fleet.toml"
+SCENARIO_FILE = ROOT / "examples" / "fault_bench" / "fleet.toml"
 WORLD = World(
     gateways=3,
     machines=Machines(4),
@@ -74,80 +73,106 @@
 # ---- The referee
 
 
-def asked(kind="read", t=1000.0, plan="basis", name="r1"):
+def request_sent(kind="read", t=1000.0, plan="basis", name="r1"):
     return records.RequestSent(t, name, "w", "g0", kind, plan, "c", t, t + 1500.0, "k")
 
 
-def at(server="s-1", t=1010.0, number=1, name="r1"):
+def attempt_arrived(server="s-1", t=1010.0, number=1, name="r1"):
     return records.AttemptArrived(t, name, number, server, "g0", 5.0)
 
 
-def left(server="s-1", status="error", t=1020.0, number=1):
+def attempt_left(server="s-1", status="error", t=1020.0, number=1):
     return records.AttemptLeft(t, f"r1@{server}", number, status)
 
 
-def how(word="ok", t=1100.0, name="r1"):
-    return records.RequestEnded(t, name, records.RequestOutcome(word))
+def request_ended(outcome="ok", t=1100.0, name="r1"):
+    return records.RequestEnded(t, name, records.RequestOutcome(outcome))
 
 
-def draining(t=0.0):
+def server_draining(t=0.0):
     return [
         records.ServerChanged(t, "s-1", "b", "draining", 0.0, 1.0),
         records.GatewayNotified(t, "g0", "s-1", "draining"),
     ]
 
 
-def verdict(*history):
+def judge_records(*history):
     up = [records.ServerChanged(0.0, f"s-{n}", "ab"[n % 2], "ready", -60_000.0, 1.0) for n in range(1, 5)]
     return judge([records.Header(0.0, 1, SCENARIO), *up, *history])
 
 
-BREACHES = [
-    ("deadline", [asked(), at(), how(t=2700.0)]),
-    ("answers", [asked()]),
-    ("answers", [asked(), how("foreign")]),
-    ("answers", [asked(), how(), records.UnexpectedReply(1200.0, "g0")]),
-    ("lost", [asked(), how("none", 3500.0)]),
-    ("lost", [asked("pay"), at(), how("cut")]),
-    ("attempts", [at()]),
-    ("resends", [asked("pay"), at(), left(), at("s-2", 1030.0), how()]),
-    ("resends", [asked("order"), at(), left(), at("s-2", 1030.0), how()]),  # the other zone
-    ("refusals", [asked("pay"), at(), left(), how("busy")]),
-    ("lost", [asked(), at(), records.RequestResent(1050.0, "r1"), how("busy")]),
+BROKEN_RULES = [
+    ("deadline", [request_sent(), attempt_arrived(), request_ended(t=2700.0)]),
+    ("answers", [request_sent()]),
+    ("answers", [request_sent(), request_ended("foreign")]),
+    ("answers", [request_sent(), request_ended(), records.UnexpectedReply(1200.0, "g0")]),
+    ("lost", [request_sent(), request_ended("none", 3500.0)]),
+    ("lost", [request_sent("pay"), attempt_arrived(), request_ended("cut")]),
+    ("attempts", [attempt_arrived()]),
+    (
+        "resends",
+        [
+            request_sent("pay"),
+            attempt_arrived(),
+            attempt_left(),
+            attempt_arrived("s-2", 1030.0),
+            request_ended(),
+        ],
+    ),
+    (
+        "resends",
+        [
+            request_sent("order"),
+            attempt_arrived(),
+            attempt_left(),
+            attempt_arrived("s-2", 1030.0),
+            request_ended(),
+        ],
+    ),  # s-2 is in another zone
+    ("refusals", [request_sent("pay"), attempt_arrived(), attempt_left(), request_ended("busy")]),
+    ("lost", [request_sent(), attempt_arrived(), records.RequestResent(1050.0, "r1"), request_ended("busy")]),
     (
         "lost",
         [
             records.ProcessChanged(900.0, "g0", 7, "ended", 0),
-            asked("order"),
-            at(),
+            request_sent("order"),
+            attempt_arrived(),
             records.RequestResent(1050.0, "r1"),
-            at("s-2", 1060.0),
-            how(),
+            attempt_arrived("s-2", 1060.0),
+            request_ended(),
         ],
-    ),  # the one that ended had nothing of it
-    ("refusals", [asked("order"), records.RequestResent(1005.0, "r1"), at(), how("busy")]),
+    ),  # the process that ended did so before the request
+    (
+        "refusals",
+        [
+            request_sent("order"),
+            records.RequestResent(1005.0, "r1"),
+            attempt_arrived(),
+            request_ended("busy"),
+        ],
+    ),
     (
         "resends",
         [
-            asked("order"),
-            at(),
+            request_sent("order"),
+            attempt_arrived(),
             records.RequestResent(1050.0, "r1"),
-            at("s-3", 1060.0),
-            at("s-2", 1070.0),
-            how(),
+            attempt_arrived("s-3", 1060.0),
+            attempt_arrived("s-2", 1070.0),
+            request_ended(),
             records.ProcessChanged(1150.0, "g0", 7, "ended", 0),
         ],
-    ),  # twice by the one that lives
-    ("drains", [*draining(), asked(), at(), how()]),
+    ),  # sent to two zones by the process that lives
+    ("drains", [*server_draining(), request_sent(), attempt_arrived(), request_ended()]),
     (
         "drains",
         [
             records.ServerChanged(0.0, "s-1", "b", "draining", 0.0, 1.0),
-            asked(t=7000.0),
-            at(t=7010.0),
-            how(t=7020.0),
+            request_sent(t=7000.0),
+            attempt_arrived(t=7010.0),
+            request_ended(t=7020.0),
         ],
-    ),  # nobody was told, and it counts as told
+    ),  # no notification arrived, yet after the limit the gateway counts as notified
     (
         "cold servers",
         [
@@ -155,7 +180,11 @@
             *(
                 record
                 for n in range(3000)
-                for record in (asked(name=f"n{n}"), at(name=f"n{n}"), how(name=f"n{n}"))
+                for record in (
+                    request_sent(name=f"n{n}"),
+                    attempt_arrived(name=f"n{n}"),
+                    request_ended(name=f"n{n}"),
+                )
             ),
         ],
     ),
@@ -164,94 +193,152 @@
         [
             record
             for n in range(4)
-            for record in (asked(plan="hard", name=f"n{n}"), at(name=f"n{n}"), how(name=f"n{n}"))
+            for record in (
+                request_sent(plan="hard", name=f"n{n}"),
+                attempt_arrived(name=f"n{n}"),
+                request_ended(name=f"n{n}"),
+            )
         ],
     ),
     ("crash", [records.ProcessChanged(1000.0, "g0", 7, "ended", 1)]),
 ]
-FINE = [
-    [asked(), at(), how()],
-    [asked("pay"), how("busy")],
-    [asked("pay"), at(), left(status="full"), at("s-2", 1030.0), how()],
-    [asked("order"), at(), left(), at("s-3", 1030.0), how("error")],
-    [asked(), records.LoopDelayed(2500.0, 300.0), at(), how(t=2700.0)],  # the rig itself was late
-    [*draining(600.0), asked(), at(), how()],  # within the grace
+ALLOWED_HISTORIES = [
+    [request_sent(), attempt_arrived(), request_ended()],
+    [request_sent("pay"), request_ended("busy")],
+    [
+        request_sent("pay"),
+        attempt_arrived(),
+        attempt_left(status="full"),
+        attempt_arrived("s-2", 1030.0),
+        request_ended(),
+    ],
+    [
+        request_sent("order"),
+        attempt_arrived(),
+        attempt_left(),
+        attempt_arrived("s-3", 1030.0),
+        request_ended("error"),
+    ],
+    [
+        request_sent(),
+        records.LoopDelayed(2500.0, 300.0),
+        attempt_arrived(),
+        request_ended(t=2700.0),
+    ],  # the bench itself was late
+    [
+        *server_draining(600.0),
+        request_sent(),
+        attempt_arrived(),
+        request_ended(),
+    ],  # within the grace period for draining
     [records.ProcessChanged(1000.0, "g0", 7, "ended", 0)],
     [
-        asked("order"),
-        at(),
+        request_sent("order"),
+        attempt_arrived(),
         records.RequestResent(1050.0, "r1"),
-        how("busy"),
+        request_ended("busy"),
         records.ProcessChanged(1150.0, "g0", 7, "ended", 0),
     ],
     [
-        asked("order"),
-        at(),
+        request_sent("order"),
+        attempt_arrived(),
         records.RequestResent(1050.0, "r1"),
-        at("s-2", 1060.0),
-        how(),
+        attempt_arrived("s-2", 1060.0),
+        request_ended(),
         records.ProcessChanged(1150.0, "g0", 7, "ended", 0),
     ],
-    [asked("order"), records.RequestResent(1005.0, "r1"), at(), how()],  # it had not been read
+    [
+        request_sent("order"),
+        records.RequestResent(1005.0, "r1"),
+        attempt_arrived(),
+        request_ended(),
+    ],  # the gateway had not read it before its connection ended
 ]
 
 
-def fault(do, on="g0", undone=False, t=1050.0):
+def step_carried_out(do, on="g0", undone=False, t=1050.0):
     return records.StepCarriedOut(t, 0, do, [on], undone)
 
 
-@pytest.mark.parametrize(("rule", "history"), BREACHES)
-def test_referee_sees_each_rule_broken_and_no_other(rule, history):
-    found = verdict(*history)
+@pytest.mark.parametrize(("rule", "history"), BROKEN_RULES)
+def test_referee_reports_the_broken_rule_and_no_other(rule, history):
+    found = judge_records(*history)
     assert set(found.broken) == {rule}
-    assert found.told
+    assert found.breaches
 
 
-@pytest.mark.parametrize("history", FINE)
-def test_referee_lets_pass_what_is_allowed(history):
-    assert verdict(*history).kept
+@pytest.mark.parametrize("history", ALLOWED_HISTORIES)
+def test_referee_reports_no_breach_in_an_allowed_history(history):
+    assert judge_records(*history).all_rules_kept
 
 
 @pytest.mark.parametrize(
     ("history", "excused"),
     [
-        ([asked("pay"), at(), fault("kill"), how("cut")], True),
-        ([asked("pay"), at(), fault("reset", "clients>g0"), how("cut")], True),
-        ([asked("pay"), at(), fault("reset", "g0>s-1"), how("cut")], False),  # a gateway has to cope
-        ([asked("pay"), at(), fault("kill", "g1"), how("cut")], False),
-        ([asked("pay"), at(), fault("delay", "clients>g0"), how("cut")], False),  # a delay loses nothing
+        ([request_sent("pay"), attempt_arrived(), step_carried_out("kill"), request_ended("cut")], True),
+        (
+            [
+                request_sent("pay"),
+                attempt_arrived(),
+                step_carried_out("reset", "clients>g0"),
+                request_ended("cut"),
+            ],
+            True,
+        ),
+        (
+            [
+                request_sent("pay"),
+                attempt_arrived(),
+                step_carried_out("reset", "g0>s-1"),
+                request_ended("cut"),
+            ],
+            False,
+        ),  # gateways have to cope with faults towards servers
+        (
+            [request_sent("pay"), attempt_arrived(), step_carried_out("kill", "g1"), request_ended("cut")],
+            False,
+        ),
+        (
+            [
+                request_sent("pay"),
+                attempt_arrived(),
+                step_carried_out("delay", "clients>g0"),
+                request_ended("cut"),
+            ],
+            False,
+        ),  # a delay loses no request
         (
             [
-                fault("stop", t=0.0),
-                fault("stop", undone=True, t=100.0),
-                asked(t=3000.0),
-                at(t=3001.0),
-                how("none", t=5500.0),
+                step_carried_out("stop", t=0.0),
+                step_carried_out("stop", undone=True, t=100.0),
+                request_sent(t=3000.0),
+                attempt_arrived(t=3001.0),
+                request_ended("none", t=5500.0),
             ],
             False,
-        ),  # long over
+        ),  # the fault ended long before
     ],
 )
-def test_faults_excuse_what_they_spoil_and_nothing_else(history, excused):
-    found = verdict(*history)
-    assert found.kept == excused
+def test_faults_excuse_only_the_lost_requests_that_they_explain(history, excused):
+    found = judge_records(*history)
+    assert found.all_rules_kept == excused
     assert bool(found.excused) == excused
 
 
-def test_history_cut_off_in_the_middle_of_a_line_is_read_up_to_it(tmp_path):
+def test_history_with_an_incomplete_last_line_is_read_up_to_that_line(tmp_path):
     log = History(tmp_path / "h")
-    for record in (records.Header(0.0, 1, SCENARIO), asked(), how()):
+    for record in (records.Header(0.0, 1, SCENARIO), request_sent(), request_ended()):
         log.add(record)
     log.close()
     whole = (tmp_path / "h").read_bytes()
     (tmp_path / "h").write_bytes(whole[:-4])
     assert [type(record) for record in read_history(tmp_path / "h")] == [records.Header, records.RequestSent]
-    for headless in ([], [asked()]):
-        with pytest.raises(ValueError, match="no history"):
+    for headless in ([], [request_sent()]):
+        with pytest.raises(ValueError, match="history has no header"):
             judge(headless)
 
 
-EARLIER_LINES = {
+STORED_RECORDS = {
     b'{"what":"asked","t":1.0,"id":"r1","wish":"w1","gateway":"g0","kind":"read","plan":"free",'
     b'"customer":"c","intended":0.5,"deadline":900.0,"key":"k"}': records.RequestSent(
         1.0, "r1", "w1", "g0", "read", "free", "c", 0.5, 900.0, "k"
@@ -283,13 +370,13 @@
 }
 
 
-@pytest.mark.parametrize("line", EARLIER_LINES, ids=lambda line: line.split(b'"')[3].decode())
-def test_history_of_an_earlier_version_is_read_and_written_alike(line, tmp_path):
-    """A history is kept to be judged again; a renamed field would make it unreadable."""
+@pytest.mark.parametrize("line", STORED_RECORDS, ids=lambda line: line.split(b'"')[3].decode())
+def test_record_format_stays_that_of_earlier_versions(line, tmp_path):
+    """Stored histories are judged again later; a changed key or tag would make them unreadable."""
     (tmp_path / "h").write_bytes(line + b"\n")
-    assert list(read_history(tmp_path / "h")) == [EARLIER_LINES[line]]
+    assert list(read_history(tmp_path / "h")) == [STORED_RECORDS[line]]
     log = History(tmp_path / "again")
-    log.add(EARLIER_LINES[line])
+    log.add(STORED_RECORDS[line])
     log.close()
     assert (tmp_path / "again").read_bytes() == line + b"\n"
 
@@ -340,36 +427,36 @@
     )
 )
 @settings(max_examples=50, deadline=None)
-def test_settings_written_for_a_gateway_are_read_as_they_were(made):
-    assert settings_from(json.loads(json.dumps(settings_document(made)))) == made
+def test_settings_are_unchanged_by_a_round_trip_through_json(original):
+    assert settings_from(json.loads(json.dumps(settings_document(original)))) == original
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "why"),
+    ("old", "new", "message"),
     [
         ("rate = 150.0", "rate = 0.0", "$.rate"),
         ('do = "kill"', 'do = "hit"', "$.steps[0].do"),
         ('on = ["g1"]', 'on = ["g9"]', "$.steps[0]"),
-        ("open g1 >= 1", "soon", "no such condition"),
-        ('["g0"], ["s-1", "s-2"]', '["g0"], ["s-99"]', "nobody is called s-99"),
+        ("open g1 >= 1", "soon", "invalid condition 'soon'"),
+        ('["g0"], ["s-1", "s-2"]', '["g0"], ["s-99"]', "unknown party: s-99"),
         ("gateways = 5", "gateways = 51", "at most 50"),
         ('do = "failing"', 'do = "slow"', "needs an amount"),
         ("gateways = 5", "gateways = 5\nx = 1", "$.world"),
     ],
 )
-def test_file_that_is_no_scenario_is_refused_with_its_fault(tmp_path, old, new, why):
-    text = FLEET.read_text()
+def test_invalid_scenario_file_is_rejected_with_its_mistake_named(tmp_path, old, new, message):
+    text = SCENARIO_FILE.read_text()
     assert old in text
     (tmp_path / "f.toml").write_text(text.replace(old, new, 1))
     with pytest.raises(WorldError, match="f.toml: ") as caught:
-        load(tmp_path / "f.toml")
-    assert why in str(caught.value)
+        load_scenario(tmp_path / "f.toml")
+    assert message in str(caught.value)
 
 
-# ---- Relays
+# ---- Links
 
 
-def test_relay_delays_holds_cuts_refuses_and_resets():
+def test_link_delays_holds_cuts_refuses_and_resets_connections():
     async def test():
         server, host = await FakeServer(lambda words: server_reply(words[1])).start(), own_host()
         link = Link("a>b", (host, 20_000), ("127.0.0.1", server.port), Random(1))
@@ -379,42 +466,42 @@
         async def peer():
             return await RespClient().open(link.listen_address[1], host)
 
-        one = await peer()
-        assert (await one.ask(resp("X", "1")))[0] == b"1"
+        first_peer = await peer()
+        assert (await first_peer.ask(resp("X", "1")))[0] == b"1"
         assert relayed_connection_of(server.writers[0].transport).link is link
         link.impairments["up"].delay = 0.05
         before = loop.time()
-        assert (await one.ask(resp("X", "2")))[0] == b"2"
+        assert (await first_peer.ask(resp("X", "2")))[0] == b"2"
         assert loop.time() - before >= 0.05
         link.impairments["up"].delay = 0.0
 
         link.silence("down")
-        one.send(resp("X", "3"))
+        first_peer.send(resp("X", "3"))
         await server.until(lambda: len(server.commands) == 3)  # one direction only
         link.silence("up")
-        one.send(resp("X", "4"))
+        first_peer.send(resp("X", "4"))
         await asyncio.sleep(0.05)
         assert len(server.commands) == 3
-        assert one.reader._buffer == bytearray()
+        assert first_peer.reader._buffer == bytearray()
         link.silence("both", False)
-        assert [(await one.reply())[0] for _ in range(2)] == [b"3", b"4"]  # held, not lost
+        assert [(await first_peer.reply())[0] for _ in range(2)] == [b"3", b"4"]  # held, not lost
 
         link.impairments["down"].bytes_until_reset = 6
-        one.send(resp("X", "5"))
-        assert await one.reader.readexactly(6) == server_reply(b"5")[:6]
+        first_peer.send(resp("X", "5"))
+        assert await first_peer.reader.readexactly(6) == server_reply(b"5")[:6]
         with pytest.raises(ConnectionResetError):
-            await one.reader.readexactly(1)
-        two = await peer()
-        assert (await two.ask(resp("X", "6")))[0] == b"6"
+            await first_peer.reader.readexactly(1)
+        second_peer = await peer()
+        assert (await second_peer.ask(resp("X", "6")))[0] == b"6"
         await link.refuse()
         with pytest.raises(ConnectionRefusedError):
             await peer()
         link.reset(lose=True)
         with pytest.raises(ConnectionResetError):
-            await two.reader.read(1)
+            await second_peer.reader.read(1)
         await link.refuse(False)
-        three = await peer()
-        three.writer.close()
+        third_peer = await peer()
+        third_peer.writer.close()
         while link.connections:
             await asyncio.sleep(0.005)
         link.close()
@@ -425,28 +512,28 @@
 # ---- Several processes
 
 
-async def through(rig: FaultBench):
-    """Carry out the steps under load until all wishes have come to something; the verdict."""
-    timeline = Timeline(rig)
+async def run_steps_under_load(bench: FaultBench):
+    """Carry out the steps under load until all operations have ended; returns the verdict."""
+    timeline = Timeline(bench)
     timeline.start()
-    await rig.load.run()
+    await bench.load.run()
     await timeline.finish()
-    await rig.load.finish()
+    await bench.load.finish()
     assert not timeline.missed
-    verdict = rig.verdict()
-    assert not rig.sums(verdict)
+    verdict = bench.verdict()
+    assert not bench.count_mismatches(verdict)
     return verdict
 
 
-def play(tmp_path, scenario, **more):
+def run_scenario(tmp_path, scenario, **arguments):
     async def test():
-        async with FaultBench(scenario, tmp_path / "rig", program=Program.of(ROOT), **more) as rig:
-            return await through(rig), rig
+        async with FaultBench(scenario, tmp_path / "rig", program=Program.of(ROOT), **arguments) as bench:
+            return await run_steps_under_load(bench), bench
 
     return run(test())
 
 
-def test_fleet_under_faults_keeps_the_rules_and_every_request_is_accounted_for(tmp_path):
+def test_gateways_under_faults_keep_the_rules_and_every_request_is_counted(tmp_path):
     scenario = msgspec.structs.replace(
         SCENARIO,
         steps=(
@@ -462,62 +549,67 @@
             Step("delay", ("clients>g0",), amount=5.0, for_s=1.0),
         ),
     )
-    found, rig = play(tmp_path, scenario)
-    assert found.kept, found.told
-    assert found.asked > 100
-    assert found.outcomes["ok"] > found.asked / 2
+    found, bench = run_scenario(tmp_path, scenario)
+    assert found.all_rules_kept, found.breaches
+    assert found.requests_total > 100
+    assert found.outcomes["ok"] > found.requests_total / 2
     assert found.excused["lost"] >= 1
-    seen = list(read_history(rig.history.path))
-    acts = [record for record in seen if isinstance(record, records.StepCarriedOut)]
-    assert {act.action for act in acts if act.undone} >= {"kill", "partition", "release", "stop"}
-    assert any(act.answer.startswith("YES serving") for act in acts)
-    started = [r for r in seen if isinstance(r, records.ProcessChanged) and r.state == "started"]
+    history = list(read_history(bench.history.path))
+    steps = [record for record in history if isinstance(record, records.StepCarriedOut)]
+    assert {step.action for step in steps if step.undone} >= {"kill", "partition", "release", "stop"}
+    assert any(step.answer.startswith("YES serving") for step in steps)
+    started = [r for r in history if isinstance(r, records.ProcessChanged) and r.state == "started"]
     assert [r.gateway for r in started].count("g1") == 2
 
 
-def test_upgrades_of_all_gateways_under_load_lose_nothing(tmp_path):
-    found, rig = play(
+def test_upgrades_of_all_gateways_under_load_lose_no_request(tmp_path):
+    found, bench = run_scenario(
         tmp_path,
         msgspec.structs.replace(
             SCENARIO, steps=tuple(Step("upgrade", (f"g{n}",), at_s=0.3 * n + 0.1) for n in range(3))
         ),
     )
-    assert found.kept, found.told
-    assert not found.excused, found.told
+    assert found.all_rules_kept, found.breaches
+    assert not found.excused, found.breaches
     assert set(found.outcomes) <= {"ok", "busy"}
-    assert found.asked > 100
-    assert all(len(member.processes) == 2 for member in rig.managed_gateways.values())
+    assert found.requests_total > 100
+    assert all(len(gateway.processes) == 2 for gateway in bench.managed_gateways.values())
 
 
-def test_step_whose_moment_never_comes_makes_the_play_count_for_nothing(tmp_path):
+def test_run_with_a_step_that_is_never_carried_out_is_invalid(tmp_path):
     (tmp_path / "f.toml").write_text(
-        FLEET.read_text().replace("open g1 >= 1", "open g1 >= 9999").replace("seconds = 8.0", "seconds = 1.0")
+        SCENARIO_FILE.read_text()
+        .replace("open g1 >= 1", "open g1 >= 9999")
+        .replace("seconds = 8.0", "seconds = 1.0")
     )
     command = [sys.executable, "-m", "quota_gateway.fault_bench", "run", str(tmp_path / "f.toml"), "--json"]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
-    assert done.returncode == 2, done.stderr
-    assert "step 0, kill, never came about" in json.loads(done.stdout)["faults"][0]
+    completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
+    assert completed.returncode == 2, completed.stderr
+    assert "step 0, kill, was not carried out" in json.loads(completed.stdout)["faults"][0]
 
 
-def test_start_that_fails_is_told_and_leaves_nothing_behind(tmp_path):
+def test_failed_start_of_gateways_is_reported_with_their_log(tmp_path):
     async def test():
-        broken = Program(ROOT, "echo broken; exit 3")
-        with pytest.raises(RuntimeError, match="no start: g0, g1, g2: broken"):
-            async with FaultBench(SCENARIO, tmp_path / "rig", program=broken):
+        failing_program = Program(ROOT, "echo broken; exit 3")
+        with pytest.raises(
+            RuntimeError,
+            match="gateways ended before they were ready: g0, g1, g2; end of the log of the first: broken",
+        ):
+            async with FaultBench(SCENARIO, tmp_path / "rig", program=failing_program):
                 pass
 
     run(test())
 
 
-def alive(pid: int) -> bool:
+def is_alive(pid: int) -> bool:
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     except OSError:
         return False
 
 
-def heed_sigint() -> None:
-    """A shell's background job ignores SIGINT, and what it starts inherits that."""
+def restore_sigint() -> None:
+    """Undo the ignored SIGINT that a process inherits from a shell's background job."""
     signal.signal(signal.SIGINT, signal.SIG_DFL)
 
 
@@ -528,29 +620,31 @@
         "-m",
         "quota_gateway.fault_bench",
         "run",
-        str(FLEET),
+        str(SCENARIO_FILE),
         "--folder",
         str(tmp_path / "rig"),
     ]
-    with (tmp_path / "err").open("w") as sink:
-        rig = subprocess.Popen(
-            command, cwd=ROOT, stderr=sink, stdout=sink, start_new_session=True, preexec_fn=heed_sigint
+    with (tmp_path / "err").open("w") as output:
+        bench = subprocess.Popen(
+            command, cwd=ROOT, stderr=output, stdout=output, start_new_session=True, preexec_fn=restore_sigint
         )
     try:
         pids: list[int] = []
         while len(pids) < 5:
-            assert rig.poll() is None, (tmp_path / "err").read_text()
-            pids = [int(pid) for pid in os.listdir("/proc") if pid.isdigit() and parent(int(pid)) == rig.pid]
-        rig.send_signal(number)
-        assert rig.wait(60) == (2 if number == signal.SIGINT else -signal.SIGKILL)
-        while any(alive(pid) for pid in pids):
+            assert bench.poll() is None, (tmp_path / "err").read_text()
+            pids = [
+                int(pid) for pid in os.listdir("/proc") if pid.isdigit() and parent_pid(int(pid)) == bench.pid
+            ]
+        bench.send_signal(number)
+        assert bench.wait(60) == (2 if number == signal.SIGINT else -signal.SIGKILL)
+        while any(is_alive(pid) for pid in pids):
             os.sched_yield()
     finally:
-        rig.kill()
-        rig.wait()
+        bench.kill()
+        bench.wait()
 
 
-def parent(pid: int) -> int:
+def parent_pid(pid: int) -> int:
     try:
         return int(Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[1])
     except OSError:
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 from fakes import RespClient, call
-from test_fault_bench import ROOT, SCENARIO, run, through
+from test_fault_bench import ROOT, SCENARIO, run, run_steps_under_load
 
 from quota_gateway.fault_bench.bench import FaultBench
 from quota_gateway.fault_bench.processes import Program
@@ -101,8 +101,8 @@
     """Both processes share one core with busy loops, which makes them slow; neither may be taken for hung."""
 
     async def case(bench, gateway):
-        verdict = await through(bench)
-        assert verdict.kept, verdict.told
+        verdict = await run_steps_under_load(bench)
+        assert verdict.all_rules_kept, verdict.breaches
         assert "hangs" not in gateway.log()
         assert sum(process.alive for process in gateway.processes) >= 1
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -391,10 +391,10 @@
             await fleet.load_task
             await bench.load.finish()
             verdict = bench.verdict()
-            assert not bench.sums(verdict)
-            assert not check_rules or set(verdict.broken) <= set(may_break), verdict.told
+            assert not bench.count_mismatches(verdict)
+            assert not check_rules or set(verdict.broken) <= set(may_break), verdict.breaches
             # no other gateway breaks a rule
-            assert not may_break or all("g0" in line for line in verdict.told), verdict.told
+            assert not may_break or all("g0" in line for line in verdict.breaches), verdict.breaches
 
     run(test())
 
