--- a/quota_gateway/__init__.py
+++ b/quota_gateway/__init__.py
@@ -1,4 +1,4 @@
-"""Public interface: the decision logic of a gateway that enforces customers' quotas for a shared API."""
+"""Public interface: the policy of a gateway, which enforces customers' quotas for a shared API."""
 
 from quota_gateway import api
 from quota_gateway.api import *  # noqa: F403  api.__all__ lists the names
--- a/quota_gateway/api/__init__.py
+++ b/quota_gateway/api/__init__.py
@@ -1,6 +1,7 @@
-"""Types of the decision logic's interface: settings, events (input), actions (output) and their enums.
+"""Types of the policy's interface: settings, events (input), actions (output) and their enums.
 
-All times are in milliseconds. The decision logic does no input or output itself: a driver passes events to
+The policy (``quota_gateway.policy``) is the decision logic of a gateway. All times are in milliseconds. The
+policy does no input or output itself: a driver (``net/driver.py`` in a gateway process) passes events to
 ``Gateway.handle`` and carries out the actions that it returns, in order. The driver must pass one
 ``AttemptEnded`` for each ``Send`` and one ``TimerFired`` for each ``SetTimer``. The gateway gives each
 ``Request`` exactly one final answer: a response of a server, ``Reject`` or ``Fail``.
--- a/quota_gateway/api/actions.py
+++ b/quota_gateway/api/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the decision logic asks its driver to do. The driver carries them out in order."""
+"""Actions: what the policy asks its driver to do. The driver carries them out in order."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
     active: bool = True
 
 
-# The next three belong to the simulator's protocol; the decision logic never emits them.
+# The next three belong to the simulator's protocol; the policy never emits them.
 @dataclass(frozen=True, slots=True)
 class FetchList:
     """Ask discovery for the complete endpoint list once."""
@@ -99,7 +99,7 @@
     keep_idle_ms: float = float("inf")
 
 
-# The next two belong to the simulator's protocol; the decision logic never emits them.
+# The next two belong to the simulator's protocol; the policy never emits them.
 @dataclass(frozen=True, slots=True)
 class SendToGateway:
     """Send bytes to one gateway, or to all if ``gateway`` is -1."""
--- a/quota_gateway/api/events.py
+++ b/quota_gateway/api/events.py
@@ -1,4 +1,4 @@
-"""Events: what the driver reports to the decision logic.
+"""Events: what the driver reports to the policy.
 
 The driver passes the time of an event to ``Gateway.handle`` as an argument of its own.
 """
@@ -20,7 +20,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """A server in an endpoint list. ``started_ms`` is the time of its last start, 0 if that is long past."""
+    """A server in an endpoint list.
+
+    A cell is a group of servers in a zone. ``started_ms`` is the time of the server's last start, 0 if that
+    is long past. The policy reads neither ``kind`` (the machine type) nor ``size`` (the weight).
+    """
 
     server: int
     zone: str
@@ -47,8 +51,8 @@
 class Request(RequestMessage):
     """A client's request.
 
-    The customer's requests may come through several gateways: ``requested_gateways`` of them, beginning with
-    number ``first_gateway``.
+    ``units`` is its estimated cost, in the units of the plan's rate. The customer's requests may come through
+    several gateways: ``requested_gateways`` of them, beginning with number ``first_gateway``.
     """
 
     class_name: str
@@ -71,9 +75,9 @@
     """How an attempt ended; passed once for each ``Send``.
 
     ``request_answered`` tells whether its response was the final answer to the client.
-    ``metered_use_percent`` is a delayed reading of the customer's use over all gateways, in percent of its
-    plan's rate, or of the concurrency cap if the plan has no rate. ``final_units`` replaces the request's
-    estimated units. ``load`` has a value for each of ``Settings.load_fields``.
+    ``metered_use_percent`` is a late reading (it lags behind) of the customer's use over all gateways, in
+    percent of its plan's rate, or of the concurrency cap if the plan has no rate. ``final_units`` replaces
+    the request's estimated units. ``load`` has a value for each of ``Settings.load_fields``.
     """
 
     server: int
@@ -151,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HotRestartBegun:
-    """The next process takes over.
+    """A hot restart: the next process of this gateway takes over from this one.
 
     It reserves what the requests still pending here occupy, and is told by ``PeerUsage`` as they end.
     """
@@ -177,7 +181,7 @@
     """The other process of this gateway has ended, and has nothing in flight any more."""
 
 
-# The next two belong to the simulator's protocol; the decision logic ignores them.
+# The next two belong to the simulator's protocol; the policy ignores them.
 @dataclass(frozen=True, slots=True)
 class GatewayMessage:
     """Bytes from another gateway."""
--- a/quota_gateway/api/settings.py
+++ b/quota_gateway/api/settings.py
@@ -1,6 +1,6 @@
-"""Settings of the decision logic, validated on construction. All times are in milliseconds.
+"""Settings of the policy, validated on construction. All times are in milliseconds.
 
-The decision logic reads no field marked "accepted, unused": such a field is here because configurations and
+The policy reads no field marked "accepted, unused": such a field is here because configurations and
 recordings have it. Its position stays, as recordings keep the order of fields.
 """
 
@@ -47,7 +47,7 @@
 
     name: str
     latency_objective_ms: float
-    deadline_ms: float
+    deadline_ms: float  # bounds the wait at a shutdown; the policy uses client_timeout_ms
     idempotency: Idempotency
     priority_weight: float = 1.0
     late_value_ratio: float = 0.0  # accepted, unused
@@ -80,9 +80,9 @@
 
     The quota is ``rate`` units a second with a burst of ``burst`` units; a gateway may exceed it, at a cost.
     The rate ceiling (``ceiling_rate`` units a second, ``ceiling_burst`` units) is a hard limit. The
-    concurrency cap (``max_in_flight`` attempts) is a target: it may be exceeded by one attempt for each
-    gateway and by the bonus that the gateways' shares have for unused quota. A rate, a ceiling rate or a cap
-    of 0 means that there is none.
+    concurrency cap (``max_in_flight`` attempts) is a target: each gateway enforces a share of it, and
+    together they may exceed it by one attempt for each gateway and by the bonus that is added to the shares
+    while quota is unused. A rate, a ceiling rate or a cap of 0 means that there is none.
     """
 
     name: str
@@ -174,10 +174,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All settings of a gateway's decision logic."""
+    """All settings of a gateway's policy."""
 
     gateways: int  # how many share the customers' quotas
-    index: int  # of this gateway among them; not read by the decision logic
+    index: int  # of this gateway among them; not read by the policy
     zone: str
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
--- a/quota_gateway/net/configuration_in_force.py
+++ b/quota_gateway/net/configuration_in_force.py
@@ -74,7 +74,7 @@
         if settings != driver.gateway.context.settings:
             driver.post(api.SettingsChanged(settings))
         if settings != driver.gateway.context.settings:
-            raise ConfigurationError(["the decisions failed"])
+            raise ConfigurationError(["the policy failed on the new settings, see the gateway's log"])
 
     def _apply_to_sockets(self, config: Config, admin_server: asyncio.Server | None) -> None:
         max_connections = connection_budget(config)
--- a/quota_gateway/net/discovery.py
+++ b/quota_gateway/net/discovery.py
@@ -27,7 +27,7 @@
 
 
 class Discovery:
-    """Opens a watch, reopens it after the last applied list when it ends, and passes on each list."""
+    """Opens a watch, passes on each list, and reopens the watch after its end, from the last list on."""
 
     def __init__(
         self,
--- a/quota_gateway/net/reload.py
+++ b/quota_gateway/net/reload.py
@@ -248,5 +248,5 @@
         async with self._lock:
             if self._stopping or not self.trial.is_due():
                 return True
-            done, _ = await self._roll_back("not confirmed")
-            return done
+            is_done, _ = await self._roll_back("not confirmed")
+            return is_done
--- a/quota_gateway/policy/concurrency_limit.py
+++ b/quota_gateway/policy/concurrency_limit.py
@@ -38,7 +38,7 @@
     """
 
     def __init__(self, context: Context) -> None:
-        self.limit = inf  # attempts; until the first endpoint list there is no limit
+        self.limit = inf  # attempts; until the cached endpoint list there is no limit
         self.attempts_within_threshold: set[AttemptKey] = set()
         self.latencies = Latencies(
             context.decay, MEAN_LATENCY_WEIGHT, SERVER_LATENCY_WEIGHT, MAX_QUICK_SERVERS
@@ -55,7 +55,7 @@
         return request_class.latency_objective_ms * INITIAL_LATENCY_RATIO
 
     def start(self, servers: int, gateways: int) -> None:
-        """Set a cautious limit by the first endpoint list.
+        """Set a cautious limit by the cached endpoint list, with which a gateway starts.
 
         It is ``INITIAL_ATTEMPTS_PER_SERVER`` for each server, divided evenly by the number of gateways. Where
         that is less than ``MIN_INITIAL_LIMIT``, it is raised to that, but to no more than an even part of
--- a/quota_gateway/policy/endpoint_list.py
+++ b/quota_gateway/policy/endpoint_list.py
@@ -11,7 +11,7 @@
 
 
 class EndpointList:
-    """Takes over the lists that discovery sends and refreshes the state derived from them."""
+    """Applies the lists that discovery sends and refreshes the state derived from them."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         self.epochs = epochs
 
     def on_server_list(self, event: ServerList) -> bool:
-        """Take over a list, or handle a failed call for one. Returns whether servers may have changed."""
+        """Apply a list, or handle a failed call for one. Returns whether servers may have changed."""
         delay_ms = self.subscribe_delay_ms(event.kind)
         if delay_ms is not None:
             self.context.arm(delay_ms, self._subscribe, None)
@@ -42,7 +42,8 @@
     def subscribe_delay_ms(self, kind: ListKind) -> float | None:
         """Delay until the next subscription, or None if none is due.
 
-        It is 0 at the start; after a failure it keeps to the time that the contract sets.
+        It is 0 after the cached list, which comes at the start. After a failed call it leaves time for
+        another one within ``Contract.poll_within_ms``.
         """
         settings = self.context.settings
         if settings.discovery is not DiscoveryMode.POLL:
@@ -57,6 +58,6 @@
         self.context.actions.append(Subscribe(True))
 
     def refresh(self) -> None:
-        """Note which servers are ready and which of them are warming up."""
+        """Rebuild the lists of servers that are ready or warming up."""
         self.endpoints.refresh(self.slow_start.is_warming_up)
         self.context.decay.listed_servers = max(1, len(self.endpoints.servers))
--- a/quota_gateway/policy/hedging.py
+++ b/quota_gateway/policy/hedging.py
@@ -1,4 +1,4 @@
-"""Hedged requests: what to do about an attempt without a response at its latency threshold."""
+"""Hedged requests: what to do about a silent attempt, one without a response at its latency threshold."""
 
 from __future__ import annotations
 
--- a/quota_gateway/policy/outlier_detection.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -2,7 +2,8 @@
 
 No server is ejected: failures raise its cost in the server selection. They are recorded for a server as a
 whole, for a class there, and for a class of one plan there, as a server may fail for one of these and serve
-the others well.
+the others well. Each of these has a key (``FailureKeys``). That of a server as a whole is empty; in the
+records of all servers together the server's zone takes its place.
 """
 
 from __future__ import annotations
@@ -10,7 +11,6 @@
 from quota_gateway.api import Status
 from quota_gateway.state import Context, FailureRates, PendingRequest, Server
 
-# Failures of a server as a whole have an empty key; over all servers these are recorded by zone.
 PRIOR_WEIGHT = 1.0  # outcomes: weight of the failures of all servers beside a server's own
 SUSPECTED_RATIO = 0.5  # failure rate from which a server is logged and its silent attempts are hedged
 
--- a/quota_gateway/policy/quota_meter.py
+++ b/quota_gateway/policy/quota_meter.py
@@ -174,9 +174,11 @@
 
         It is raised only while the customer's demand here is no more than its share and the bonus: a low
         reading of a customer that is being rejected does not show unused quota. The bonus is smaller where
-        overuse costs, as two requests that pass by chance add up over the gateways. There, too, without
-        unused quota and with a burst of less than a unit for each gateway, the request's own units are the
-        least burst, so that small requests don't pass within the allowance of a large one.
+        overuse costs, as two requests that pass by chance add up over the gateways.
+
+        The least burst is the customer's largest request. It is only the request's own units where overuse
+        costs, no quota is unused and the plan's burst is less than a unit for each gateway, so that small
+        requests don't pass within the allowance of a large one.
         """
         overuse_costs = plan.overuse_cost > 0.0
         bonus_requests = (
--- a/quota_gateway/policy/retry_policy.py
+++ b/quota_gateway/policy/retry_policy.py
@@ -52,7 +52,7 @@
 
 
 def is_client_retry_harmless(pending: PendingRequest) -> bool:
-    """Whether a retry by the client is proven to have no second effect: the request may be rejected."""
+    """Whether a retry by the client is proven to have no second effect, so that rejecting is allowed."""
     request_class = pending.request_class
     if request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
--- a/quota_gateway/policy/server_selection.py
+++ b/quota_gateway/policy/server_selection.py
@@ -68,6 +68,7 @@
         ready = self.endpoints.ready
         if len(ready) <= 2 * SAMPLE_SIZE:
             return self._best(pending, ready)
+        # Where the phases begin with which `SlowStart.is_eligible` lets a warming server get the request.
         phase = (1.0 - pending.draw) % 1.0
         width = self.slow_start.widest_share_ratio(len(ready))
         warming_up = self.endpoints.warming_up_in(phase, width)
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -1,4 +1,4 @@
-"""State of the decision logic: customers, servers, requests, estimates, counters, timers. Decides nothing."""
+"""State of the policy: customers, servers, requests, estimates, counters, timers. Decides nothing."""
 
 from quota_gateway.state.context import Context
 from quota_gateway.state.customer import Customer
--- a/quota_gateway/state/context.py
+++ b/quota_gateway/state/context.py
@@ -1,4 +1,4 @@
-"""What all parts of the decision logic share: settings in force, time, random numbers, timers, actions."""
+"""What all parts of the policy share: settings in force, time, random numbers, timers, actions."""
 
 from __future__ import annotations
 
--- a/quota_gateway/state/customer.py
+++ b/quota_gateway/state/customer.py
@@ -9,7 +9,7 @@
 
 
 class Customer:
-    """State of one customer, also called its row, for several parts of the decision logic.
+    """State of one customer, also called its row, for several parts of the policy.
 
     The comment above a group of attributes names the module that writes them. Other modules only read them,
     except ``state_document.py``, which restores most of them after a hot restart. An object for each part
@@ -52,7 +52,7 @@
         # Written by policy/quota_meter.py
         self.excess_milliunits = 0.0  # level of the leaky bucket at its last update
         self.excess_updated_ms = now_ms
-        # Delayed reading of the use over all gateways, as a ratio of the plan's rate, or of its concurrency
+        # Late reading of the use over all gateways, as a ratio of the plan's rate, or of its concurrency
         # cap if it has no rate.
         self.metered_use_ratio = 0.0
         self.metered_use_at_ms = -inf
--- a/quota_gateway/state/give_up_reason.py
+++ b/quota_gateway/state/give_up_reason.py
@@ -1,4 +1,4 @@
-"""Why a request was given up: rejected or failed by this gateway, without a server's response."""
+"""Why a request was given up: rejected or failed by this gateway, without a server's successful response."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     QUEUE_FULL = "crowded"
     QUEUED_FOR_CONCURRENCY_CAP = "waited: cap"
     QUEUED_FOR_RATE_CEILING = "waited: ceiling"
-    QUEUED_FOR_CONCURRENCY_LIMIT = "waited: pool"
+    QUEUED_FOR_CONCURRENCY_LIMIT = "waited: pool"  # or for a server that it may go to
 
     # This gateway was drained, or the request's deadline passed.
     GATEWAY_DRAINED = "drained"
--- a/quota_gateway/state/records.py
+++ b/quota_gateway/state/records.py
@@ -1,4 +1,4 @@
-"""Small value types that several modules of the decision logic share."""
+"""Small value types that several modules of the policy share."""
 
 from __future__ import annotations
 
--- a/quota_gateway/state_document.py
+++ b/quota_gateway/state_document.py
@@ -3,9 +3,9 @@
 It identifies servers by id, as each process numbers them on its own. A document is read completely before any
 of it is used: a truncated or foreign one leaves the gateway as it was. No decisions are made here.
 
-Upgrades and downgrades both hand over, so the keys below never change. A later version may add columns behind
-the existing ones and keys beside them. They are skipped here and must be optional: without them a document
-means what it meant to the earlier version.
+Upgrades and downgrades both hand a document over, so the keys below never change. A later version may add
+columns behind the existing ones and keys beside them. They are skipped here and must be optional: without
+them a document means what it meant to the earlier version.
 """
 
 from __future__ import annotations
@@ -57,7 +57,8 @@
     def restore(self, server: Server) -> None:
         """Set the server's state to this one.
 
-        The start is restored only if an operator put the server back: otherwise the endpoint list tells it.
+        The time of its start is restored only if an operator put the server back; otherwise the endpoint list
+        gives it.
         """
         server.latency_ratio = self.latency_ratio
         server.latency_ratio_at = self.latency_ratio_at
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Structure of the decision logic: files that the deploy file lists for the bench, line length, imports."""
+"""Structure of the policy: files that the deploy file lists for the bench, line length, imports."""
 
 import ast
 import tomllib
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -204,7 +204,7 @@
             )
             fixture.document["discovery"] = "127.0.0.1:9"
             fixture.write(services=[SERVICE, changed_service(name="new")])
-            assert "the decisions failed" in await fixture.command("RELOAD")
+            assert "the policy failed on the new settings" in await fixture.command("RELOAD")
             assert fixture.state() == before
 
     run(test())
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -23,13 +23,13 @@
 CAP = Plan("q", max_in_flight=8)
 
 
-def a_rig(*plans: Plan, **more) -> Rig:
+def new_rig(*plans: Plan, **more) -> Rig:
     rig = rig_with(plans=plans or PLANS, **more)
     rig.servers(entry(1), entry(2))
     return rig
 
 
-def tell(rig: Rig, **changes) -> None:
+def change_settings(rig: Rig, **changes) -> None:
     rig.handle(SettingsChanged(replace(rig.gateway.context.settings, **changes)))
 
 
@@ -46,22 +46,22 @@
 
 
 def test_excess_drains_at_the_old_rate_up_to_the_change_and_at_the_new_one_after_it():
-    rig = a_rig(QUOTA)
+    rig = new_rig(QUOTA)
     sent(rig, 4, plan="q")
     assert customer(rig).excess_milliunits == 4000.0
     rig.run(1000.0)  # the share drains 1 unit a second
-    tell(rig, plans=(replace(QUOTA, rate=4.0),))
+    change_settings(rig, plans=(replace(QUOTA, rate=4.0),))
     rig.run(500.0)  # and 2 units a second now
     rig.ask(plan="q", units=0.5)
     assert customer(rig).excess_milliunits == pytest.approx(4000.0 - 1000.0 - 1000.0 + 500.0)
 
 
 def test_nobody_gets_a_fresh_burst_however_often_the_settings_change():
-    plain, changing = a_rig(QUOTA), a_rig(QUOTA)
+    plain, changing = new_rig(QUOTA), new_rig(QUOTA)
     for rig in (plain, changing):
         sent(rig, 6, plan="q")
     for number in range(100):
-        tell(changing, plans=(replace(QUOTA, price=1.0 + number % 2),))
+        change_settings(changing, plans=(replace(QUOTA, price=1.0 + number % 2),))
         plain.run(10.0)
         changing.run(10.0)
     names = [len(sent(rig, 20, plan="q")) for rig in (plain, changing)]
@@ -70,30 +70,30 @@
 
 
 def test_plan_removed_and_added_again_keeps_its_customers_state():
-    rig = a_rig(QUOTA, Plan("other"))
+    rig = new_rig(QUOTA, Plan("other"))
     sent(rig, 4, plan="q")
     rig.run(20.0)
-    tell(rig, plans=(Plan("other"),))
+    change_settings(rig, plans=(Plan("other"),))
     before = rig.ask(plan="q")
     # the plan is unknown now
     assert rig.answers[before] == "Reject"
     assert before not in rig.sent
     rig.run(480.0)
-    tell(rig, plans=(QUOTA, Plan("other")))
+    change_settings(rig, plans=(QUOTA, Plan("other")))
     rig.ask(plan="q", units=1.0)
     assert customer(rig).excess_milliunits == pytest.approx(4000.0 - 500.0 + 1000.0)
 
 
 def test_rows_of_idle_customers_are_brought_up_to_date_in_steps_with_the_same_result():
-    rig = a_rig(QUOTA)
+    rig = new_rig(QUOTA)
     count = 5 * settings_change.CATCH_UP_ROWS_PER_TICK
     for number in range(count):
         for name in sent(rig, 1, plan="q", customer=f"c{number}", units=2.0):
             rig.finish(name)
     rows = list(rig.gateway.customers.rows.values())
-    tell(rig, plans=(replace(QUOTA, rate=1.0),))
+    change_settings(rig, plans=(replace(QUOTA, rate=1.0),))
     assert sum(row.settings_epoch == 1 for row in rows) == 0  # the change itself touches no row
-    tell(rig, plans=(replace(QUOTA, rate=0.5),))
+    change_settings(rig, plans=(replace(QUOTA, rate=0.5),))
     rig.run(4.0)
     assert 0 < sum(row.settings_epoch == 2 for row in rows) < count
     rig.run(1000.0)
@@ -104,12 +104,12 @@
 
 
 def test_stored_state_of_past_plans_classes_and_changes_is_bounded():
-    rig = a_rig(QUOTA)
+    rig = new_rig(QUOTA)
     for number in range(200):
-        tell(rig, plans=(Plan(f"p{number}", rate=1.0, burst=4.0),))
+        change_settings(rig, plans=(Plan(f"p{number}", rate=1.0, burst=4.0),))
         for name in sent(rig, 1, plan=f"p{number}", customer="c"):
             rig.finish(name)
-        tell(rig, classes=(replace(CLASSES[0], name=f"k{number}"), *CLASSES))
+        change_settings(rig, classes=(replace(CLASSES[0], name=f"k{number}"), *CLASSES))
         for name in sent(rig, 1, plan=f"p{number}", class_name=f"k{number}"):
             while name not in rig.answers:
                 rig.finish(name, Status.ERROR)
@@ -119,7 +119,7 @@
     assert len(epochs.retired_plans) <= customers.MAX_RETIRED_PLANS
     assert not epochs.past_epochs
     assert len(gateway.customers.rows) <= customers.MAX_RETIRED_PLANS + 1
-    tell(rig)
+    change_settings(rig)
     latencies = gateway.concurrency_limit.latencies
     assert len(latencies.mean_ms) == len(latencies.quick_servers) == len(CLASSES) + 1
     servers = gateway.endpoints.servers.values()
@@ -133,7 +133,7 @@
 
 
 def test_held_queued_and_in_flight_requests_of_a_removed_plan_are_still_served():
-    rig = a_rig(replace(QUOTA, rate=4.0, burst=2.0, max_in_flight=2), Plan("other"))
+    rig = new_rig(replace(QUOTA, rate=4.0, burst=2.0, max_in_flight=2), Plan("other"))
     names = [rig.ask("q") for _ in range(2)]
     in_flight = [name for name in names if name in rig.sent]
     held = [name for name in names if name not in rig.answers and name not in rig.sent]
@@ -143,7 +143,7 @@
     waiting = rig.ask("q")
     assert waiting not in rig.answers
     assert waiting not in rig.gateway.pending_requests.queued
-    tell(rig, plans=(Plan("other"),))
+    change_settings(rig, plans=(Plan("other"),))
     assert rig.answers[rig.ask("q")] == "Reject"
     rig.finish(in_flight[0])
     assert held[0] in rig.sent
@@ -156,9 +156,9 @@
 
 
 def test_pending_requests_keep_their_class_when_it_is_removed_or_changes_its_idempotency():
-    rig = a_rig()
+    rig = new_rig()
     unsafe_request, brief_request = rig.ask(class_name="unsafe"), rig.ask(class_name="brief")
-    tell(
+    change_settings(
         rig,
         classes=tuple(
             replace(item, idempotency=CLASSES[0].idempotency) for item in CLASSES if item.name != "brief"
@@ -178,10 +178,10 @@
 
 
 def test_rate_ceiling_halved_with_attempts_in_flight_bounds_all_later_requests():
-    rig = a_rig(CEILING)
+    rig = new_rig(CEILING)
     rig.run(10_000.0)
     assert len(sent(rig, 4, plan="q")) == 4  # six are left of a share of ten
-    tell(rig, plans=(replace(CEILING, ceiling_rate=5.0, ceiling_burst=10.0),))
+    change_settings(rig, plans=(replace(CEILING, ceiling_rate=5.0, ceiling_burst=10.0),))
     assert len(sent(rig, 20, plan="q")) == 5  # the new share
     before = len(rig.sent)
     rig.run(900.0)
@@ -189,10 +189,10 @@
 
 
 def test_rate_ceiling_raised_with_attempts_in_flight_stays_the_old_one_until_they_have_ended():
-    rig = a_rig(replace(CEILING, rate=100.0))
+    rig = new_rig(replace(CEILING, rate=100.0))
     rig.run(10_000.0)
     (name,) = sent(rig, 1, plan="q")
-    tell(rig, plans=(replace(CEILING, ceiling_rate=100.0, ceiling_burst=200.0),))
+    change_settings(rig, plans=(replace(CEILING, ceiling_rate=100.0, ceiling_burst=200.0),))
     rig.run(1000.0)
     assert customer(rig).transition_plan.ceiling_burst == 20.0
     rig.finish(name)
@@ -204,9 +204,9 @@
 
 @pytest.mark.parametrize("cap", [2, 16])
 def test_stricter_of_old_and_new_cap_holds_until_attempts_in_flight_have_ended(cap):
-    rig = a_rig(CAP)
+    rig = new_rig(CAP)
     names = sent(rig, 3, plan="q")
-    tell(rig, plans=(replace(CAP, max_in_flight=cap),))
+    change_settings(rig, plans=(replace(CAP, max_in_flight=cap),))
     more = sent(rig, 4, plan="q")
     assert len(more) == (1 if cap == 16 else 0)  # a share of 4, or of one
     for name in names + more:
@@ -227,13 +227,13 @@
 
 
 def test_more_gateways_shrink_shares_at_once_and_fewer_let_them_grow_after_the_fleet_update_time():
-    rig = a_rig(QUOTA, gateways=4)
+    rig = new_rig(QUOTA, gateways=4)
     assert len(sent(rig, 20, plan="q", width=8)) == 2
     limit_before = rig.gateway.concurrency_limit.limit
-    tell(rig, gateways=8)
+    change_settings(rig, gateways=8)
     assert customer(rig).serving_gateways == 8
     assert rig.gateway.concurrency_limit.limit == limit_before / 2
-    tell(rig, gateways=2)
+    change_settings(rig, gateways=2)
     rig.run(settings_change.FLEET_UPDATE_MS - 1.0)
     rig.ask(plan="q", width=8)
     assert customer(rig).serving_gateways == 8
@@ -243,10 +243,10 @@
 
 
 def test_another_change_within_the_fleet_update_time_restarts_the_wait():
-    rig = a_rig(QUOTA, gateways=4)
-    tell(rig, gateways=2)
+    rig = new_rig(QUOTA, gateways=4)
+    change_settings(rig, gateways=2)
     rig.run(settings_change.FLEET_UPDATE_MS / 2)
-    tell(rig, gateways=3)
+    change_settings(rig, gateways=3)
     rig.run(settings_change.FLEET_UPDATE_MS - 1.0)
     assert rig.gateway.epochs.gateways == 4
     rig.run(1.0)
@@ -260,11 +260,13 @@
     st.lists(st.floats(0.0, 3900.0), min_size=6, max_size=6),
     st.integers(200, 500),
 )
-def test_gateways_that_become_fewer_never_draw_more_than_the_ceiling_together(before, after, told_at, every):
-    """Each hears of it at its own moment within the platform's 4 s; those that leave draw on until then."""
+def test_gateways_that_become_fewer_never_draw_more_than_the_ceiling_together(
+    before, after, informed_at_ms, every
+):
+    """Each is informed at its own moment within the platform's 4 s; those that leave serve until then."""
     plan = Plan("q", rate=1000.0, burst=1000.0, ceiling_rate=12.0, ceiling_burst=24.0)
     after = min(before, after)
-    rigs = [a_rig(plan, gateways=before, index=index) for index in range(before)]
+    rigs = [new_rig(plan, gateways=before, index=index) for index in range(before)]
     level, at = 24.0, 1000.0
     for rig in rigs:
         rig.run(9000.0)
@@ -272,12 +274,12 @@
         now = 10_000.0 + step * every
         level, at = min(24.0, level + 12.0 * (now - at) / 1000.0), now
         for index, rig in enumerate(rigs):
-            heard = step * every >= told_at[index]
+            is_informed = step * every >= informed_at_ms[index]
             rig.run(now - rig.now)
-            if heard and index >= after:
+            if is_informed and index >= after:
                 continue  # it has left
-            if heard and rig.gateway.context.settings.gateways != after:
-                tell(rig, gateways=after)
+            if is_informed and rig.gateway.context.settings.gateways != after:
+                change_settings(rig, gateways=after)
             for _ in range(8):
                 rig.ask("q", width=8)
             while out := [name for name in rig.sent if name not in rig.answers]:
@@ -292,7 +294,7 @@
 
 
 def test_settings_change_that_raises_leaves_the_old_settings_in_force(monkeypatch):
-    rig = a_rig()
+    rig = new_rig()
     sent(rig, 3, plan="metered")
     gateway = rig.gateway
     monkeypatch.setattr(type(gateway.concurrency_limit), "mean_latencies_ms", lambda self, kinds: 1 / 0)
@@ -309,7 +311,7 @@
     )
     before = {path: attrgetter(path)(gateway) for path in watched}
     with pytest.raises(ZeroDivisionError):
-        tell(rig, classes=(replace(CLASSES[0], name="new"),), gateways=7)
+        change_settings(rig, classes=(replace(CLASSES[0], name="new"),), gateways=7)
     assert all(attrgetter(path)(gateway) is before[path] for path in watched)
     assert gateway.epochs.epoch == 0
     assert not gateway.epochs.past_epochs
@@ -317,7 +319,7 @@
 
 
 def test_state_loaded_under_other_settings_is_adapted_or_left_out_for_each_customer():
-    old = a_rig(QUOTA, Plan("c", ceiling_rate=10.0, ceiling_burst=20.0), Plan("gone"))
+    old = new_rig(QUOTA, Plan("c", ceiling_rate=10.0, ceiling_burst=20.0), Plan("gone"))
     old.run(10_000.0)
     for plan in ("q", "c", "gone"):
         sent(old, 1, plan=plan, customer=plan)
@@ -336,7 +338,7 @@
 
 
 def test_settings_changed_and_changed_back_after_a_hot_restart_keep_the_excess():
-    old = a_rig(QUOTA)
+    old = new_rig(QUOTA)
     sent(old, 4, plan="q")
     old.handle(HotRestartBegun())
     new = Rig(old.settings, seed=2)
@@ -345,16 +347,16 @@
     state_document.load(
         new.gateway, state_document.save(old.gateway, {1: "s-1", 2: "s-2"}), {"s-1": 1, "s-2": 2}
     )
-    tell(new, plans=(replace(QUOTA, rate=8.0),))
-    tell(new, plans=(QUOTA,))
+    change_settings(new, plans=(replace(QUOTA, rate=8.0),))
+    change_settings(new, plans=(QUOTA,))
     assert customer(new).excess_milliunits == 4000.0
     assert len(sent(new, 20, plan="q")) == 0
 
 
 def test_changed_limits_apply_to_pending_requests():
-    rig = a_rig(limits=Limits(max_attempts=3, can_cancel=True))
+    rig = new_rig(limits=Limits(max_attempts=3, can_cancel=True))
     name = rig.ask()
-    tell(rig, limits=Limits(max_attempts=1))
+    change_settings(rig, limits=Limits(max_attempts=1))
     rig.finish(name, Status.OVERLOADED)
     assert rig.answers[name] == "Reject"
     assert len(rig.sent[name]) == 1
