--- a/quota_gateway/config.py
+++ b/quota_gateway/config.py
@@ -45,7 +45,7 @@
     admin: Address | None
     seed: int
     descriptors: int
-    endpoint_list: str  # the file's list of servers, as JSON; it may be out of date
+    endpoint_list: str  # the file's endpoint list, as JSON; it may be out of date
     settings: api.Settings
     digest: str  # of the file's bytes, see file_digest
     fixed_values: Mapping[str, str]  # of FIXED_NAMES, from the file even if the environment overrides it
@@ -133,7 +133,7 @@
     """
     document = parse(raw)
     report = ConfigReport()
-    # A faulty server list must not stop a gateway, and only the start needs the list: it is checked there.
+    # A faulty endpoint list must not stop a gateway, and only the start needs it: it is checked there.
     endpoint_list = document.pop("known", None)
     report.check_nested_values("", document)
     _fill_from_environment(document, environment)
--- a/quota_gateway/errors.py
+++ b/quota_gateway/errors.py
@@ -36,7 +36,7 @@
 
 
 class DiscoveryError(GatewayError):
-    """Discovery can't be reached or its answer can't be used; the last known list of servers stays in use."""
+    """Discovery can't be reached or its answer can't be used; the last known endpoint list stays in use."""
 
 
 class RestartError(GatewayError):
--- a/quota_gateway/net/clients/command_dispatcher.py
+++ b/quota_gateway/net/clients/command_dispatcher.py
@@ -46,8 +46,8 @@
     def _accept_request(self, client: Client, command: list[bytes]) -> None:
         driver = self._driver
         try:
-            # A command that had to wait because the maximum was in flight has been here at least since the
-            # latest read, and its client's timeout has been running since then.
+            # A command that had to wait because the maximum was in flight was received with the latest read
+            # or before it. Its client's timeout has been running at least since that read.
             call = self.parser.parse(command, driver.clock() - client.last_read_ms)
             request = call.request
             if request.request_id in driver.requests:
--- a/quota_gateway/net/clients/command_stream.py
+++ b/quota_gateway/net/clients/command_stream.py
@@ -8,7 +8,7 @@
 from quota_gateway.net.clients.commands import CommandError
 from quota_gateway.net.declared_lengths import DeclaredLengths
 
-MAX_COMMAND_BYTES = 192 * 1024  # without a complete command: the largest body, one read and some reserve
+MAX_COMMAND_BYTES = 192 * 1024  # of an incomplete command: the largest body, one read and some reserve
 MAX_WORD_BYTES = 64 * 1024  # the protocol's limit for one value
 
 
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self._reader = hiredis.Reader(replyError=CommandError)
         self._lengths = DeclaredLengths(MAX_WORD_BYTES)
-        self.bytes_since_command = 0  # since the last command; the parser may hold up to a read more
+        self.bytes_since_command = 0  # after the latest command; the parser may hold up to a read more
         self.is_out_of_bounds = False  # after an invalid declared length nothing is parsed
 
     def feed(self, data: bytes) -> None:
--- a/quota_gateway/net/clients/commands.py
+++ b/quota_gateway/net/clients/commands.py
@@ -41,7 +41,7 @@
 class CallCommand(NamedTuple):
     """A request as its client sent it.
 
-    ``encode`` gives the command for a server, from the milliseconds that are left for it.
+    ``encode`` takes the time that is left, in milliseconds, and returns the command to send to a server.
     """
 
     request: api.Request
@@ -138,7 +138,7 @@
 
 
 def _encoder(name: bytes, command: list[bytes], field_list: bytes) -> Callable[[float], bytes]:
-    """Return a builder of the command for a server, unchanged except for the timeout, the time left."""
+    """Return a function that builds the command for a server: the client's, with the time left as timeout."""
     parts = field_list.split(b",")
     timeout_index = next(number for number, part in enumerate(parts) if part.startswith(TIMEOUT_FIELD + b"="))
 
--- a/quota_gateway/net/clients/connection.py
+++ b/quota_gateway/net/clients/connection.py
@@ -23,7 +23,9 @@
 
 log = logging.getLogger(__name__)
 
-LINGER_S = 0.4  # how long input is discarded after a half-close; LINGER_S + COMMAND_TIMEOUT_S is below 3 s
+# How long input is discarded after a half-close. LINGER_S + COMMAND_TIMEOUT_S is below 3 s, the limit that
+# command_timer.py gives.
+LINGER_S = 0.4
 
 
 class ClientState(Enum):
@@ -64,7 +66,7 @@
         self.transport: asyncio.Transport | None = None
         self.opened_at_s = clients.loop.time()
         self.idle_since = self.opened_at_s
-        self.has_requested = False  # once it has, clients keep it open between their requests
+        self.has_requested = False  # a request was received; clients now keep it open between requests
         self.retained_id = 0  # of the copy that the predecessor of a hot restart keeps; 0 for none
         self.linger_timer: asyncio.TimerHandle | None = None
 
@@ -87,7 +89,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the event loop once the connection is established."""
-        # uvloop's transports are not asyncio.Transport by class: no isinstance here
+        # No isinstance check: uvloop's transports don't inherit from asyncio.Transport.
         self.transport = cast(asyncio.Transport, transport)
         if not self.has_requested:
             self.command_timer.start(self._on_command_timeout)
@@ -122,7 +124,9 @@
         slots = self.replies.drop_all()
         if slots and self.close_reason:
             log.warning(
-                "closed a client's connection with %d replies owed: %s", len(slots), self.close_reason.value
+                "closed a client's connection with %d replies pending: %s",
+                len(slots),
+                self.close_reason.value,
             )
         for slot in slots:
             if slot.answer is None:
--- a/quota_gateway/net/clients/registry.py
+++ b/quota_gateway/net/clients/registry.py
@@ -17,7 +17,7 @@
 from quota_gateway.net.close_reason import CloseReason
 from quota_gateway.net.driver import Driver
 
-MAX_WAITING_BYTES = 2 * 1024 * 1024  # read, but waiting as the maximum of commands is in flight
+MAX_WAITING_BYTES = 2 * 1024 * 1024  # of commands that were read and wait, as the maximum is in flight
 MAX_UNSENT_BYTES = 8 * 1024 * 1024  # of replies that wait to be written
 MAX_LINGERING = 16  # half-closed connections allowed in addition to the limit on open ones
 SHUTDOWN_GRACE_S = 0.25  # for partly read commands and new connections, once idle ones are closed
@@ -39,7 +39,7 @@
         self.buffer = memoryview(bytearray(READ_BYTES))
         self.connections: OrderedDict[Client, None] = OrderedDict()  # least recently used first
         self.lingering: dict[Client, None] = {}  # half-closed connections, whose input is discarded
-        self.adopting: set[asyncio.Task[None]] = set()  # of accepted sockets without a transport yet
+        self.adopting: set[asyncio.Task[None]] = set()  # create the transports of adopted sockets
         self.waiting = ByteBudget(MAX_WAITING_BYTES)
         self.unsent = ByteBudget(MAX_UNSENT_BYTES)
 
@@ -48,7 +48,7 @@
         self.server: asyncio.Server | None = None  # accepts on a duplicate of the listener
 
         # What the load balancer is told, and when connections are closed
-        self.ready = False  # the list of servers has been received
+        self.ready = False  # the endpoint list has been received
         self.serving = True  # the load balancer may send clients
         self.idle_timeout_s = inf  # how long a connection may stay open without a request
         self.sweep_timer: asyncio.TimerHandle | None = None
@@ -116,7 +116,7 @@
     def ping_reply(self) -> bytes:
         """Reply to PING, which tells the load balancer whether to send clients to this gateway.
 
-        The reply is PONG only once the list of servers is known.
+        The reply is PONG only once the endpoint list is known.
         """
         if not self.ready:
             return LOADING_REPLY
@@ -205,9 +205,9 @@
         Many clients that send requests without reading the replies hold little each, but too much together.
         """
         if self.unsent.is_exceeded():
-            most = max(self.connections, key=lambda client: client.replies.unsent_bytes, default=None)
-            if most:
-                most.abort(CloseReason.UNSENT_BUDGET)
+            holder = max(self.connections, key=lambda client: client.replies.unsent_bytes, default=None)
+            if holder:
+                holder.abort(CloseReason.UNSENT_BUDGET)
 
     def unregister(self, client: Client) -> None:
         """Remove a connection from the open ones: it has ended, was transferred or is lingering."""
--- a/quota_gateway/net/clients/reply_queue.py
+++ b/quota_gateway/net/clients/reply_queue.py
@@ -16,7 +16,7 @@
     """Result of writing the replies that are due."""
 
     DONE = "done"  # nothing more is due, or the write buffer is full
-    VALUE_BROKE_OFF = "value broke off"  # incomplete; only closing tells the client
+    VALUE_BROKE_OFF = "value broke off"  # the server did not send all of it; closing is what tells the client
     CONNECTION_CLOSING = "connection closing"
 
 
--- a/quota_gateway/net/hot_restart/hot_restart.py
+++ b/quota_gateway/net/hot_restart/hot_restart.py
@@ -71,7 +71,7 @@
         return self.predecessor.handed_over
 
     def is_handover_complete(self) -> bool:
-        """Whether this process has handed over, and all messages have been sent."""
+        """Whether this process has handed over and has sent all messages to its successor."""
         return self.predecessor.is_handover_complete()
 
     def close(self) -> None:
@@ -91,7 +91,8 @@
         """Send SIGTERM to the predecessor of the two processes; returns why not, or an empty string.
 
         Can be called at either process, as the other may have a version that does not know the command. The
-        serving process is never ended: a predecessor that has taken back serves, and counts as one no more.
+        serving process is never ended: a predecessor that serves again, as its successor has ended, no longer
+        counts as one.
         """
         if self.handed_over:
             os.kill(os.getpid(), signal.SIGTERM)
--- a/quota_gateway/net/hot_restart/state_transfer.py
+++ b/quota_gateway/net/hot_restart/state_transfer.py
@@ -16,7 +16,7 @@
 class TransferredState(NamedTuple):
     """What the successor needs to continue in place of the predecessor."""
 
-    server_list: Any  # the server list in the form in which discovery sends it
+    server_list: Any  # the endpoint list in the form in which discovery sends it
     decisions: Any  # the policy's state, see quota_gateway.state_document
     overrides: OperatorOverrides
     remaining: RemainingConnections
@@ -33,7 +33,7 @@
 
     @classmethod
     def from_bytes(cls, raw: bytes) -> TransferredState:
-        """Decode the state; the server list and the policy's state are validated when they are applied.
+        """Decode the state; the endpoint list and the policy's state are validated when they are applied.
 
         Raises PeerProcessError.
         """
--- a/quota_gateway/net/servers/pool.py
+++ b/quota_gateway/net/servers/pool.py
@@ -213,7 +213,7 @@
         return True
 
     def _retire_idle(self) -> None:
-        """Close idle connections well before the server does, which would reset a request sent just then."""
+        """Close idle connections well before the server, whose close would reset a request sent just then."""
         cutoff = self.loop.time() - self.idle_limit_s
         for host in self.hosts.values():
             for connection in [candidate for candidate in host.idle if candidate.idle_since < cutoff]:
--- a/quota_gateway/net/servers/replies.py
+++ b/quota_gateway/net/servers/replies.py
@@ -26,7 +26,7 @@
 
     status: api.Status
     value: bytes | None = None
-    metered_use_percent: float | None = None  # the customer's use at all gateways, of its plan's rate
+    metered_use_percent: float | None = None  # of its plan's rate: the customer's use over all gateways
     final_units: float | None = None  # actual cost of the request, which replaces the estimate
     load: tuple[float, ...] | None = None  # in the order of the settings' load fields
     malformed: bool = False  # violates the protocol: the connection can't be used again
--- a/quota_gateway/process/builder.py
+++ b/quota_gateway/process/builder.py
@@ -32,7 +32,7 @@
     clients: ClientRegistry
     discovery: Discovery
     hot_restart: HotRestart
-    standby: SupervisedGateway | None  # None unless a supervisor runs the process
+    supervised_gateway: SupervisedGateway | None  # None unless a supervisor runs the process
     admin_commands: AdminCommands
     admin_endpoint: AdminEndpoint
     reload: ConfigurationReload
@@ -46,9 +46,9 @@
     clients = ClientRegistry(driver, config.settings, max_connections)
     driver.on_set_serving = clients.set_serving
     discovery = _discovery(config, driver, servers, clients)
-    standby = _standby(clients)
+    supervised_gateway = _supervised_gateway(clients)
     process_parts = ProcessParts(driver, clients, servers, discovery)
-    hot_restart = _hot_restart(config, process_parts, standby)
+    hot_restart = _hot_restart(config, process_parts, supervised_gateway)
     admin_commands = AdminCommands(driver, clients, discovery.registry, hot_restart)
     admin_endpoint = AdminEndpoint(admin_commands.commands(), admin_commands.check_token)
     reload = ConfigurationReload(config, os.environ, process_parts, admin_endpoint, hot_restart)
@@ -60,7 +60,7 @@
         clients,
         discovery,
         hot_restart,
-        standby,
+        supervised_gateway,
         admin_commands,
         admin_endpoint,
         reload,
@@ -80,7 +80,7 @@
     return Discovery(config.discovery, apply_list, config.seed, settings.gateways, settings.discovery)
 
 
-def _standby(clients: ClientRegistry) -> SupervisedGateway | None:
+def _supervised_gateway(clients: ClientRegistry) -> SupervisedGateway | None:
     """This process's end of the link to its supervisor; None if no supervisor runs the process.
 
     EDGE_KEEPER is the path of the supervisor's socket. Without it the failover code is not imported.
@@ -93,12 +93,14 @@
     return SupervisedGateway(path, clients)
 
 
-def _hot_restart(config: Config, parts: ProcessParts, standby: SupervisedGateway | None) -> HotRestart:
+def _hot_restart(
+    config: Config, parts: ProcessParts, supervised_gateway: SupervisedGateway | None
+) -> HotRestart:
     """Both ends of a hot restart; the two processes connect through a socket in the folder TMPDIR.
 
     Disabled under a supervisor: there the next process is already standing by, and it must not take over
     from a process that still serves.
     """
-    folder = None if standby else os.environ.get("TMPDIR")
+    folder = None if supervised_gateway else os.environ.get("TMPDIR")
     identity = GatewayIdentity(config.name, f"{config.listen[0]}:{config.listen[1]}")
     return HotRestart(folder, identity, parts)
--- a/quota_gateway/process/lifecycle.py
+++ b/quota_gateway/process/lifecycle.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger("quota_gateway")
 
-# Wait for discovery's server list before the process is ready with the configuration's, which may be old.
+# Wait for discovery's endpoint list before the process is ready with the configuration's, which may be old.
 FIRST_LIST_WAIT_S = 1.0
 
 
@@ -57,23 +57,23 @@
 
     async def _wait_for_turn(self) -> bool:
         """Stand by while another process of the supervisor serves; false if stopped before its turn came."""
-        standby = self._parts.standby
-        if standby is None:
+        supervised_gateway = self._parts.supervised_gateway
+        if supervised_gateway is None:
             return True
         self._use_configured_list()
-        self._watch_discovery()  # so that the server list is known when this process begins to serve
-        return await standby.wait_for_turn(self._stop)
+        self._watch_discovery()  # so that the endpoint list is known when this process begins to serve
+        return await supervised_gateway.wait_for_turn(self._stop)
 
     async def _take_over(self) -> socket.socket | None:
         """Take over from the predecessor, if any; returns the clients' listener if one was passed on."""
         parts = self._parts
         if self._config.admin:
             await parts.admin_endpoint.listen(*self._config.admin)
-        listener = parts.standby.listener() if parts.standby else None
+        listener = parts.supervised_gateway.listener() if parts.supervised_gateway else None
         listener = listener or passed_listener(os.environ, self._config.listen)
         if await parts.hot_restart.take_over():
             parts.clients.ready = True
-        elif parts.standby is None:
+        elif parts.supervised_gateway is None:
             self._use_configured_list()
         return listener or parts.hot_restart.take_listener()
 
@@ -83,8 +83,8 @@
         if self._discovery_task is None:
             self._watch_discovery()
         await parts.clients.listen(*self._config.listen, listener)
-        if parts.standby:
-            await parts.standby.serve()
+        if parts.supervised_gateway:
+            await parts.supervised_gateway.serve()
         parts.hot_restart.offer()
         parts.admin_commands.serving.set()
         parts.reload.serving.set()
@@ -100,8 +100,8 @@
         """Release the process's resources, except client connections, which the graceful shutdown closes."""
         parts = self._parts
         parts.hot_restart.close()
-        if parts.standby:
-            parts.standby.close()
+        if parts.supervised_gateway:
+            parts.supervised_gateway.close()
         parts.admin_endpoint.close()
         if self._discovery_task:
             self._discovery_task.cancel()
@@ -112,7 +112,7 @@
         self._discovery_task = loop.create_task(self._parts.discovery.run(), name="watch on discovery")
 
     def _use_configured_list(self) -> None:
-        """Use the configuration's server list, and be ready after a delay even if discovery sends none."""
+        """Use the configuration's endpoint list, and be ready after a delay even if discovery sends none."""
         self._parts.discovery.use_cached_list(json.loads(self._config.endpoint_list))
         asyncio.get_running_loop().call_later(FIRST_LIST_WAIT_S, self._become_ready)
 
--- a/quota_gateway/process/shutdown.py
+++ b/quota_gateway/process/shutdown.py
@@ -12,8 +12,8 @@
 
 log = logging.getLogger("quota_gateway")
 
-# The platform sends SIGKILL after the longest deadline of any request class (at most MAX_DEADLINE_WAIT_S)
-# and SIGKILL_DELAY_S.
+# The platform sends SIGKILL this long after SIGTERM: SIGKILL_DELAY_S plus the longest deadline of any request
+# class, of which at most MAX_DEADLINE_WAIT_S count.
 MAX_DEADLINE_WAIT_S = 3.0
 SIGKILL_DELAY_S = 0.7
 SIGKILL_MARGIN_S = 0.3  # all requests are answered this long before SIGKILL
--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -1,7 +1,7 @@
 """Connects gateways to the simulator, whose protocol it speaks on standard input and output.
 
 Converts the simulator's messages to events and the gateways' actions to messages, and makes no decisions.
-One process hosts many gateways, which share only the table of numbered server lists that the protocol
+One process hosts many gateways, which share only the table of numbered endpoint lists that the protocol
 declares for the whole process.
 """
 
@@ -80,7 +80,7 @@
         STATUS[f["code"]],
         f["delay_seen_ms"],
         bool(f["final"]),
-        f["metered"] - 1 if f["metered"] else None,
+        f["metered"] - 1 if f["metered"] else None,  # sent as the percentage plus 1; 0 for no reading
         f["final_units"] or None,
         _load_report(f["gauge"]),
     )
@@ -136,7 +136,7 @@
 
 
 class GatewayHost:
-    """The gateways of one process and the server lists that the simulator has declared to it."""
+    """The gateways of one process and the endpoint lists that the simulator has declared to it."""
 
     def __init__(self, create_gateway: GatewayFactory) -> None:
         self.create_gateway = create_gateway
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -296,7 +296,7 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.sampled_from(paths(GOOD)), VALUES)
-def test_whatever_stands_anywhere_is_a_configuration_or_a_list_of_faults(path, value):
+def test_any_value_at_any_path_gives_a_configuration_or_a_list_of_faults(path, value):
     document = changed(path, value)
     faults = None
     try:
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -35,7 +35,7 @@
 
 
 @asynccontextmanager
-async def node_with_small_buffers(server: FakeServer):
+async def gateway_with_small_buffers(server: FakeServer):
     """A gateway with small send buffers, so that it notices early when a client does not read."""
     async with local_gateway(server) as gateway:
         gateway.clients.listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SOCKET_BUFFER_BYTES)
@@ -106,7 +106,7 @@
 
     async def test():
         server = FakeServer(lambda _words: ANSWERS[rng.choice(list(ANSWERS))])
-        async with node_with_small_buffers(server) as gateway:
+        async with gateway_with_small_buffers(server) as gateway:
             clients = RandomClients(gateway, rng)
             for _ in range(80):
                 clients.step()
@@ -189,7 +189,7 @@
 
     async def test():
         server = silent_server()
-        async with node_with_small_buffers(server) as gateway:
+        async with gateway_with_small_buffers(server) as gateway:
             raw = await trigger(gateway, server)
             await until(lambda: not gateway.clients.connections)
             raw.sock.close()
@@ -197,7 +197,7 @@
             assert metrics.dropped == {reason: 1}
             assert metrics.disconnected_total == 0
             assert is_accounted_for(gateway)
-            assert f"with 2 replies owed: {reason.value}" in caplog.text
+            assert f"with 2 replies pending: {reason.value}" in caplog.text
 
     run(test())
 
