--- a/quota_gateway/failover/connection_record.py
+++ b/quota_gateway/failover/connection_record.py
@@ -37,7 +37,7 @@
 
 
 class ConnectionRecordError(GatewayError):
-    """The memory file has no usable record: none, a damaged one, or one of another version."""
+    """No usable record: none, a damaged one, one of another version, or one of an impossible size."""
 
 
 class DoubleBuffer:
--- a/quota_gateway/failover/gateway.py
+++ b/quota_gateway/failover/gateway.py
@@ -40,7 +40,7 @@
 log = logging.getLogger(__name__)
 
 RECONNECT_INTERVAL_S = 0.25  # between attempts to connect to the supervisor
-RECORD_NAME = "work"  # name of the shared memory file in the kernel's lists, as /proc/PID/maps
+RECORD_NAME = "work"  # name of the shared memory file in the kernel's lists, such as /proc/PID/maps
 
 
 @dataclass(frozen=True, slots=True)
--- a/quota_gateway/failover/messages.py
+++ b/quota_gateway/failover/messages.py
@@ -1,6 +1,7 @@
 """Messages between a supervisor and its gateways: one letter, in some with a number or a file descriptor.
 
-All versions use the same bytes, because a supervisor and its gateways may be of different versions.
+Each message's docstring begins with its sender. All versions use the same bytes, because a supervisor and its
+gateways may be of different versions.
 """
 
 from __future__ import annotations
@@ -98,7 +99,7 @@
 
 
 def decode(data: bytes) -> Message | None:
-    """The message in these bytes; None if its letter is unknown, as one of a later version.
+    """The message in these bytes; None if its letter is unknown, such as one of a later version.
 
     Raises PeerProcessError for an invalid number.
     """
--- a/quota_gateway/failover/supervisor.py
+++ b/quota_gateway/failover/supervisor.py
@@ -193,7 +193,8 @@
             previous.close_all()
         process = SupervisedProcess(link, record, is_serving)
         self.processes[link] = process
-        process.heartbeat = Heartbeat(lambda: None, link.peer_process.kill)  # sends nothing; see _on_death
+        # Sends nothing, but kills a process that sends nothing for too long; `_on_death` follows.
+        process.heartbeat = Heartbeat(lambda: None, link.peer_process.kill)
         process.heartbeat.start()
         _log_event("here", pid=pid, serving=is_serving)
         self.check_needed.set()
--- a/quota_gateway/recording/random_driver.py
+++ b/quota_gateway/recording/random_driver.py
@@ -135,12 +135,12 @@
     def _send_request(self) -> None:
         self.request_count += 1
         plan = self.rng.choice(self.initial_settings.plans)
-        kind = self.rng.choice(self.initial_settings.classes)
+        request_class = self.rng.choice(self.initial_settings.classes)
         number = min(int(self.rng.expovariate(0.2)), CUSTOMERS)
         self._send_event(
             api.Request(
                 f"r{self.request_count}",
-                kind.name,
+                request_class.name,
                 plan.name,
                 f"c{number}",
                 self.rng.uniform(20.0, 4000.0),
@@ -237,9 +237,9 @@
             return tuple(item for n, item in enumerate(items) if not n or self.rng.random() < 0.8)
 
         plans = tuple(map(scaled, subset(self.initial_settings.plans)))
-        kinds = subset(self.initial_settings.classes)
+        classes = subset(self.initial_settings.classes)
         self.settings = replace(
-            self.initial_settings, gateways=self.rng.randint(1, 6), plans=plans, classes=kinds
+            self.initial_settings, gateways=self.rng.randint(1, 6), plans=plans, classes=classes
         )
         self._send_event(api.SettingsChanged(self.settings))
 
--- a/quota_gateway/rollout/__main__.py
+++ b/quota_gateway/rollout/__main__.py
@@ -26,7 +26,9 @@
 
 DONE_EXIT_CODE = 0
 ROLLED_BACK_EXIT_CODE = 1
-FAILED_EXIT_CODE = 2  # no usable plan, or the controller stopped; it changes nothing more
+# The plan or the journal is unusable, the controller stopped, or no rollout runs that could take a command;
+# nothing more is changed.
+FAILED_EXIT_CODE = 2
 OTHER_CONTROLLER_EXIT_CODE = 3
 SIMULATION_TABLE_WIDTH = 110
 PLAN_FILE = click.Path(path_type=Path)
--- a/quota_gateway/rollout/answers.py
+++ b/quota_gateway/rollout/answers.py
@@ -1,7 +1,7 @@
 """Texts in answers of gateways and of platform commands that the controller's decisions depend on.
 
-Each constant names the module that prints the text. Gateways of other versions print the texts, too, so they
-are part of the interface and must not change.
+The comment on each constant names the module that prints the text. Gateways of other versions print the
+texts, too, so they are part of the interface and must not change.
 """
 
 from __future__ import annotations
--- a/quota_gateway/rollout/canary_analysis.py
+++ b/quota_gateway/rollout/canary_analysis.py
@@ -36,7 +36,7 @@
 
 
 class Verdict(Enum):
-    """The outcome of an evaluation; the values are column heads of the simulation's table."""
+    """The outcome of an evaluation; the values but the first are column heads of the simulation's table."""
 
     UNDECIDED = "wait"
     PASSED = "fine"
--- a/quota_gateway/rollout/canary_simulation.py
+++ b/quota_gateway/rollout/canary_simulation.py
@@ -142,7 +142,7 @@
         self.changed_requests = 0
 
     def run(self) -> SimulationResult:
-        """Run all stages, or as far as the first one that does not pass."""
+        """Run the stages up to the first one that does not pass."""
         names = self.fleet.names
         verdict = Verdict.PASSED
         last_stage = 0
--- a/quota_gateway/rollout/change_strategy.py
+++ b/quota_gateway/rollout/change_strategy.py
@@ -50,7 +50,7 @@
         return self.plan.path(target.config_file, target.name)
 
     def read_file(self, path: str, target: str) -> bytes:
-        """Read a target's file, by a path of the plan. Raises PlanError if it can't or it is too large."""
+        """Read a target's file, by a path of the plan. Raises PlanError if it is unreadable or too large."""
         try:
             data = self.plan.path(path, target).read_bytes()
         except OSError as error:
@@ -67,7 +67,9 @@
         except UnreachableError as error:
             raise PlanError(f"a member's admin endpoint (door) gives no usable answer: {error}") from None
         if in_force.digest != expected or in_force.on_trial:
-            raise PlanError(f"{target} is on trial, or goes by {in_force.digest}, not its file's {expected}")
+            raise PlanError(
+                f"{target}: on trial, or configuration {in_force.digest} in force, not its file's {expected}"
+            )
 
     @abstractmethod
     async def check(self) -> CheckedTargets:
--- a/quota_gateway/rollout/concurrency_rule.py
+++ b/quota_gateway/rollout/concurrency_rule.py
@@ -22,9 +22,9 @@
         self.set_size = min(plan.customer_set_size, len(self.names))
         self.positions = {name: position for position, name in enumerate(self.names)}
         self.zones = {target.name: target.zone for target in plan.targets}
-        self.zone_members = defaultdict[str, set[str]](set)
+        self.zone_targets = defaultdict[str, set[str]](set)
         for target in plan.targets:
-            self.zone_members[target.zone].add(target.name)
+            self.zone_targets[target.zone].add(target.name)
 
     def next_to_change(self, waiting: Sequence[str], changing: Collection[str]) -> list[str]:
         """The waiting targets that may be changed now, in their order."""
@@ -41,8 +41,8 @@
 
     def _empties_zone(self, name: str, unavailable: set[str]) -> bool:
         """Whether a target's whole zone would be unavailable; never true for a zone of one target."""
-        members = self.zone_members[self.zones[name]]
-        return len(members) > 1 and members <= unavailable
+        targets = self.zone_targets[self.zones[name]]
+        return len(targets) > 1 and targets <= unavailable
 
     def _empties_customer_set(self, name: str, unavailable: set[str]) -> bool:
         """Whether all gateways of a customer that a target serves would be unavailable."""
--- a/quota_gateway/rollout/controller.py
+++ b/quota_gateway/rollout/controller.py
@@ -2,7 +2,8 @@
 
 Every step reads the targets' state first and does only what is missing, so that it can be repeated after a
 crash. Records that announce an action are on disk before the action begins. While no controller runs, targets
-on trial revert by themselves. The phases and their transitions are in `rollout_state`.
+revert new settings by themselves when their trial time is over; processes of another program version continue
+side by side. The phases and their transitions are in `rollout_state`.
 """
 
 from __future__ import annotations
--- a/quota_gateway/rollout/journal.py
+++ b/quota_gateway/rollout/journal.py
@@ -2,7 +2,8 @@
 
 A record is synced to disk before the action that it announces begins. One that is cut off or damaged counts
 as absent, with all after it. One controller holds the journal at a time, by a lock on the file. Each has a
-token above those of all controllers before it, so that gateways can reject one that was thought dead.
+token above those of all controllers before it, so that gateways can reject an earlier controller that was
+thought dead.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
     """The records of a journal, each with the offset of its end, up to the first incomplete or damaged one.
 
     Raises:
-        JournalError: a complete record is none that a version of this program writes.
+        JournalError: a complete record is of no kind that this program knows.
     """
     decoder = msgspec.json.Decoder(JournalRecord)
     offset = 0
@@ -104,7 +105,7 @@
         os.lseek(self.file, end, os.SEEK_SET)
 
     def _next_token(self) -> int:
-        """Unix time in milliseconds, so also above the tokens of other journals."""
+        """A number above the last token, and by the Unix time in ms also above other journals' tokens."""
         return max(self.state.token + 1, int(1000.0 * self.clock()))
 
     def write(self, record: JournalRecord) -> None:
--- a/quota_gateway/rollout/launcher.py
+++ b/quota_gateway/rollout/launcher.py
@@ -43,7 +43,7 @@
 ANSWER_STARTS = (ACCEPTED[:2].encode(), REJECTED[:2].encode())  # of an admin endpoint's answer
 
 
-class RejectedError(click.ClickException):
+class CommandFailedError(click.ClickException):
     """The command failed; click prints the message on standard error and exits with 1."""
 
     exit_code = FAILED_EXIT_CODE
@@ -67,14 +67,14 @@
     """Hold a folder's lock, so that calls run one at a time; reject a token lower than one seen before.
 
     Raises:
-        RejectedError: a call with a higher token came before.
+        CommandFailedError: a call with a higher token came before.
     """
     file = _open_file(runtime_folder / "launch")
     try:
         fcntl.flock(file, fcntl.LOCK_EX)
         highest_token = _read_number(file)
         if token < highest_token:
-            raise RejectedError(f"{OLDER_TOKEN}: a call with token {highest_token} came before")
+            raise CommandFailedError(f"{OLDER_TOKEN}: a call with token {highest_token} came before")
         _write_number(file, token)
         os.fsync(file)
         yield
@@ -192,18 +192,20 @@
     Returns `STARTED` or `RUNNING`.
 
     Raises:
-        RejectedError: the process does not answer; one that was started here has been killed.
+        CommandFailedError: the process does not answer; one that was started here has been killed.
     """
     address_lock = AddressLock(gateway.runtime_folder, gateway.admin_address)
     if not address_lock.acquire_if_free():
         if not address_lock.wait_until_answering():
-            raise RejectedError(f"a process has locked {gateway.admin_address}, but does not answer there")
+            raise CommandFailedError(
+                f"a process has locked {gateway.admin_address}, but does not answer there"
+            )
         return RUNNING
     child = gateway.spawn(address_lock)
     if not address_lock.wait_until_answering(child):
         child.kill()
         child.wait()
-        raise RejectedError(
+        raise CommandFailedError(
             f"process ended with exit code {child.returncode}: {last_line_of_log(gateway.log_path)}"
         )
     return STARTED
--- a/quota_gateway/rollout/operator_commands.py
+++ b/quota_gateway/rollout/operator_commands.py
@@ -28,7 +28,7 @@
         replace_file(self.path, command.encode())
 
     def take(self) -> OperatorCommand | None:
-        """Remove the command from the file and return it; none if there is none, or an unknown one."""
+        """Remove the command from the file and return it; None if there is no command or an unknown one."""
         try:
             word = self.path.read_text().strip()
             self.path.unlink()
--- a/quota_gateway/rollout/plan.py
+++ b/quota_gateway/rollout/plan.py
@@ -2,7 +2,8 @@
 
 A plan is a TOML file; it is read completely, or rejected with its first fault. Times are seconds, shares are
 0 to 1. Paths are relative to the plan's folder. The TOML keys are those that operators' plans and the stored
-fingerprints use; each class maps its fields to them.
+fingerprints use; each class maps its fields to them. Texts for operators use the words of the keys: a target
+is a member there, and its admin endpoint a door.
 """
 
 from __future__ import annotations
@@ -125,9 +126,9 @@
             one halts the rollout.
         watch_s: minimum time that a stage is watched after its targets are changed.
         max_watch_s: maximum time that a stage is watched; without a verdict by then the rollout halts.
-        min_requests: requests that the judged targets, and that the others, must have answered before a stage
-            can pass.
-        trial_s: time after which a target reverts new settings that are neither confirmed nor renewed.
+        min_requests: requests that the canary targets, and that the control targets, must have answered
+            before a stage can pass; see `canary_analysis`.
+        trial_s: time after which a target reverts new settings whose trial is neither confirmed nor renewed.
         poll_interval_s: time between two reads of a target's figures.
         settle_s: time at the beginning of a watch whose figures don't count, as a process that has just
             started is slower for a while.
--- a/quota_gateway/rollout/program_rollout.py
+++ b/quota_gateway/rollout/program_rollout.py
@@ -45,7 +45,7 @@
         self.platform = PlatformCommands(plan, self.change, clients.token)
         self.versions = VersionCheck(plan)
         self.pairs = ProcessPairReader(clients)
-        # By target, the event loop's time since when one of its processes is waited for. Shared by `apply`,
+        # By target, the event loop's time when the wait for one of its processes began. Shared by `apply`,
         # which waits for the successor to serve, and by the rollback, which waits for it to hand over and
         # restarts the wait when it starts a predecessor. Not stored: another controller counts from its first
         # check.
@@ -147,7 +147,7 @@
         """Nothing to do: predecessor and successor stay alive without a time limit."""
 
     async def failure_of(self, target: str) -> str:
-        """The failure that the successor has ended, if the predecessor serves again; otherwise empty."""
+        """A text that says that the successor has ended, if the predecessor serves again; else empty."""
         return self._failure_in(target, await self._pair(target))
 
     def _failure_in(self, target: str, pair: ProcessPair) -> str:
--- a/quota_gateway/rollout/stage_runner.py
+++ b/quota_gateway/rollout/stage_runner.py
@@ -42,8 +42,8 @@
         """The current stage's targets."""
         return self.context.stages[self.state.stage]
 
-    def _judged_targets(self) -> set[str]:
-        """Targets that are compared with the others.
+    def _canary_targets(self) -> set[str]:
+        """The canary targets, which are compared with the others.
 
         These are all changed targets, as harm may show late. Once every target is changed, only this stage's
         are compared, with those of the stages before.
@@ -53,7 +53,7 @@
 
     def _analysis(self, baseline: Baseline) -> CanaryAnalysis:
         return CanaryAnalysis(
-            self._judged_targets(),
+            self._canary_targets(),
             baseline,
             self.plan.limits,
             len(self.context.stages),
@@ -73,7 +73,7 @@
         while True:
             measured_s = loop.time() - started_at_s
             if measured_s >= next_check_s:
-                baseline = measure_baseline(self._judged_targets(), windows)
+                baseline = measure_baseline(self._canary_targets(), windows)
                 is_sufficient = self._analysis(baseline).is_baseline_sufficient()
                 if measured_s >= self.plan.max_watch_s or is_sufficient:
                     break
@@ -126,7 +126,7 @@
                 for name, window in windows.items():
                     analysis.add(name, window)
             await self.context.trials.renew(self._targets)
-            result = await self.checks.evaluate(self._judged_targets()) or analysis.evaluate()
+            result = await self.checks.evaluate(self._canary_targets()) or analysis.evaluate()
             self._act_on(result, loop.time() - started_at_s - self.plan.settle_s)
 
     def _act_on(self, result: CanaryResult, watched_s: float) -> None:
@@ -171,5 +171,6 @@
             self.context.record(StageConfirmed(self.context.now_s(), stage))
 
     def _record_reverted(self, name: str) -> None:
+        """Record that a target's change begins again, which makes the stage's phase `CHANGING`."""
         log_target_reverted(name)
         self.context.record(TargetChanging(self.context.now_s(), name))
--- a/quota_gateway/rollout/target_checks.py
+++ b/quota_gateway/rollout/target_checks.py
@@ -67,7 +67,9 @@
         limit_kib = KIB_PER_MIB * self.context.plan.limits.memory_mb
         for name in sorted(growth_kib.keys() & canary):
             if growth_kib[name] - control_kib > limit_kib:
-                reason = f"{name}: peak memory grew {growth_kib[name]} KiB, of others {control_kib} at most"
+                reason = (
+                    f"{name}: peak memory grew by {growth_kib[name]} KiB, of others by {control_kib} at most"
+                )
                 return CanaryResult(Verdict.WORSE, reason)
         return None
 
--- a/quota_gateway/rollout/trial_renewal.py
+++ b/quota_gateway/rollout/trial_renewal.py
@@ -1,4 +1,4 @@
-"""Renews the trials of changed targets while a stage is watched."""
+"""Renews the trials of changed targets while a stage is watched or the rollout is halted."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TrialRenewal:
-    """Renews trials several times within their time, so that none ends while its stage is watched."""
+    """Renews each trial several times before its time is up, so that none ends by itself."""
 
     def __init__(self, strategy: ChangeStrategy, trial_s: float) -> None:
         self.strategy = strategy
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -232,7 +232,7 @@
 """
 
 
-class SupervisedGateway:
+class GatewayUnderSupervisor:
     """One gateway under a supervisor: whichever of its processes serves."""
 
     def __init__(self, rig, member) -> None:
@@ -285,7 +285,7 @@
         scenario = msgspec.structs.replace(SCENARIO, world=world, rate=80.0)
         program = Program(ROOT, f"{python} -m quota_gateway.failover run {tmp_path}/supervisor.toml")
         async with FaultBench(scenario, tmp_path / "rig", program=program) as rig:
-            gateway = SupervisedGateway(rig, rig.managed_gateways["g0"])
+            gateway = GatewayUnderSupervisor(rig, rig.managed_gateways["g0"])
             try:
                 await case(gateway)
             except BaseException:
@@ -299,9 +299,9 @@
         os.close(write_end)
 
 
-@pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGSTOP])
-def test_standby_continues_connections_at_rest_and_closes_the_others(tmp_path, number):
-    async def case(gateway: SupervisedGateway):
+@pytest.mark.parametrize("signal_number", [signal.SIGKILL, signal.SIGSTOP])
+def test_standby_continues_connections_at_rest_and_closes_the_others(tmp_path, signal_number):
+    async def case(gateway: GatewayUnderSupervisor):
         client_at_rest = await gateway.connect()
         for turn in range(2):  # an adopted connection can be adopted again, or closed
             await gateway.wait_for_registration()
@@ -313,7 +313,7 @@
             client_mid_request.send(call_of(5)[:30])
             before = await gateway.pid()
             await gateway.wait_for_request_in_flight()
-            os.kill(before, number)
+            os.kill(before, signal_number)
             gateway.mute(False)
             client_at_rest.send(call_of(6))
             assert await client_at_rest.reply() == b"0000000000000006"
@@ -334,7 +334,7 @@
 
 
 def test_gateways_outlive_the_supervisor_and_the_next_one_supervises_them(tmp_path):
-    async def case(gateway: SupervisedGateway):
+    async def case(gateway: GatewayUnderSupervisor):
         await gateway.wait_for_registration()
         client_at_rest = await gateway.connect()
         assert await client_at_rest.ask(call_of(1)) == b"0000000000000001"
@@ -392,7 +392,7 @@
 
 
 def test_kill_under_load_loses_no_more_requests_than_were_in_flight(tmp_path):
-    async def case(gateway: SupervisedGateway):
+    async def case(gateway: GatewayUnderSupervisor):
         load = gateway.rig.load
         load_task = gateway.rig.clock.loop.create_task(load.run())
         for _ in range(3):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -427,7 +427,7 @@
         # Changed by hand and not reloaded: a rollout begins only if all gateways use their files.
         config.write_bytes(fleet.old_files["g1"])
         assert await fleet.run_to_end(other) == 2
-        assert "g1 is on trial, or goes by" in fleet.log()
+        assert "g1: on trial, or configuration" in fleet.log()
 
     run_with_fleet(tmp_path, case)
 
