--- a/quota_gateway/fault_bench/__main__.py
+++ b/quota_gateway/fault_bench/__main__.py
@@ -128,7 +128,7 @@
 
 @click.group()
 def main() -> None:
-    """Run real gateways under load and faults, and check from outside that they keep their rules."""
+    """Run real gateways under load and faults, and check from outside that they keep the platform's rules."""
 
 
 @main.command()
--- a/quota_gateway/fault_bench/bench.py
+++ b/quota_gateway/fault_bench/bench.py
@@ -35,7 +35,8 @@
 READY_TIMEOUT_S = 30.0  # for all gateways to serve
 MIN_RECORDED_DELAY_MS = 20.0  # shorter delays of the event loop are not recorded
 POLL_INTERVAL_S = 0.02
-# Callers of a gateway's first and second admin endpoint, whichever of its processes is the newest.
+# In names of links: the callers of a gateway's first and of its second admin address. The caller ``doors``
+# always reaches the admin endpoint of the gateway's newest living process instead.
 ADMIN_CALLERS = ("doors-0", "doors-1")
 BENCH_NUMBERS = count()  # within this process
 
@@ -129,11 +130,13 @@
         """Record a server's current state, and publish it through discovery."""
         model = server.model
         state = model.entry.state.value
-        started = model.started
+        started_ms = model.started_ms
         self.history.add(
-            records.ServerChanged(self.clock.now, server.name, model.entry.zone, state, started, model.speed)
+            records.ServerChanged(
+                self.clock.now, server.name, model.entry.zone, state, started_ms, model.speed
+            )
         )
-        self.discovery.set(server.name, model.entry, started)
+        self.discovery.set(server.name, model.entry, started_ms)
 
     def set_state(self, server: StandInServer, state: api.ServerState) -> None:
         """Change a server's state, for instance to draining, and announce it."""
@@ -206,7 +209,7 @@
         await self.until(lambda: all(self.load_balancer.is_up(name) for name in self.managed_gateways))
 
     async def _watch_loop(self) -> None:
-        """Record delays of the bench's own event loop: no gateway on this machine could be quicker."""
+        """Record delays of the bench's own event loop: a gateway on this machine could not be quicker."""
         loop = asyncio.get_running_loop()
         while True:
             due_s = loop.time() + POLL_INTERVAL_S
--- a/quota_gateway/fault_bench/fault_windows.py
+++ b/quota_gateway/fault_bench/fault_windows.py
@@ -81,8 +81,8 @@
             begin_ms = self._windows[gateway][index].begin_ms
             self._windows[gateway][index] = FaultWindow(step.action, begin_ms, step.time_ms)
 
-    def actions_at(self, gateway: str) -> set[str]:
-        """The excusing faults of a gateway so far, including those that are over."""
+    def actions_so_far(self, gateway: str) -> set[str]:
+        """The excusing faults that a gateway has had so far, including those that are over."""
         return {window.action for window in self._windows.get(gateway, ())}
 
     def is_excused(self, gateway: str, sent_ms: float, ended_ms: float, excuse: Excuse) -> bool:
--- a/quota_gateway/fault_bench/link_faults.py
+++ b/quota_gateway/fault_bench/link_faults.py
@@ -10,7 +10,7 @@
 
 
 async def carry_out(step: Step, links: Sequence[Link]) -> Undo:
-    """Inject the step's fault into the links; what undoes it. Raises ValueError for an unknown fault."""
+    """Inject the step's fault into the links; returns what undoes it. Raises ValueError if it is unknown."""
     match step.do:
         case "partition" | "silent":
             return _silence(links, step)
--- a/quota_gateway/fault_bench/load.py
+++ b/quota_gateway/fault_bench/load.py
@@ -1,7 +1,8 @@
-"""Generates the clients' load: arrivals at a set rate that wait for no reply, over each customer's gateways.
+"""Generates the clients' load: operations begin at a set rate, whether or not earlier ones were answered.
 
-A client keeps its connections open and retries as the world configures it. If a connection that had carried
-replies is closed before the reply, it sends the request once more, unless the request must not run twice.
+A client sends a request to one of its customer's gateways, keeps its connections open, and retries as the
+world configures it. If a connection that had carried replies is closed before the reply, it sends the request
+once more, unless the request must not run twice.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 PATIENCE_MS = 1000.0  # from a request's deadline until its client gives up
 RETRY_PAUSE_MS = 150.0  # mean pause before a retry if the gateway advised none
 MAX_LATENCY_US = 120_000_000
-SAFE = "safe"  # effects of a request class, as scenario files spell them
+SAFE = "safe"  # idempotency of a request class, as scenario files spell it
 KEYED = "keyed"
 UNSAFE = "unsafe"
 
@@ -43,7 +44,7 @@
     """A customer with its plan; ``first_gateway`` is the number of the first of the gateways that it uses."""
 
     name: str
-    tariff: PlanConfig
+    plan: PlanConfig
     first_gateway: int
     weight: float  # share of the load, not normalized
 
@@ -90,7 +91,7 @@
             operation.operation_id,
             self.gateway,
             operation.request_class.name,
-            operation.customer.tariff.name,
+            operation.customer.plan.name,
             operation.customer.name,
             self.intended_ms,
             self.deadline_ms,
@@ -140,12 +141,12 @@
 
     def _draw_customers(self) -> list[Customer]:
         customers: list[Customer] = []
-        for tariff in self.world.plans:
-            for _ in range(tariff.customers):
-                is_heavy = float(self._arrivals.random()) < tariff.heavy_probability
-                weight = tariff.rate * (tariff.heavy_demand_ratio if is_heavy else tariff.demand_ratio)
+        for plan in self.world.plans:
+            for _ in range(plan.customers):
+                is_heavy = float(self._arrivals.random()) < plan.heavy_probability
+                weight = plan.rate * (plan.heavy_demand_ratio if is_heavy else plan.demand_ratio)
                 first_gateway = int(self._arrivals.integers(self.world.gateways))
-                customers.append(Customer(f"{len(customers) + 1:016x}", tariff, first_gateway, weight))
+                customers.append(Customer(f"{len(customers) + 1:016x}", plan, first_gateway, weight))
         return customers
 
     async def run(self) -> None:
@@ -211,7 +212,7 @@
         return self._last_number
 
     def _retries(self, operation: Operation, outcome: RequestOutcome) -> bool:
-        """Whether the client retries, by chance: a rejection always may be, a failure if it may run twice."""
+        """Whether the client retries, by chance: after a rejection, or a failure if it may run twice."""
         is_unsafe = operation.request_class.idempotency == UNSAFE
         is_harmless = outcome is RequestOutcome.REJECTED or (
             not is_unsafe and outcome is not RequestOutcome.SERVED
@@ -220,7 +221,7 @@
 
     def _choose_gateway(self, customer: Customer) -> str | None:
         """One of the customer's gateways that is up; if none is, any other that is; None if all are down."""
-        width = min(customer.tariff.gateways_per_customer, self.world.gateways)
+        width = min(customer.plan.gateways_per_customer, self.world.gateways)
         names = [f"g{(customer.first_gateway + n) % self.world.gateways}" for n in range(width)]
         up = [name for name in names if self.load_balancer.is_up(name)]
         up = up or [name for name in self.links if self.load_balancer.is_up(name)]
@@ -232,9 +233,9 @@
         customer = operation.customer
         fields = [
             f"c={operation.request_class.name}",
-            f"t={customer.tariff.name}",
+            f"t={customer.plan.name}",
             "units=1",
-            f"spread={min(customer.tariff.gateways_per_customer, self.world.gateways)}",
+            f"spread={min(customer.plan.gateways_per_customer, self.world.gateways)}",
             f"first={customer.first_gateway}",
         ]
         if operation.idempotency_key:
@@ -269,7 +270,7 @@
         return result
 
     async def _exchange(self, request: ClientRequest) -> RequestResult:
-        """Send a request; send it again if a used connection ended, since its close may have crossed it."""
+        """Send a request; send it again if a used connection ended: its close may have crossed it."""
         for is_resent in (False, True):
             connection = await self._connection(request.gateway)
             if connection is None:
@@ -277,13 +278,13 @@
             if is_resent:
                 self.history.add(records.RequestResent(self.clock.now, request.request_id))
             try:
-                return self._read(request, await self._reply(request, connection))
+                return self._classify_reply(request, await self._await_reply(request, connection))
             except ConnectionEndedError as ended:
                 if not ended.was_used or request.operation.request_class.idempotency == UNSAFE:
                     break
         return RequestResult(RequestOutcome.CONNECTION_ENDED)
 
-    async def _reply(self, request: ClientRequest, connection: ClientConnection) -> Any:
+    async def _await_reply(self, request: ClientRequest, connection: ClientConnection) -> Any:
         """Wait for the reply, then keep the connection for other requests. Raises ConnectionEndedError."""
         is_complete = False
         try:
@@ -295,7 +296,7 @@
         self._idle[request.gateway].append(connection)
         return reply
 
-    def _read(self, request: ClientRequest, reply: Any) -> RequestResult:
+    def _classify_reply(self, request: ClientRequest, reply: Any) -> RequestResult:
         if isinstance(reply, ErrorReply):
             word, _, advice = str(reply).partition(" ")
             if word == "BUSY":
--- a/quota_gateway/fault_bench/platform.py
+++ b/quota_gateway/fault_bench/platform.py
@@ -91,7 +91,7 @@
         async with self.locks[request.gateway]:
             highest_token = self.tokens.get(request.gateway, 0)
             if request.token < highest_token:
-                return PlatformAnswer(False, f"an older token: {highest_token} has called")
+                return PlatformAnswer(False, f"an older token: a call with token {highest_token} came before")
             self.tokens[request.gateway] = request.token
             managed = self.managed_gateways[request.gateway]
             process = managed.living_process_at(admin_index)
--- a/quota_gateway/fault_bench/records.py
+++ b/quota_gateway/fault_bench/records.py
@@ -89,7 +89,11 @@
 
 
 class AttemptArrived(Record, tag="arrived", frozen=True, rename={"request_id": "id", "work_ms": "work"}):
-    """A server has received an attempt completely; ``work_ms`` is its time on a core of speed 1."""
+    """A server has received an attempt completely.
+
+    ``number`` counts the request's attempts at this server, from 1. ``work_ms`` is the attempt's time on a
+    core of speed 1.
+    """
 
     request_id: str
     number: int
@@ -101,7 +105,8 @@
 class AttemptLeft(Record, tag="left", frozen=True, rename={"attempt_id": "id"}):
     """An attempt has ended at its server.
 
-    ``attempt_id``: the request's id and the server's name, with ``@`` between; ``status``: an `api.Status`.
+    ``attempt_id``: the request's id and the server's name, with ``@`` between; ``number``: that of its
+    arrival; ``status``: an `api.Status`.
     """
 
     attempt_id: str
--- a/quota_gateway/fault_bench/referee.py
+++ b/quota_gateway/fault_bench/referee.py
@@ -72,7 +72,7 @@
     def __init__(self, sent: records.RequestSent, request_class: api.RequestClass) -> None:
         self.sent = sent
         name = f"{sent.request_id} at {sent.gateway}"
-        self.judged = ObservedRequest(name, request_class, sent.time_ms, sent.deadline_ms, sent.units)
+        self.observed = ObservedRequest(name, request_class, sent.time_ms, sent.deadline_ms, sent.units)
         # By server and the attempt's number there: the attempt's number at the simulation's referee.
         self.attempt_numbers: dict[tuple[str, int], int] = {}
         self.arrived_attempts = 0
@@ -95,7 +95,7 @@
         self.clock = HistoryClock()
         settings = world.settings(0)
         self.classes = {request_class.name: request_class for request_class in settings.classes}
-        self.tariffs = {plan.name: plan for plan in world.plans}
+        self.plans = {plan.name: plan for plan in world.plans}
         self.requests: dict[str, JudgedRequest] = {}
         self.servers: dict[str, Server] = {}
         self.drained_ms: dict[tuple[str, str], float] = {}  # by gateway and server: when it was notified
@@ -137,7 +137,7 @@
         if record.state != "ended":
             return
         self.process_ends.setdefault(record.gateway, []).append(record.time_ms)
-        actions = self.faults.actions_at(record.gateway)
+        actions = self.faults.actions_so_far(record.gateway)
         is_caused_by_fault = "memory" in actions or (record.code < 0 and actions & {"kill", "stop"})
         if record.code and not is_caused_by_fault:
             self.referee.breach("crash", f"a process of {record.gateway} ended with exit code {record.code}")
@@ -146,7 +146,7 @@
         number = int(record.server.rpartition("-")[2])
         entry = api.ServerEntry(number, record.zone, state=api.ServerState(record.state))
         server = Server(self.clock, self.world.machines, entry, record.speed)
-        server.started = record.started_ms
+        server.started_ms = record.started_ms
         self.servers[record.server] = server
         if entry.state is api.ServerState.READY:
             for pair in [pair for pair in self.drained_ms if pair[1] == record.server]:
@@ -172,13 +172,13 @@
     def _on_request_resent(self, record: records.RequestResent) -> None:
         """Note a request with earlier attempts, to be judged at the end of the history.
 
-        Only a process that has died may leave a forwarded request without a reply, and a process that lives
-        can't know of the attempts of one that died: so they don't count as copies of the resent request.
+        Only a process that has died may leave a forwarded request without a reply. The process that gets the
+        resent request can't know of the attempts of the one that died, so they don't count against it.
         """
         request = self.requests[record.request_id]
         if request.arrived_attempts:
             self.resent_after_arrival.append(ResentRequest(request, record.time_ms))
-        request.judged.possible_runs.clear()
+        request.observed.possible_runs.clear()
 
     def _on_attempt_arrived(self, record: records.AttemptArrived) -> None:
         self.attempts += 1
@@ -191,10 +191,10 @@
         if request.arrived_attempts == 0:
             self._charge(request)
         request.arrived_attempts += 1
-        request.attempt_numbers[record.server, record.number] = request.judged.attempts_sent
+        request.attempt_numbers[record.server, record.number] = request.observed.attempts_sent
         drained_ms = self.drained_ms.get((record.gateway, record.server), inf)
         self.referee.sent(
-            request.judged,
+            request.observed,
             self.servers[record.server],
             record.work_ms,
             None
@@ -208,21 +208,21 @@
         request = self.requests.get(request_id)
         number = request.attempt_numbers.get((server, record.number)) if request else None
         if request and number is not None:
-            self.referee.ended(request.judged, number, api.Status(record.status))
+            self.referee.ended(request.observed, number, api.Status(record.status))
 
     def _charge(self, request: JudgedRequest) -> None:
         """Draw a request's units from its customer's quota and ceiling."""
         sent = request.sent
-        tariff = self.tariffs[sent.plan]
-        quota = self.quotas.setdefault(sent.customer, TokenBucket(tariff.rate, tariff.burst))
+        plan = self.plans[sent.plan]
+        quota = self.quotas.setdefault(sent.customer, TokenBucket(plan.rate, plan.burst))
         if not quota.take(sent.units, self.clock.now):
             self.beyond_quota_units += sent.units
-        if tariff.ceiling_rate:
+        if plan.ceiling_rate:
             ceiling = self.ceilings.setdefault(
-                sent.customer, TokenBucket(tariff.ceiling_rate, tariff.ceiling_burst)
+                sent.customer, TokenBucket(plan.ceiling_rate, plan.ceiling_burst)
             )
-            slack = tariff.ceiling_slack + tariff.ceiling_rate * 3.0 * SOCKET_ALLOWANCE_MS / 1000.0
-            self.referee.ceiling_charged(request.judged, ceiling, slack, self.clock.now)
+            slack = plan.ceiling_slack + plan.ceiling_rate * 3.0 * SOCKET_ALLOWANCE_MS / 1000.0
+            self.referee.ceiling_charged(request.observed, ceiling, slack, self.clock.now)
 
     def _on_request_ended(self, record: records.RequestEnded) -> None:
         request = self.requests[record.request_id]
@@ -236,32 +236,32 @@
                 self._judge_answer(request, record)
 
     def _judge_answer(self, request: JudgedRequest, record: records.RequestEnded) -> None:
-        judged = request.judged
+        observed = request.observed
         if record.outcome is RequestOutcome.FOREIGN_VALUE:
-            self.referee.breach("answers", f"{judged.name}: the reply has the value of another request")
-        limit_ms = judged.deadline_ms + SOCKET_ALLOWANCE_MS + self._recent_delay_ms(record.time_ms)
+            self.referee.breach("answers", f"{observed.name}: the reply has the value of another request")
+        limit_ms = observed.deadline_ms + SOCKET_ALLOWANCE_MS + self._recent_delay_ms(record.time_ms)
         if record.time_ms > limit_ms + ANSWER_SLACK_MS and self._is_excused(
             request, record.time_ms, Excuse.LATE
         ):
             self.excused[Excuse.LATE.value] += 1
             limit_ms = record.time_ms
-        judged.deadline_ms = max(judged.deadline_ms, limit_ms)
-        self.referee.answered(judged, record.outcome is RequestOutcome.REJECTED, record.time_ms)
+        observed.deadline_ms = max(observed.deadline_ms, limit_ms)
+        self.referee.answered(observed, record.outcome is RequestOutcome.REJECTED, record.time_ms)
 
     def _judge_lost(self, request: JudgedRequest, record: records.RequestEnded) -> None:
         """A request without a reply.
 
         It is a breach if the client gave it up, or if its connection ended after an attempt had arrived.
         """
-        request.judged.lost = True
+        request.observed.lost = True
         if self._is_excused(request, record.time_ms, Excuse.LOST):
             self.excused[Excuse.LOST.value] += 1
         elif record.outcome is RequestOutcome.NO_REPLY or request.arrived_attempts:
-            self.referee.breach("lost", f"{request.judged.name}: no reply, outcome `{record.outcome}`")
+            self.referee.breach("lost", f"{request.observed.name}: no reply, outcome `{record.outcome}`")
 
     def _count_not_accepted(self, request: JudgedRequest, record: records.RequestEnded) -> None:
         """The connection was not accepted, so no rule is broken: the client may retry."""
-        request.judged.lost = True
+        request.observed.lost = True
         if self._is_excused(request, record.time_ms, Excuse.LOST):
             self.excused[RequestOutcome.NOT_ACCEPTED.value] += 1
 
@@ -271,7 +271,7 @@
     def _recent_delay_ms(self, now_ms: float) -> float:
         """The largest recent delay of the bench's event loop.
 
-        Gateways are allowed as much: no gateway on this machine could be quicker.
+        Gateways are allowed the same delay: a gateway on this machine could not be quicker.
         """
         return max(
             (
@@ -287,7 +287,7 @@
     def verdict(self) -> Verdict:
         """End the judgement, after the last record."""
         for request in self.requests.values():
-            self.referee.check_answered(request.judged)
+            self.referee.check_answered(request.observed)
         for resent in self.resent_after_arrival:
             self._judge_resent(resent)
         outcomes = Counter(str(request.outcome or NOT_ENDED) for request in self.requests.values())
@@ -314,7 +314,7 @@
         )
         if not has_died and not self._is_excused(request, resent.resent_ms, Excuse.LOST):
             self.referee.breach(
-                "lost", f"{request.judged.name}: forwarded, then its connection was closed without a reply"
+                "lost", f"{request.observed.name}: forwarded, then its connection was closed without a reply"
             )
 
 
--- a/quota_gateway/fault_bench/rollouts.py
+++ b/quota_gateway/fault_bench/rollouts.py
@@ -91,7 +91,7 @@
         }
         targets = []
         for gateway, managed in self.bench.managed_gateways.items():
-            address, next_address = (self._admin_address(gateway, place) for place in ADMIN_CALLERS)
+            address, next_address = (self._admin_address(gateway, caller) for caller in ADMIN_CALLERS)
             targets.append(
                 Target(
                     gateway,
@@ -110,8 +110,8 @@
 
     def _write_plan(self, name: str, fields: Fields, targets: Sequence[Target]) -> None:
         path = self.folder / f"{name}.toml"
-        managed_gateways = [msgspec.to_builtins(target) for target in targets]
-        rows = {"name": name, "journal": f"{name}.journal", "members": managed_gateways, **fields}
+        members = [msgspec.to_builtins(target) for target in targets]
+        rows = {"name": name, "journal": f"{name}.journal", "members": members, **fields}
         path.write_text("".join(f"{key} = {_toml(value)}\n" for key, value in rows.items()))
         self.plans[name] = path
 
--- a/quota_gateway/fault_bench/scenario.py
+++ b/quota_gateway/fault_bench/scenario.py
@@ -109,7 +109,11 @@
         return [f"s-{number}" for number in range(1, self.world.machines.count + 1)]
 
     def links(self) -> list[str]:
-        """Names of all links, as ``CALLER>CALLED``: from the party that connects to the one that accepts."""
+        """Names of all links, as ``CALLER>CALLED``: from the party that connects to the one that accepts.
+
+        Callers of admin endpoints: ``doors`` reaches that of a gateway's newest process, ``doors-0`` and
+        ``doors-1`` the one at the gateway's first or second admin address.
+        """
         return [
             link
             for gateway in self.gateways()
--- a/quota_gateway/fault_bench/server_faults.py
+++ b/quota_gateway/fault_bench/server_faults.py
@@ -12,7 +12,7 @@
 
 
 def carry_out(step: Step, servers: Sequence[StandInServer], bench: FaultBench) -> Undo:
-    """Inject the step's fault into the servers; what undoes it. Raises ValueError for an unknown fault."""
+    """Inject the step's fault into servers; returns what undoes it. Raises ValueError if it is unknown."""
     for server in servers:
         match step.do:
             case "slow":
--- a/quota_gateway/fault_bench/stand_ins.py
+++ b/quota_gateway/fault_bench/stand_ins.py
@@ -48,9 +48,9 @@
         """Milliseconds since the bench's start."""
         return (self.loop.time() - self.start_s) * 1000.0
 
-    def after(self, delay: float, call: Callable[..., None], *arguments: Any) -> None:
-        """Call this after a delay in milliseconds."""
-        self.loop.call_later(max(0.0, delay) / 1000.0, call, *arguments)
+    def after(self, delay_ms: float, callback: Callable[..., None], *arguments: Any) -> None:
+        """Call ``callback`` after so many milliseconds."""
+        self.loop.call_later(max(0.0, delay_ms) / 1000.0, callback, *arguments)
 
 
 class Meters:
@@ -59,7 +59,7 @@
     def __init__(self, world: World, clock: Clock) -> None:
         self.world = world
         self.clock = clock
-        self.tariffs = {plan.name: plan for plan in world.plans}
+        self.plans = {plan.name: plan for plan in world.plans}
         self.by_customer: dict[str, Meter] = {}
         self.counted_requests: set[str] = set()  # ids of requests; only a request's first attempt is metered
 
@@ -67,9 +67,9 @@
         """Meter an attempt, if its request is new; the customer's use that the server's answer reports."""
         meter = self.by_customer.get(customer)
         if meter is None:
-            tariff: PlanConfig = self.tariffs[plan]
+            plan_config: PlanConfig = self.plans[plan]
             meter = self.by_customer[customer] = Meter(
-                tariff, self.world.meter_period_ms, self.world.meter_delay_ms
+                plan_config, self.world.meter_period_ms, self.world.meter_delay_ms
             )
         if request_id not in self.counted_requests:
             self.counted_requests.add(request_id)
@@ -88,7 +88,7 @@
         self.meters = meters
         self.history = history
         self.random = random
-        self.kinds = {kind.name: kind for kind in meters.world.classes}
+        self.classes = {class_config.name: class_config for class_config in meters.world.classes}
         self.attempts: dict[str, int] = {}  # arrived so far, by request id; they number the attempts
         self.connections: set[ServerConnection] = set()
         self.server: asyncio.Server | None = None
@@ -106,30 +106,32 @@
         """Pass a complete command to the model; None, and a -SYNTAX answer, if it is malformed."""
         try:
             fields = dict(part.split("=", 1) for part in words[3].decode().split(","))
-            request = words[2].decode()
+            request_id = words[2].decode()
             customer = words[1].decode()
-            kind = self.kinds[fields["c"]]
+            class_config = self.classes[fields["c"]]
             units = float(fields["units"])
             plan = fields["t"]
         except (IndexError, ValueError, KeyError):
             answer(b"-SYNTAX\r\n")
             return None
-        number = self.attempts[request] = self.attempts.get(request, 0) + 1
-        work = kind.mean_work_ms * float(self.random.exponential())
+        number = self.attempts[request_id] = self.attempts.get(request_id, 0) + 1
+        work_ms = class_config.mean_work_ms * float(self.random.exponential())
         clock = self.model.clock
         relayed_connection = relayed_connection_of(connection.transport) if connection.transport else None
         gateway = relayed_connection.link.name.partition(">")[0] if relayed_connection else ""
-        self.history.add(records.AttemptArrived(clock.now, request, number, self.name, gateway, work))
-        used = self.meters.count(request, plan, customer, units)
+        self.history.add(records.AttemptArrived(clock.now, request_id, number, self.name, gateway, work_ms))
+        used_percent = self.meters.count(request_id, plan, customer, units)
 
-        def done(status: api.Status) -> None:
-            self.history.add(records.AttemptLeft(clock.now, f"{request}@{self.name}", number, status.value))
+        def end_attempt(status: api.Status) -> None:
+            self.history.add(
+                records.AttemptLeft(clock.now, f"{request_id}@{self.name}", number, status.value)
+            )
             if status is api.Status.RESET:
                 connection.abort()
             elif not self.mute:
-                answer(ERROR_REPLIES.get(status) or _value_reply(words[2], used))
+                answer(ERROR_REPLIES.get(status) or _value_reply(words[2], used_percent))
 
-        job = Job(work, done)
+        job = Job(work_ms, end_attempt)
         self.model.take(job)
         return job
 
@@ -141,8 +143,8 @@
             connection.abort()
 
 
-def _value_reply(value: bytes, used: float) -> bytes:
-    load_fields = b"used=%d" % round(used)
+def _value_reply(value: bytes, used_percent: float) -> bytes:
+    load_fields = b"used=%d" % round(used_percent)
     return b"*3\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$-1\r\n" % (len(value), value, len(load_fields), load_fields)
 
 
@@ -153,7 +155,7 @@
         self.server = server
         self.reader = hiredis.Reader()
         self.transport: asyncio.Transport | None = None
-        self.reply_slots: deque[list[bytes]] = deque()  # one a command; empty until it is answered
+        self.reply_slots: deque[list[bytes]] = deque()  # one per command; empty until it is answered
         self.jobs: set[Job] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -234,9 +236,9 @@
         )
         self.clock.after(1000.0 * HEARTBEAT_INTERVAL_S, self._send_heartbeats)
 
-    def set(self, name: str, entry: api.ServerEntry, started: float) -> None:
+    def set(self, name: str, entry: api.ServerEntry, started_ms: float) -> None:
         """Add or change a server; each watching gateway is notified after a random delay of its own."""
-        self.entries[name] = (entry, started)
+        self.entries[name] = (entry, started_ms)
         self.generation += 1
         for watch in list(self.watches):
             self.clock.after(self.mean_delay_ms * 2.0 * float(self.random.random()), watch.notify, [name])
@@ -250,7 +252,7 @@
         }
 
     def _instance(self, gateway: str, name: str) -> dict[str, Any]:
-        (entry, started) = self.entries[name]
+        (entry, started_ms) = self.entries[name]
         (host, port) = self.address_of(gateway, name)
         return {
             "instanceId": name,
@@ -260,8 +262,8 @@
             "cell": entry.cell,
             "lifecycle": LIFECYCLE_NAMES[entry.state],
             "weight": entry.size,
-            "startedAtMs": round(self.clock.start_unix_ms + self.clock_ahead_ms + started)
-            if started > 0.0
+            "startedAtMs": round(self.clock.start_unix_ms + self.clock_ahead_ms + started_ms)
+            if started_ms > 0.0
             else 0,
         }
 
--- a/quota_gateway/fault_bench/timeline.py
+++ b/quota_gateway/fault_bench/timeline.py
@@ -46,8 +46,8 @@
         for number in self.pending_steps:
             self.tasks[number].cancel()
         self.missed = [
-            f"step {number}, {self.scenario.steps[number].do}, was not carried out: "
-            f"{self.scenario.steps[number].when or 'its time came after the end of the load'}"
+            f"step {number}, {self.scenario.steps[number].do}, was not carried out, it waited for: "
+            f"{self.scenario.steps[number].when or 'its time, which came after the end of the load'}"
             for number in sorted(self.pending_steps)
         ]
         results = await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -111,7 +111,7 @@
     def links_between_groups(self, groups: tuple[tuple[str, ...], ...]) -> list[Link]:
         """The links between parties of different groups; a party in no group keeps all its links."""
         group_of = {name: number for number, names in enumerate(groups) for name in names}
-        group_of |= {f"doors-{place}": group_of["doors"] for place in (0, 1) if "doors" in group_of}
+        group_of |= {f"doors-{index}": group_of["doors"] for index in (0, 1) if "doors" in group_of}
         return [
             link
             for link in self.bench.links.values()
--- a/quota_gateway/simulation/__main__.py
+++ b/quota_gateway/simulation/__main__.py
@@ -42,7 +42,7 @@
 
 @click.group()
 def main() -> None:
-    """Simulate a fleet of gateways in virtual time, check its rules, and show where value is lost."""
+    """Simulate gateways in virtual time, check the platform's rules, and show where value is lost."""
 
 
 @main.command()
@@ -60,7 +60,7 @@
     type=click.Choice(["gateway", *BASELINES]),
     default="gateway",
     show_default=True,
-    help="what decides: the gateway, or a baseline to compare it with",
+    help="policy to simulate: the gateway's, or a baseline to compare it with",
 )
 @click.option(
     "--json",
--- a/quota_gateway/simulation/baselines.py
+++ b/quota_gateway/simulation/baselines.py
@@ -9,7 +9,7 @@
 
 from quota_gateway import api
 
-DEADLINE_MARGIN_MS = 5.0  # a request still in flight so long before its deadline is answered as failed
+DEADLINE_MARGIN_MS = 5.0  # a request still in flight this long before its deadline is cancelled and fails
 
 
 class RandomPolicy:
--- a/quota_gateway/simulation/models.py
+++ b/quota_gateway/simulation/models.py
@@ -23,7 +23,7 @@
 
     @property
     def now(self) -> float:
-        """Milliseconds since the beginning."""
+        """Milliseconds since the beginning of the run."""
 
     def after(self, delay_ms: float, callback: Callable[..., None], *arguments: Any) -> None:
         """Call ``callback`` after so many milliseconds."""
@@ -88,10 +88,10 @@
         """Count units that were sent to a server; forget periods that are no longer reported."""
         period = int(now_ms // self.period_ms)
         self.units_by_period[period] = self.units_by_period.get(period, 0.0) + units
-        for old in [
+        for old_period in [
             key for key in self.units_by_period if key < period - 1 - int(self.delay_ms // self.period_ms) - 1
         ]:
-            del self.units_by_period[old]
+            del self.units_by_period[old_period]
 
     def reported_percent(self, now_ms: float) -> float:
         """The figure that answers carry now."""
@@ -100,7 +100,10 @@
 
 
 class Job:
-    """One attempt at a server; ``work_ms`` is its processing time on a core of speed 1."""
+    """One attempt at a server.
+
+    ``work_ms``: its processing time on a core of speed 1; ``is_abandoned``: nobody waits for its answer.
+    """
 
     __slots__ = ("work_ms", "answer", "is_abandoned")
 
@@ -124,7 +127,7 @@
         self.machines = machines
         self.entry = entry
         self.speed = speed
-        self.started = -machines.warm_up_ms  # so that it is warm at the beginning
+        self.started_ms = -machines.warm_up_ms  # so that it is warm at the beginning
         self.slowdown = 1.0
         self.failing = False
         self.silent = False
@@ -134,7 +137,7 @@
 
     def capacity(self) -> float:
         """The share of its speed that the server has now; it grows linearly during the warm-up."""
-        warm_up_ratio = (self.clock.now - self.started) / self.machines.warm_up_ms
+        warm_up_ratio = (self.clock.now - self.started_ms) / self.machines.warm_up_ms
         return min(
             1.0,
             self.machines.initial_capacity_ratio
@@ -177,6 +180,6 @@
         jobs = [*self.running, *self.queue]
         self.running = set()
         self.queue = deque()
-        self.started = self.clock.now
+        self.started_ms = self.clock.now
         for job in jobs:
             job.answer(api.Status.RESET)
--- a/quota_gateway/simulation/referee.py
+++ b/quota_gateway/simulation/referee.py
@@ -35,7 +35,20 @@
 
 
 class Referee:
-    """Counts breaches by rule: answers, deadline, resends, refusals, drains, cold servers, ceilings."""
+    """Counts breaches by rule.
+
+    The rules by the names that results use:
+
+    - answers: a request is answered exactly once, unless its gateway was killed.
+    - deadline: the answer comes at most ``ANSWER_SLACK_MS`` after the request's deadline.
+    - resends: a request that may have run is sent again only where its idempotency allows that.
+    - refusals: a request that may have run is not rejected, unless it is idempotent or has a key
+      that all servers know.
+    - drains: a gateway sends nothing to a server later than ``DRAIN_GRACE_MS`` after it was notified that the
+      server drains.
+    - cold servers: the work sent to a server that warms up stays within the world's overload limit.
+    - ceilings: a customer's rate ceiling is exceeded by no more than its slack.
+    """
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -110,7 +123,7 @@
             return
         recent = self.work_sent.setdefault(server.entry.server, deque())
         recent.append((now_ms, work_ms))
-        while recent[0][0] < max(now_ms - machines.overload_window_ms, server.started):
+        while recent[0][0] < max(now_ms - machines.overload_window_ms, server.started_ms):
             recent.popleft()
         capacity_ms = machines.cores * server.speed * server.capacity() * machines.overload_window_ms
         if sum(amount for _, amount in recent) > machines.overload_multiple * capacity_ms:
@@ -124,7 +137,7 @@
         if status in NEVER_RAN:
             request.possible_runs.pop(attempt, None)
 
-    def answered(self, request: ObservedRequest, refused: bool, now_ms: float) -> None:
+    def answered(self, request: ObservedRequest, is_rejection: bool, now_ms: float) -> None:
         """A gateway has given a final answer."""
         request.answers += 1
         if request.answers > 1:
@@ -139,7 +152,7 @@
             and request.request_class.idempotency_scope is api.IdempotencyScope.ALL
         )
         if (
-            refused
+            is_rejection
             and request.possible_runs
             and request.request_class.idempotency is not api.Idempotency.IDEMPOTENT
             and not has_global_key
@@ -189,6 +202,6 @@
             self.by_outcome[outcome] += amount
 
     def close(self) -> None:
-        """Book the operations that are still open at the end as given up."""
+        """At the end of the run: book the operations that are still open as given up."""
         for operation_id in list(self._open):
             self.book(operation_id, "given up: no answer in the day")
--- a/quota_gateway/simulation/simulation_run.py
+++ b/quota_gateway/simulation/simulation_run.py
@@ -41,8 +41,8 @@
 
     Attributes:
         seed: the run's seed.
-        offered: the value of the operations whose first request a single gateway which saw them all would
-            admit, in thousandths.
+        offered: the value, in thousandths, of the operations whose first request is within the quota, as a
+            single gateway that saw all first requests would decide.
         value_by_outcome: where that value went, in thousandths; the outcomes add up to ``offered``.
         broken: breaches by rule.
         breach_messages: the first breaches in words.
@@ -113,7 +113,9 @@
         self.is_up = False
         self.died_ms = -1e9
         self.requests: dict[str, tuple[ObservedRequest, Operation]] = {}
+        # By server: when the gateway was notified that it drains.
         self.drained_ms: dict[int, float] = {}
+        # By request and attempt: the server, when the attempt was sent, and its job.
         self.open_attempts: dict[tuple[str, int], tuple[int, float, Job]] = {}
         self.start()
 
@@ -373,10 +375,10 @@
         """
         customer = operation.customer
         now_ms = self.clock.now
-        members = [(customer.first_gateway + n) % self.world.gateways for n in range(customer.gateway_count)]
+        gateways = [(customer.first_gateway + n) % self.world.gateways for n in range(customer.gateway_count)]
         candidates = [
             n
-            for n in members
+            for n in gateways
             if self.nodes[n].is_up or now_ms - self.nodes[n].died_ms < DEAD_GATEWAY_DETECTED_MS
         ]
         if not candidates:
--- a/quota_gateway/simulation/world.py
+++ b/quota_gateway/simulation/world.py
@@ -206,7 +206,7 @@
         same_zone_delay_ms: one way between a gateway and a server of its zone.
         cross_zone_delay_ms: one way between a gateway and a server of another zone.
         discovery_delay_ms: scale of the delay until gateways know of a server's change; in the simulation
-            the longest delay.
+            the longest delay, in the fault bench the mean delay.
         meter_period_ms: over which the platform meters a customer's use.
         meter_delay_ms: from the end of a period until answers carry its figure.
         retry_probability: that a client retries a rejected or failed request.
--- a/tests/test_fault_bench.py
+++ b/tests/test_fault_bench.py
@@ -73,8 +73,8 @@
 # ---- The referee
 
 
-def request_sent(kind="read", t=1000.0, plan="basis", name="r1"):
-    return records.RequestSent(t, name, "w", "g0", kind, plan, "c", t, t + 1500.0, "k")
+def request_sent(class_name="read", t=1000.0, plan="basis", name="r1"):
+    return records.RequestSent(t, name, "w", "g0", class_name, plan, "c", t, t + 1500.0, "k")
 
 
 def attempt_arrived(server="s-1", t=1010.0, number=1, name="r1"):
